--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 GO ?= go
 BIN := bin
 
-.PHONY: build test race lint bench capacity demo proto clean
+.PHONY: build test race lint bench capacity demo proto tools clean
 
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
@@ -37,5 +37,9 @@
 	$(GO) build -o $(BIN)/tools/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
 	protoc --plugin=$(BIN)/tools/protoc-gen-go --go_out=. --go_opt=module=quinceroad protocol/pb/quince.proto
 
+# For renames; newer versions of gopls want a newer Go.
+tools:
+	$(GO) install golang.org/x/tools/gopls@v0.22.0
+
 clean:
 	rm -rf $(BIN)
