--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -72,7 +72,7 @@
 			c.tell(a.Job, a)
 		case pipeline.Fail:
 			c.tell(a.Job, a)
-		case pipeline.Abandon:
+		case pipeline.Cancel:
 			c.mu.Lock()
 			cancel := c.calls[a.Call]
 			c.mu.Unlock()
@@ -105,7 +105,7 @@
 	defer n.running.begin(a.Replica, over)()
 	leave := n.rollouts.enter(&replica, false) // its pieces go to another replica
 	results, fate := n.runPieces(ctx, a)
-	if fate == pipeline.Broken || fate == pipeline.Overdue && n.quarantine.hasEnded(a.Replica) {
+	if fate == pipeline.Broken || fate == pipeline.TimedOut && n.quarantine.hasEnded(a.Replica) {
 		fate = c.whyBroken(ctx, a, began)
 	}
 	if fate == pipeline.Answered {
@@ -127,20 +127,20 @@
 		n.counters.lostCalls.Inc(1)
 		event.NodeCallLost.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
 	}
-	if fate == pipeline.Stranger {
+	if fate == pipeline.WrongReplica {
 		n.sawLeaving(a.Replica, "stranger")
 	}
 	c.do(func(now time.Duration) []pipeline.Action {
 		if until, rests := n.statements.restsTo(now, a.Replica); rests {
-			c.scheduler.Rests(a.Replica, until)
+			c.scheduler.SetBackoff(a.Replica, until)
 		}
-		return c.scheduler.Answer(now, a.ID, fate, results)
+		return c.scheduler.FinishCall(now, a.ID, fate, results)
 	})
 }
 
 // whyBroken finds out whether the replica of a call that broke off has ended,
 // which speaks against all requests in it.
-func (c *cell) whyBroken(ctx context.Context, a pipeline.Call, sent time.Duration) pipeline.Fate {
+func (c *cell) whyBroken(ctx context.Context, a pipeline.Call, sent time.Duration) pipeline.Outcome {
 	n := c.owner.node
 	asked := c.fingerprintsOf(a)
 	look := n.brokeOff(&catalog.Replica{ID: a.Replica, Service: a.Service, Address: a.Address}, sent, slices.Collect(maps.Values(asked))...)
@@ -176,7 +176,7 @@
 
 // giveUp ends the job of a condemned request.
 func (c *cell) giveUp(request string) {
-	c.do(func(now time.Duration) []pipeline.Action { return c.scheduler.GiveUp(now, request, whyCondemned) })
+	c.do(func(now time.Duration) []pipeline.Action { return c.scheduler.FailRequest(now, request, whyCondemned) })
 }
 
 // whyCondemned is what an owner says of a job whose request is condemned.
@@ -192,7 +192,7 @@
 		counts[r.Reason]++
 	}
 	event.NodeCallDone.Log(n.log, "replica", a.Replica, "service", a.Service, "pieces", len(a.Items), "took", took,
-		"no_room", counts[pipeline.NoRoom], "gone", counts[pipeline.InputGone], "late", counts[pipeline.Late], "failed", counts[pipeline.PieceError])
+		"no_room", counts[pipeline.MemoryFull], "gone", counts[pipeline.InputMissing], "late", counts[pipeline.Expired], "failed", counts[pipeline.ItemFailed])
 }
 
 func (c *cell) free(a pipeline.Free) { c.owner.node.freeResults(a) }
@@ -203,7 +203,7 @@
 	defer c.mu.Unlock()
 	var out []string
 	for _, p := range c.scheduler.Pools(c.owner.node.now()) {
-		if !job.Asks(p.Service) {
+		if !job.Uses(p.Service) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("%s:%d waiting, through in %v, %d replicas", p.Service, p.Waiting, p.Clear.Round(time.Millisecond), p.Serving))
@@ -252,7 +252,7 @@
 		n.noteUnread(r.Service, field, "report")
 	}
 	c.mu.Lock()
-	c.scheduler.Seen(n.now(), r.ID, told.Free, told.AtWork)
+	c.scheduler.RecordReplicaState(n.now(), r.ID, told.Free, told.AtWork)
 	c.mu.Unlock()
 }
 
--- a/cmd/node/end.go
+++ b/cmd/node/end.go
@@ -38,7 +38,7 @@
 		}
 	case errors.As(err, &failed):
 		after = max(failed.after, backSoon)
-		if failed.why == pipeline.WhyRest || failed.why == pipeline.WhyShare {
+		if failed.why == pipeline.ReasonBackoff || failed.why == pipeline.ReasonShare {
 			after += spreadReturn()
 		}
 	case errors.Is(err, errEmptied), errors.Is(err, errCold), errors.Is(err, errNoRegion), errors.Is(err, errNoTurn):
@@ -61,7 +61,7 @@
 func (s *serving) beyondShare(err error) bool {
 	var refused *refusedError
 	var failed *failedError
-	return errors.As(err, &refused) && !refused.expects.standing.Within || errors.As(err, &failed) && failed.why == pipeline.WhyShare
+	return errors.As(err, &refused) && !refused.expects.standing.Within || errors.As(err, &failed) && failed.why == pipeline.ReasonShare
 }
 
 func (s *serving) log(err error) {
--- a/cmd/node/held.go
+++ b/cmd/node/held.go
@@ -15,7 +15,7 @@
 // logHeld logs who is held to a share since the last look, and who is no more.
 func (c *cell) logHeld(now time.Duration) {
 	c.mu.Lock()
-	rows := c.scheduler.Held(now)
+	rows := c.scheduler.ThrottledCustomers(now)
 	c.mu.Unlock()
 	if len(rows) == 0 && len(c.held) == 0 {
 		return
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -104,9 +104,9 @@
 	if !verdict.Admitted {
 		c.forgetFingerprint(job.RequestID)
 		n.counters.jobsRefused.Inc(1)
-		event.NodeJobRefused.Log(n.log, "request", job.RequestID, "customer", job.Customer, "rank", job.Rank, "again", job.Again,
+		event.NodeJobRefused.Log(n.log, "request", job.RequestID, "customer", job.Customer, "rank", job.Rank, "again", job.Retry,
 			"short", verdict.Standing.Resource, "asked", verdict.Standing.Asked, "share", verdict.Standing.Share,
-			"expected", verdict.Expected, "wait", verdict.Expected-verdict.Own, "own", verdict.Own, "bound", verdict.Bound, "limit", verdict.Limit,
+			"expected", verdict.Expected, "wait", verdict.Expected-verdict.Uncontended, "own", verdict.Uncontended, "bound", verdict.Bottleneck, "limit", verdict.Limit,
 			"engine_expected", time.Duration(reply.EngineUs)*time.Microsecond, "reads", reply.Reads, "moves", reply.Moves,
 			"objective", job.Objective, "deadline", job.Deadline, "stages", verdict.Explain(), "pools", c.pools(job))
 		reply.Standing = standingNews(verdict.Standing)
@@ -129,10 +129,10 @@
 			}
 		case a := <-end:
 			if f, failed := a.(pipeline.Fail); failed {
-				event.NodeJobFailed.Log(n.log, "request", job.RequestID, "customer", job.Customer, "why", f.Why, "after", n.now()-r.began,
-					"expected", verdict.Expected, "rank", job.Rank, "again", job.Again,
+				event.NodeJobFailed.Log(n.log, "request", job.RequestID, "customer", job.Customer, "why", f.Reason, "after", n.now()-r.began,
+					"expected", verdict.Expected, "rank", job.Rank, "again", job.Retry,
 					"short", verdict.Standing.Resource, "stages", verdict.Explain())
-				_ = send(&pb.StagesReply{Failed: f.Why, RetryAfterUs: f.RetryAfter.Microseconds()})
+				_ = send(&pb.StagesReply{Failed: f.Reason, RetryAfterUs: f.RetryAfter.Microseconds()})
 				return pipeline.Deliver{}, false
 			}
 			r.compare(verdict)
@@ -157,7 +157,7 @@
 }
 
 // compare counts how the time that the stages took differs from the expected.
-func (r *ownedRequest) compare(v pipeline.Verdict) {
+func (r *ownedRequest) compare(v pipeline.Decision) {
 	n := r.cell.owner.node
 	took := n.now() - r.began
 	n.counters.staged.Inc(took.Milliseconds())
@@ -183,7 +183,7 @@
 	defer r.leaveTurns()
 	c.next++
 	r.request.ID = c.next
-	r.request.Near = ready.Near
+	r.request.Near = ready.BytesByHall
 	r.request.Slack -= now - r.began
 	choice, ok := r.choose(now, sick, w.aside(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
@@ -275,21 +275,21 @@
 
 func jobOf(ask *pb.StagesAsk) pipeline.Job {
 	j := pipeline.Job{
-		RequestID: ask.RequestId,
-		Key:       ask.Key,
-		Customer:  ask.Customer,
-		Told:      shares.Told{Part: float64(ask.CustomerPart), Of: float64(ask.CustomerOf)},
-		Rank:      int(ask.Rank),
-		Objective: time.Duration(ask.ObjectiveUs) * time.Microsecond,
-		Deadline:  time.Duration(ask.DeadlineUs) * time.Microsecond,
-		Again:     ask.Again,
-		LateToo:   ask.LateToo,
-		Ended:     int(ask.Ended),
+		RequestID:   ask.RequestId,
+		Key:         ask.Key,
+		Customer:    ask.Customer,
+		UsualShare:  shares.Told{Part: float64(ask.CustomerPart), Of: float64(ask.CustomerOf)},
+		Rank:        int(ask.Rank),
+		Objective:   time.Duration(ask.ObjectiveUs) * time.Microsecond,
+		Deadline:    time.Duration(ask.DeadlineUs) * time.Microsecond,
+		Retry:       ask.Again,
+		AllowLate:   ask.LateToo,
+		ReplicaEnds: int(ask.Ended),
 	}
 	total := 0
 	for _, w := range ask.Stages {
 		total += int(w.Pieces)
-		st := pipeline.Stage{Service: w.Service, Pieces: int(w.Pieces), Bytes: w.Bytes}
+		st := pipeline.Stage{Service: w.Service, Items: int(w.Pieces), ResultBytes: w.Bytes}
 		for _, a := range w.After {
 			st.After = append(st.After, int(a))
 		}
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -47,7 +47,7 @@
 		c = &cell{
 			owner:        o,
 			number:       number,
-			scheduler:    pipeline.New(pipeline.Cold(o.node.cold.limit), pipeline.Paced(cellTurns{o.node}), pipeline.Worth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
+			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.cold.limit), pipeline.WithSendGrants(cellTurns{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
 			engines:      placement.New(o.node.placing(), o.node.cold.limit).Paced(cellTurns{o.node}),
 			waiting:      make(map[uint64]chan pipeline.Action),
 			calls:        make(map[uint64]context.CancelFunc),
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -25,7 +25,7 @@
 )
 
 // runPieces sends a call of pieces to a replica.
-func (n *Node) runPieces(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Fate) {
+func (n *Node) runPieces(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
 	path, body, err := platform.RunCall(c.Items)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "call of pieces", "from", n.settings.Name, "error", err)
@@ -41,11 +41,11 @@
 	case errors.Is(err, upstream.ErrConnect):
 		return nil, pipeline.Unreachable
 	case err != nil && ctx.Err() != nil:
-		return nil, pipeline.Overdue
+		return nil, pipeline.TimedOut
 	case err != nil:
 		return nil, pipeline.Broken
 	case head.Stranger:
-		return nil, pipeline.Stranger
+		return nil, pipeline.WrongReplica
 	case head.NotRun:
 		return nil, pipeline.Refused
 	case status != fasthttp.StatusOK:
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -122,16 +122,16 @@
 }
 
 // wayOf tells how a call of pieces ended.
-func wayOf(fate pipeline.Fate, results []pipeline.Result) ending.Way {
+func wayOf(fate pipeline.Outcome, results []pipeline.Result) ending.Way {
 	switch fate {
 	case pipeline.Answered:
-		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.PieceError }) {
+		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.ItemFailed }) {
 			return ending.OwnFailure
 		}
 		return ending.Whole
 	case pipeline.Refused:
 		return ending.TurnedAway
-	case pipeline.Stranger:
+	case pipeline.WrongReplica:
 		return ending.Stranger
 	case pipeline.Unreachable:
 		return ending.Unreached
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -168,7 +168,7 @@
 		}
 		s.Cells = append(s.Cells, CellState{
 			Number: c.number, Jobs: c.scheduler.Jobs(), Calls: len(c.calls), Streams: c.engines.Running(), Pools: c.scheduler.Pools(n.now()),
-			Engines: engines, Shares: c.scheduler.Customers(n.now(), mostSharesTold),
+			Engines: engines, Shares: c.scheduler.TopCustomers(n.now(), mostSharesTold),
 		})
 		c.mu.Unlock()
 	}
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -89,7 +89,7 @@
 			return true
 		}
 		if left := r.mayWait() - (n.now() - r.began); wait > left {
-			_ = send(&pb.StagesReply{Failed: pipeline.WhyRest, RetryAfterUs: (wait - max(left, 0)).Microseconds()})
+			_ = send(&pb.StagesReply{Failed: pipeline.ReasonBackoff, RetryAfterUs: (wait - max(left, 0)).Microseconds()})
 			return false
 		}
 		look := time.NewTimer(turnLook)
--- a/coordination/pipeline/bench_test.go
+++ b/coordination/pipeline/bench_test.go
@@ -32,7 +32,7 @@
 	j := newTestJob(fmt.Sprint(i), 4)
 	j.Rank = i % 3
 	j.Objective, j.Deadline = time.Hour, 2*time.Hour
-	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Pieces: 4, Bytes: 10_000})
+	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 4, ResultBytes: 10_000})
 	return j
 }
 
@@ -76,7 +76,7 @@
 			now := time.Duration(0)
 			for b.Loop() {
 				now += 50 * time.Millisecond
-				s.Held(now)
+				s.ThrottledCustomers(now)
 			}
 		})
 	}
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -22,7 +22,7 @@
 // knowTurns takes in when replicas may get their next calls by what they state that
 // they take. What has stated nothing for long costs nothing.
 func (s *Scheduler) knowTurns(now time.Duration) {
-	t := s.opts.Turns
+	t := s.opts.SendGrants
 	if t == nil || !t.Any() && !s.paced {
 		return
 	}
@@ -61,7 +61,7 @@
 	fill := p.fill(now, &s.opts)
 	for i, r := range idle {
 		if i == len(idle)-1 {
-			fill = max(fill, s.opts.LastFill*float64(p.def.Batch))
+			fill = max(fill, s.opts.LastReplicaFill*float64(p.def.Batch))
 		}
 		if !p.mayCall(now, fill, &s.opts) {
 			return
@@ -119,9 +119,9 @@
 func (p *pool) pickBatch(now time.Duration, r *replica, o *Options) []*piece {
 	room := p.def.Room - r.taken(now, p.def.HoldFor)
 	halls := p.halls(now)
-	leave := time.Duration(o.LeaveHall * float64(p.def.CallTime))
+	leave := time.Duration(o.HallSlack * float64(p.def.CallTime))
 	var batch []*piece
-	with := company{most: o.SuspectsTogether}
+	with := company{most: o.MaxSuspectsPerCall}
 	var blocked map[*pool]bool // by more urgent jobs
 	rest := p.ready[:0]
 	for _, x := range p.ready {
@@ -130,10 +130,10 @@
 			rest = append(rest, x)
 			continue
 		}
-		if len(batch) < p.def.Batch && x.stage.def.Bytes <= room && !x.early() && x.may(r, halls[x.hall], leave) && with.admits(x.stage.job) {
+		if len(batch) < p.def.Batch && x.stage.def.ResultBytes <= room && !x.early() && x.may(r, halls[x.hall], leave) && with.admits(x.stage.job) {
 			with.join(x.stage.job)
 			x.stage.job.begin(now)
-			room -= x.stage.def.Bytes
+			room -= x.stage.def.ResultBytes
 			batch = append(batch, x)
 			continue
 		}
@@ -166,25 +166,25 @@
 		if st := x.stage; !st.called {
 			st.called, st.calledAt = true, now
 		}
-		c.bytes += x.stage.def.Bytes
+		c.bytes += x.stage.def.ResultBytes
 		items = append(items, x.item(now))
 	}
 	if p.most > 0 && now < r.ColdUntil {
 		p.sent.Sent(now, r.ID)
 	}
 	if r.turnGap > 0 {
-		s.opts.Turns.Spend(now, r.ID)
-		r.turnFrom = s.opts.Turns.Free(now, r.ID)
+		s.opts.SendGrants.Spend(now, r.ID)
+		r.turnFrom = s.opts.SendGrants.Free(now, r.ID)
 	}
 	r.call = c
 	r.held += c.bytes
 	s.calls[c.id] = c
-	timeout := time.Duration(float64(expected)*2*s.opts.OverdueTimes) + 2*s.opts.OverdueSlack
+	timeout := time.Duration(float64(expected)*2*s.opts.OverdueFactor) + 2*s.opts.OverdueSlack
 	s.act(Call{ID: c.id, Service: p.name, Replica: r.ID, Name: r.Name, Address: r.Address, Items: items, Timeout: timeout})
 }
 
 // Answer takes in what became of a call.
-func (s *Scheduler) Answer(now time.Duration, id uint64, fate Fate, results []Result) []Action {
+func (s *Scheduler) FinishCall(now time.Duration, id uint64, fate Outcome, results []Result) []Action {
 	c := s.calls[id]
 	if c == nil {
 		return s.take()
@@ -231,8 +231,8 @@
 	j := x.stage.job
 	wanted := s.jobs[j.id] == j && x.state != done && !x.stage.freed
 	if res.Handle != "" {
-		c.replica.results[res.Handle] = &holding{bytes: x.stage.def.Bytes, until: now + c.pool.def.HoldFor}
-		c.replica.held += x.stage.def.Bytes
+		c.replica.results[res.Handle] = &holding{bytes: x.stage.def.ResultBytes, until: now + c.pool.def.HoldFor}
+		c.replica.held += x.stage.def.ResultBytes
 		if !wanted {
 			s.freeResult(c.replica, res.Handle)
 			return
@@ -248,12 +248,12 @@
 		return
 	}
 	switch res.Reason {
-	case Late:
+	case Expired:
 		s.fail(now, j, "late", 0)
-	case InputGone:
+	case InputMissing:
 		s.remake(now, x)
-	case NoRoom:
-		c.replica.full(now, c.pool.def.HoldFor, x.stage.def.Bytes)
+	case MemoryFull:
+		c.replica.full(now, c.pool.def.HoldFor, x.stage.def.ResultBytes)
 		x.tries--
 		s.requeue(now, x)
 	default:
@@ -263,8 +263,8 @@
 
 // remake runs a piece again together with the results that it reads.
 func (s *Scheduler) remake(now time.Duration, x *piece) {
-	if x.tries >= s.opts.Tries {
-		s.fail(now, x.stage.job, "inputs", s.opts.Unknown)
+	if x.tries >= s.opts.MaxAttempts {
+		s.fail(now, x.stage.job, "inputs", s.opts.DefaultRetryAfter)
 		return
 	}
 	x.state = blocked
@@ -283,8 +283,8 @@
 }
 
 func (s *Scheduler) requeue(now time.Duration, x *piece) {
-	if x.tries >= s.opts.Tries {
-		s.fail(now, x.stage.job, "tries", s.opts.Unknown)
+	if x.tries >= s.opts.MaxAttempts {
+		s.fail(now, x.stage.job, "tries", s.opts.DefaultRetryAfter)
 		return
 	}
 	x.state = ready
@@ -293,19 +293,19 @@
 }
 
 // lost takes in the end of a call without results.
-func (s *Scheduler) lost(now time.Duration, c *call, fate Fate) {
+func (s *Scheduler) lost(now time.Duration, c *call, fate Outcome) {
 	r := c.replica
 	switch fate {
 	case Refused:
-		r.pausedTo = now + s.opts.Busy
-	case Stranger:
+		r.pausedTo = now + s.opts.RefusalPause
+	case WrongReplica:
 		r.leaving = true
 	default:
 		r.fail(now, &s.opts)
 	}
 	if fate == Crashed {
 		for _, j := range c.jobs() {
-			j.Ended++
+			j.ReplicaEnds++
 		}
 	}
 	for _, x := range c.pieces {
@@ -313,7 +313,7 @@
 		if s.jobs[j.id] != j || x.state != running || c.overdue {
 			continue
 		}
-		if fate == Refused || fate == Stranger || fate == Unreachable {
+		if fate == Refused || fate == WrongReplica || fate == Unreachable {
 			x.tries--
 		}
 		s.requeue(now, x)
@@ -324,12 +324,12 @@
 func (s *Scheduler) overdueCalls(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.calls)) {
 		c := s.calls[id]
-		limit := time.Duration(float64(c.due-c.sent)*s.opts.OverdueTimes) + s.opts.OverdueSlack
+		limit := time.Duration(float64(c.due-c.sent)*s.opts.OverdueFactor) + s.opts.OverdueSlack
 		if c.overdue || now-c.sent < limit {
 			continue
 		}
 		c.overdue = true
-		c.replica.speed = max(c.replica.speed, s.opts.OverdueTimes)
+		c.replica.speed = max(c.replica.speed, s.opts.OverdueFactor)
 		for _, x := range c.pieces {
 			if j := x.stage.job; s.jobs[j.id] == j && x.state == running {
 				s.requeue(now, x)
@@ -349,7 +349,7 @@
 			wanted = wanted || s.jobs[j.id] == j
 		}
 		if !wanted && c.overdue {
-			s.act(Abandon{Call: c.id})
+			s.act(Cancel{Call: c.id})
 		}
 	}
 }
--- a/coordination/pipeline/company.go
+++ b/coordination/pipeline/company.go
@@ -21,15 +21,15 @@
 		return true
 	}
 	if len(c.jobs) == 0 {
-		return j.Ended < decisive || !j.atWork()
+		return j.ReplicaEnds < decisive || !j.atWork()
 	}
-	if min(j.Ended, decisive) != min(c.jobs[0].Ended, decisive) {
+	if min(j.ReplicaEnds, decisive) != min(c.jobs[0].ReplicaEnds, decisive) {
 		return false
 	}
 	switch {
-	case j.Ended == 0:
+	case j.ReplicaEnds == 0:
 		return true
-	case j.Ended < decisive:
+	case j.ReplicaEnds < decisive:
 		return len(c.jobs) < c.most
 	}
 	return false
--- a/coordination/pipeline/company_test.go
+++ b/coordination/pipeline/company_test.go
@@ -37,7 +37,7 @@
 	}
 	for n := range jobs {
 		id := string(rune('A' + n))
-		_, actions := s.Submit(now, Job{RequestID: id, Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "pool", Pieces: 1, Bytes: 10}}})
+		_, actions := s.Submit(now, Job{RequestID: id, Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "pool", Items: 1, ResultBytes: 10}}})
 		takeIn(actions)
 	}
 	takeIn(s.SetPools(now, map[string]*catalog.Service{"pool": {Name: "pool", Pool: pool}}, all))
@@ -56,16 +56,16 @@
 				for i := range results {
 					results[i].Handle = c.Items[i].RequestID
 				}
-				takeIn(s.Answer(now, c.ID, Answered, results))
+				takeIn(s.FinishCall(now, c.ID, Answered, results))
 				continue
 			}
 			ended++
 			for _, x := range c.Items {
 				beside[x.RequestID]++
 			}
-			takeIn(s.Answer(now, c.ID, Crashed, nil))
+			takeIn(s.FinishCall(now, c.ID, Crashed, nil))
 			if ended == 3 {
-				takeIn(s.GiveUp(now, string(rune('A'+guilty)), "condemned"))
+				takeIn(s.FailRequest(now, string(rune('A'+guilty)), "condemned"))
 			}
 		}
 		takeIn(s.Tick(now))
--- a/coordination/pipeline/expect.go
+++ b/coordination/pipeline/expect.go
@@ -9,21 +9,21 @@
 // Forecast is what is expected of one stage of a job; times are from its coming.
 type Forecast struct {
 	Service string
-	Pieces  int
+	Items   int
 	Ahead   int           // pieces that wait at the pool and go before
 	Ready   time.Duration // when the stages that it reads are done
-	Begins  time.Duration // when the last of its pieces is in a call
+	Starts  time.Duration // when the last of its pieces is in a call
 	Ends    time.Duration
 }
 
 // String returns the forecast as logs show it.
 func (f Forecast) String() string {
-	return fmt.Sprintf("%s: %d pieces ready at %v, %d ahead, begun by %v, done by %v", f.Service, f.Pieces,
-		f.Ready.Round(time.Millisecond), f.Ahead, f.Begins.Round(time.Millisecond), f.Ends.Round(time.Millisecond))
+	return fmt.Sprintf("%s: %d pieces ready at %v, %d ahead, begun by %v, done by %v", f.Service, f.Items,
+		f.Ready.Round(time.Millisecond), f.Ahead, f.Starts.Round(time.Millisecond), f.Ends.Round(time.Millisecond))
 }
 
 // Explain returns what a verdict expects of each stage, for a log line.
-func (v Verdict) Explain() string {
+func (v Decision) Explain() string {
 	parts := make([]string, 0, len(v.Stages))
 	for _, f := range v.Stages {
 		parts = append(parts, f.String())
@@ -51,8 +51,8 @@
 			pl = st.pool.plan(now, j.rank)
 			plans[st.pool] = pl
 		}
-		st.plan = Forecast{Service: st.def.Service, Pieces: len(st.pieces), Ahead: int(pl.ahead), Ready: ends[n]}
-		st.plan.Begins, st.plan.Ends = pl.place(ends[n], st)
+		st.plan = Forecast{Service: st.def.Service, Items: len(st.pieces), Ahead: int(pl.ahead), Ready: ends[n]}
+		st.plan.Starts, st.plan.Ends = pl.place(ends[n], st)
 		ends[n] = st.plan.Ends
 		last = max(last, ends[n])
 	}
@@ -72,20 +72,20 @@
 // judge expects a job and says what that is held against. One that won't be in
 // time, but before its deadline, stands back where a late answer is worth more
 // than a refusal: it gets what those that are in time leave.
-func (s *Scheduler) judge(now time.Duration, j *job) Verdict {
-	v := Verdict{Expected: s.expect(now, j), Limit: s.limit(j), Own: j.own()}
-	if j.Again {
+func (s *Scheduler) judge(now time.Duration, j *job) Decision {
+	v := Decision{Expected: s.expect(now, j), Limit: s.limit(j), Uncontended: j.own()}
+	if j.Retry {
 		note(&s.returnsOf(j.Rank).served, v.Expected <= v.Limit)
 	}
 	if v.Expected > v.Limit && s.lateIsWorthMore(j) {
 		j.rank, j.back = j.rank+lateRank, true
 		v.Expected = s.expect(now, j)
-		v.Limit = time.Duration(float64(j.Deadline) * s.opts.LastMargin)
+		v.Limit = time.Duration(float64(j.Deadline) * s.opts.DeadlineMargin)
 	}
 	if over := s.roomOver(now, j, v.Limit); over > 0 {
 		v.Expected = max(v.Expected, v.Limit+over)
 	}
-	v.Bound, v.Stages = j.bound(), j.forecasts()
+	v.Bottleneck, v.Stages = j.bound(), j.forecasts()
 	return v
 }
 
@@ -94,10 +94,10 @@
 	if j.surplus {
 		return j.surplusLimit(j.Objective)
 	}
-	if j.Again && !s.mayBeLate(j) {
-		return min(time.Duration(float64(j.Deadline)*s.opts.LastMargin), time.Duration(float64(j.Objective)*s.opts.LastTimes))
+	if j.Retry && !s.mayBeLate(j) {
+		return min(time.Duration(float64(j.Deadline)*s.opts.DeadlineMargin), time.Duration(float64(j.Objective)*s.opts.RetryObjectiveFactor))
 	}
-	return time.Duration(float64(j.Objective) * s.opts.Margin)
+	return time.Duration(float64(j.Objective) * s.opts.ObjectiveMargin)
 }
 
 // own is what a job's stages take where nothing waits.
@@ -113,7 +113,7 @@
 func (j *job) bound() string {
 	name, longest := "", time.Duration(0)
 	for _, st := range j.stages {
-		if wait := st.plan.Begins - st.plan.Ready; wait > longest {
+		if wait := st.plan.Starts - st.plan.Ready; wait > longest {
 			name, longest = st.def.Service, wait
 		}
 	}
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -29,12 +29,12 @@
 // does too and may wait longest.
 func kinds() []kind {
 	chain := []Stage{
-		{Service: "read", Pieces: 1, Bytes: 8_000},
-		{Service: "rank", After: []int{0}, Pieces: 6, Bytes: 60_000},
-		{Service: "score", After: []int{1}, Pieces: 10, Bytes: 6_000},
+		{Service: "read", Items: 1, ResultBytes: 8_000},
+		{Service: "rank", After: []int{0}, Items: 6, ResultBytes: 60_000},
+		{Service: "score", After: []int{1}, Items: 10, ResultBytes: 6_000},
 	}
 	return []kind{
-		{name: "urgent", rank: 0, perSecond: 13, objective: 1500 * ms, deadline: 8 * time.Second, some: 0.7, stages: []Stage{{Service: "read", Pieces: 3, Bytes: 1_000_000}}},
+		{name: "urgent", rank: 0, perSecond: 13, objective: 1500 * ms, deadline: 8 * time.Second, some: 0.7, stages: []Stage{{Service: "read", Items: 3, ResultBytes: 1_000_000}}},
 		{name: "usual", rank: 11, perSecond: 17, objective: 3300 * ms, deadline: 6 * time.Second, some: 1, stages: chain},
 		{name: "patient", rank: 22, perSecond: 13, objective: 4 * time.Second, deadline: 20 * time.Second, some: 1, stages: chain},
 	}
@@ -232,7 +232,7 @@
 // ask submits a request; one that is refused comes back once.
 func (f *floodSim) ask(r *simRequest) {
 	j := Job{
-		RequestID: r.id, Key: r.id, Rank: r.kind.rank, Stages: r.kind.stages, Again: r.again,
+		RequestID: r.id, Key: r.id, Rank: r.kind.rank, Stages: r.kind.stages, Retry: r.again,
 		Objective: r.kind.objective, Deadline: r.kind.deadline - (f.now - r.first),
 	}
 	if !f.load.nameless {
@@ -290,7 +290,7 @@
 		f.turn++
 		results[i] = Result{Handle: fmt.Sprint(c.Replica, "/", f.turn)}
 	}
-	f.do(f.s.Answer(f.now, c.ID, Answered, results))
+	f.do(f.s.FinishCall(f.now, c.ID, Answered, results))
 }
 
 func (f *floodSim) delivered(job uint64) {
--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -72,8 +72,8 @@
 		if p == nil {
 			return nil, false
 		}
-		st := &stage{job: j, number: n, def: d, pool: p, item: p.item(d.Bytes)}
-		for i := range d.Pieces {
+		st := &stage{job: j, number: n, def: d, pool: p, item: p.item(d.ResultBytes)}
+		for i := range d.Items {
 			st.pieces = append(st.pieces, &piece{stage: st, index: i})
 		}
 		j.stages = append(j.stages, st)
@@ -87,11 +87,11 @@
 }
 
 // retryAfter is when a refused job may come back.
-func (s *Scheduler) retryAfter(v Verdict) time.Duration {
+func (s *Scheduler) retryAfter(v Decision) time.Duration {
 	if v.Expected >= noReplica {
-		return s.opts.Unknown
+		return s.opts.DefaultRetryAfter
 	}
-	return max(v.Expected-v.Limit, s.opts.LeastRetry)
+	return max(v.Expected-v.Limit, s.opts.MinRetryAfter)
 }
 
 // admit counts the job's pieces and readies those without inputs.
@@ -151,12 +151,12 @@
 	for _, a := range x.stage.def.After {
 		for _, input := range x.stage.job.stages[a].pieces {
 			if input.maker != nil {
-				bytes[input.maker.Hall] += input.stage.def.Bytes
+				bytes[input.maker.Hall] += input.stage.def.ResultBytes
 			}
 		}
 	}
 	if x.stage.sink() && x.stage.job.Hall != "" {
-		bytes[x.stage.job.Hall] += x.stage.def.Bytes
+		bytes[x.stage.job.Hall] += x.stage.def.ResultBytes
 	}
 	best, most := "", int64(farBytes-1)
 	for hall, n := range bytes {
@@ -227,14 +227,14 @@
 		}
 		handles = st.handles(handles)
 		for _, x := range st.pieces {
-			near[x.maker.Hall] += st.def.Bytes
+			near[x.maker.Hall] += st.def.ResultBytes
 		}
 	}
 	j.delivered, j.deliveredAt = true, now
 	if j.back {
 		note(&s.returnsOf(j.Rank).inTime, now <= j.due)
 	}
-	s.act(Deliver{Job: j.id, Handles: handles, Near: near})
+	s.act(Deliver{Job: j.id, Handles: handles, BytesByHall: near})
 }
 
 func (st *stage) readersDone() bool {
@@ -288,7 +288,7 @@
 }
 
 // GiveUp ends the job of a request.
-func (s *Scheduler) GiveUp(now time.Duration, request, why string) []Action {
+func (s *Scheduler) FailRequest(now time.Duration, request, why string) []Action {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		if j := s.jobs[id]; j.RequestID == request {
 			s.fail(now, j, why, 0)
@@ -300,5 +300,5 @@
 
 func (s *Scheduler) fail(now time.Duration, j *job, why string, after time.Duration) {
 	s.remove(now, j)
-	s.act(Fail{Job: j.id, Why: why, RetryAfter: after})
+	s.act(Fail{Job: j.id, Reason: why, RetryAfter: after})
 }
--- a/coordination/pipeline/late.go
+++ b/coordination/pipeline/late.go
@@ -23,18 +23,18 @@
 		if j.delivered {
 			continue
 		}
-		lateFor := time.Duration(float64(j.Objective) * s.opts.LateShare)
+		lateFor := time.Duration(float64(j.Objective) * s.opts.LateGrace)
 		switch {
 		case now >= j.dead, j.back && j.outOfTime(now):
 			s.fail(now, j, "deadline", 0)
 		case j.restsUntil() > now:
-			s.fail(now, j, WhyRest, j.restsUntil()-now)
+			s.fail(now, j, ReasonBackoff, j.restsUntil()-now)
 		case j.back:
 		case now > j.due && (!j.begun || now > j.due+lateFor):
-			s.fail(now, j, "late", s.opts.Unknown)
+			s.fail(now, j, "late", s.opts.DefaultRetryAfter)
 		case j.rank < lateRank && j.willBeLate(now):
 			if !j.begun {
-				s.fail(now, j, "late", s.opts.Unknown)
+				s.fail(now, j, "late", s.opts.DefaultRetryAfter)
 				continue
 			}
 			s.demote(j)
@@ -43,7 +43,7 @@
 }
 
 // WhyRest is why a job ends for whose stages all replicas rest for too long.
-const WhyRest = "rest"
+const ReasonBackoff = "rest"
 
 // restsTo returns until when all replicas of a pool that take work rest; 0 when
 // one does not, or there is none.
--- a/coordination/pipeline/patience.go
+++ b/coordination/pipeline/patience.go
@@ -22,7 +22,7 @@
 	if float64(len(p.ready)) >= fill || len(p.order) < fewReplicas {
 		return true
 	}
-	pressing := now + time.Duration(o.PressSlack*float64(p.def.CallTime))
+	pressing := now + time.Duration(o.UrgentSlack*float64(p.def.CallTime))
 	return slices.ContainsFunc(p.ready, func(x *piece) bool {
 		return x.stage.latest < pressing && x.stage.job.rank < lateRank // what is late already does not press
 	})
@@ -34,7 +34,7 @@
 func (p *pool) fill(now time.Duration, o *Options) float64 {
 	most := float64(p.def.Batch)
 	arrivals, items := p.load.overtaking(now, math.MaxInt)
-	spare := p.power(now)*o.AtWork - items
+	spare := p.power(now)*o.TargetUtilization - items
 	if spare <= 0 {
 		return most
 	}
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -36,11 +36,11 @@
 
 // The reasons.
 const (
-	NoReason   Reason = iota
-	Late              // its time was over at its turn
-	InputGone         // a result that it reads is gone
-	NoRoom            // no room for the result
-	PieceError        // it failed
+	NoReason     Reason = iota
+	Expired             // its time was over at its turn
+	InputMissing        // a result that it reads is gone
+	MemoryFull          // no room for the result
+	ItemFailed          // it failed
 )
 
 // Result is what became of one item of a call.
@@ -50,60 +50,60 @@
 }
 
 // Fate tells what became of a call as a whole.
-type Fate int
+type Outcome int
 
 // The fates.
 const (
-	Answered    Fate = iota // there are results
-	Refused                 // the replica says that it did not run the call
-	Stranger                // another replica has the address
-	Unreachable             // no connection; nothing was sent
-	Broken                  // sent, and no whole answer came
-	Crashed                 // the same, and the replica has ended
-	Overdue                 // sent, and no answer came in time
+	Answered     Outcome = iota // there are results
+	Refused                     // the replica says that it did not run the call
+	WrongReplica                // another replica has the address
+	Unreachable                 // no connection; nothing was sent
+	Broken                      // sent, and no whole answer came
+	Crashed                     // the same, and the replica has ended
+	TimedOut                    // sent, and no answer came in time
 )
 
 // Stage is one stage of a job.
 type Stage struct {
-	Service string
-	After   []int
-	Pieces  int
-	Bytes   int64 // of one result
+	Service     string
+	After       []int
+	Items       int
+	ResultBytes int64 // of one result
 }
 
 // Job is a request's stages.
 type Job struct {
-	RequestID string
-	Key       string
-	Customer  string
-	Told      shares.Told   // of that
-	Rank      int           // 0 first
-	Hall      string        // where its results are best made; "" for anywhere
-	Objective time.Duration // from now, by when the stages should be done
-	Deadline  time.Duration // from now, after which they are of no use
-	Again     bool          // it came back after a refusal
-	LateToo   bool          // it may be admitted to be late
-	Ended     int           // replicas that ended under its request
-	Needs     []shares.Need // of other things than pools, that run short too
-	Stages    []Stage
+	RequestID   string
+	Key         string
+	Customer    string
+	UsualShare  shares.Told   // of that
+	Rank        int           // 0 first
+	Hall        string        // where its results are best made; "" for anywhere
+	Objective   time.Duration // from now, by when the stages should be done
+	Deadline    time.Duration // from now, after which they are of no use
+	Retry       bool          // it came back after a refusal
+	AllowLate   bool          // it may be admitted to be late
+	ReplicaEnds int           // replicas that ended under its request
+	Needs       []shares.Need // of other things than pools, that run short too
+	Stages      []Stage
 }
 
 // Asks reports whether a job has pieces for a service.
-func (j Job) Asks(service string) bool {
-	return slices.ContainsFunc(j.Stages, func(st Stage) bool { return st.Service == service && st.Pieces > 0 })
+func (j Job) Uses(service string) bool {
+	return slices.ContainsFunc(j.Stages, func(st Stage) bool { return st.Service == service && st.Items > 0 })
 }
 
 // Verdict is the answer to a submitted job.
-type Verdict struct {
-	ID         uint64 // of the job when it is admitted
-	Admitted   bool
-	RetryAfter time.Duration   // when a refused job may come back
-	Expected   time.Duration   // until its stages are done
-	Own        time.Duration   // of Expected: what they take where nothing waits
-	Limit      time.Duration   // that Expected was held against
-	Bound      string          // service whose pool it waits for longest; "" for none
-	Stages     []Forecast      // what Expected is made of, of the stages that have pieces
-	Standing   shares.Standing // within its customer's share
+type Decision struct {
+	ID          uint64 // of the job when it is admitted
+	Admitted    bool
+	RetryAfter  time.Duration   // when a refused job may come back
+	Expected    time.Duration   // until its stages are done
+	Uncontended time.Duration   // of Expected: what they take where nothing waits
+	Limit       time.Duration   // that Expected was held against
+	Bottleneck  string          // service whose pool it waits for longest; "" for none
+	Stages      []Forecast      // what Expected is made of, of the stages that have pieces
+	Standing    shares.Standing // within its customer's share
 }
 
 // Action is what the caller must do; one of the types below.
@@ -122,15 +122,15 @@
 
 // Deliver hands a job the results that its request reads.
 type Deliver struct {
-	Job     uint64
-	Handles []string
-	Near    map[string]int64 // by hall: bytes of these results
+	Job         uint64
+	Handles     []string
+	BytesByHall map[string]int64 // by hall: bytes of these results
 }
 
 // Fail ends a job that can't be done.
 type Fail struct {
 	Job        uint64
-	Why        string
+	Reason     string
 	RetryAfter time.Duration
 }
 
@@ -143,13 +143,13 @@
 }
 
 // Abandon ends a call whose answer is of no use.
-type Abandon struct{ Call uint64 }
+type Cancel struct{ Call uint64 }
 
 func (Call) action()    {}
 func (Deliver) action() {}
 func (Fail) action()    {}
 func (Free) action()    {}
-func (Abandon) action() {}
+func (Cancel) action()  {}
 
 // Scheduler owns the pools' replicas. It is not safe for concurrent use.
 type Scheduler struct {
@@ -192,7 +192,7 @@
 		p.def = *service.Pool
 		p.most = 0
 		if service.WarmUp != nil {
-			p.most = s.opts.Cold.Most(service.WarmUp.PerSecond)
+			p.most = s.opts.WarmUpLimit.Most(service.WarmUp.PerSecond)
 		}
 	}
 	slices.SortFunc(s.order, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
@@ -213,7 +213,7 @@
 }
 
 // Leaving notes that a replica says, by whatever sign, that it leaves.
-func (s *Scheduler) Leaving(id string) {
+func (s *Scheduler) MarkDraining(id string) {
 	for _, p := range s.order {
 		if r := p.replicas[id]; r != nil {
 			r.leaving = true
@@ -223,7 +223,7 @@
 
 // Rests notes until when a replica wants nothing. It counts as one that is free
 // then, so that what has time waits for it and the rest is refused.
-func (s *Scheduler) Rests(id string, until time.Duration) {
+func (s *Scheduler) SetBackoff(id string, until time.Duration) {
 	for _, p := range s.order {
 		if r := p.replicas[id]; r != nil {
 			r.restTo = max(r.restTo, until)
@@ -233,7 +233,7 @@
 
 // Seen takes in what a replica tells of itself: its free room, and whether it
 // is at work. It matters where another owner has used the replica lately.
-func (s *Scheduler) Seen(now time.Duration, id string, free int64, atWork bool) {
+func (s *Scheduler) RecordReplicaState(now time.Duration, id string, free int64, atWork bool) {
 	for _, p := range s.order {
 		r := p.replicas[id]
 		if r == nil {
@@ -249,10 +249,10 @@
 
 // Submit decides on a job. An admitted one is ended by a Deliver or Fail, and
 // by Release in any case.
-func (s *Scheduler) Submit(now time.Duration, j Job) (Verdict, []Action) {
+func (s *Scheduler) Submit(now time.Duration, j Job) (Decision, []Action) {
 	job, ok := s.newJob(now, j)
 	if !ok {
-		return Verdict{RetryAfter: s.opts.Unknown, Standing: shares.Standing{Within: true}}, nil
+		return Decision{RetryAfter: s.opts.DefaultRetryAfter, Standing: shares.Standing{Within: true}}, nil
 	}
 	standing := s.stand(now, job)
 	verdict := s.judge(now, job)
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -75,14 +75,14 @@
 	}
 }
 
-func (b *bench) submit(j Job) Verdict {
+func (b *bench) submit(j Job) Decision {
 	v, actions := b.s.Submit(b.now, j)
 	b.do(actions)
 	return v
 }
 
 // answer ends a replica's call; reasons are those of its first items.
-func (b *bench) answer(replica string, fate Fate, reasons ...Reason) {
+func (b *bench) answer(replica string, fate Outcome, reasons ...Reason) {
 	b.t.Helper()
 	c, ok := b.calls[replica]
 	if !ok {
@@ -100,7 +100,7 @@
 			results = append(results, r)
 		}
 	}
-	b.do(b.s.Answer(b.now, c.ID, fate, results))
+	b.do(b.s.FinishCall(b.now, c.ID, fate, results))
 }
 
 // atWork returns a replica of a service that has a call; "" when none has.
@@ -132,7 +132,7 @@
 func newTestJob(id string, pieces int) Job {
 	return Job{
 		RequestID: id, Key: "key-" + id, Objective: 2 * time.Second, Deadline: 8 * time.Second,
-		Stages: []Stage{{Service: "read", Pieces: pieces, Bytes: 10_000}},
+		Stages: []Stage{{Service: "read", Items: pieces, ResultBytes: 10_000}},
 	}
 }
 
@@ -154,7 +154,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	j := newTestJob("r", 2)
-	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Pieces: 1, Bytes: 10_000})
+	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
 	v := b.submit(j)
 	is.True(v.Admitted)
 	replica := "read-a"
@@ -180,7 +180,7 @@
 }
 
 func TestAPieceOfALostCallRunsElsewhere(t *testing.T) {
-	for _, fate := range []Fate{Refused, Stranger, Unreachable, Broken, Overdue} {
+	for _, fate := range []Outcome{Refused, WrongReplica, Unreachable, Broken, TimedOut} {
 		b := newBench(t)
 		v := b.submit(newTestJob("r", 1))
 		first, second := "read-a", "read-b"
@@ -219,7 +219,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	j := newTestJob("r", 1)
-	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Pieces: 1, Bytes: 10_000})
+	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
 	v := b.submit(j)
 	run := func(service string, reasons ...Reason) {
 		for _, hall := range []string{"a", "b"} {
@@ -231,7 +231,7 @@
 		t.Fatalf("no call of %s", service)
 	}
 	run("read")
-	run("rank", InputGone)
+	run("rank", InputMissing)
 	run("read")
 	run("rank")
 	is.Equal(len(b.delivered[v.ID]), 1)
@@ -240,7 +240,7 @@
 // A scale day of kld held 119 requests to their deadline behind those in time.
 func TestALateJobThatNobodyBeganEndsAtItsObjective(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, Margin(100))
+	b := newBench(t, WithObjectiveMargin(100))
 	for i := range 2 {
 		b.submit(newTestJob(fmt.Sprint("first", i), 4))
 	}
@@ -276,9 +276,9 @@
 	is.True(waits.Admitted)
 	latest := 2*time.Second - b.s.jobs[waits.ID].stages[0].duration()
 	b.tick(latest)
-	is.Equal(b.failed[waits.ID].Why, "")
+	is.Equal(b.failed[waits.ID].Reason, "")
 	b.tick(10 * ms)
-	is.Equal(b.failed[waits.ID].Why, "late")
+	is.Equal(b.failed[waits.ID].Reason, "late")
 	is.True(b.failed[waits.ID].RetryAfter > 0)
 }
 
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	late := newTestJob("late", 1)
-	late.Stages = append(late.Stages, Stage{Service: "rank", After: []int{0}, Pieces: 1, Bytes: 10_000})
+	late.Stages = append(late.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
 	v := b.submit(late)
 	is.True(v.Admitted)
 	first := "read-a"
@@ -296,7 +296,7 @@
 	}
 	b.tick(1900 * ms) // its second stage can't end in time, though the job is not due yet
 	is.Equal(b.s.jobs[v.ID].rank, lateRank)
-	is.Equal(b.failed[v.ID].Why, "")
+	is.Equal(b.failed[v.ID].Reason, "")
 	b.answer(first, Answered)
 	is.True(len(b.calls) > 0) // it goes on while nobody else waits
 }
@@ -306,14 +306,14 @@
 	b := newBench(t)
 	big := func(id string) Job {
 		j := newTestJob(id, 4)
-		j.Stages[0].Bytes = 1_000_000
+		j.Stages[0].ResultBytes = 1_000_000
 		j.Hall = "a"
 		return j
 	}
 	b.submit(big("r"))
 	is.Equal(len(b.calls["read-a"].Items), 4)
 	b.now = 210 * ms
-	b.answer("read-a", Answered, NoReason, NoRoom, NoRoom, NoRoom)
+	b.answer("read-a", Answered, NoReason, MemoryFull, MemoryFull, MemoryFull)
 	b.tick(150 * ms)
 	for i := range 4 {
 		b.submit(big(fmt.Sprint(i)))
@@ -329,7 +329,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	j := newTestJob("r", 4)
-	j.Stages[0].Bytes = 1_500_000 // two fit
+	j.Stages[0].ResultBytes = 1_500_000 // two fit
 	b.submit(j)
 	is.True(len(b.calls["read-a"].Items) <= 2)
 }
@@ -372,8 +372,8 @@
 	b := newBench(t)
 	for i := range 6 {
 		j := newTestJob(fmt.Sprint(i), 1)
-		j.Stages[0].Bytes = 400_000
-		j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Pieces: 2, Bytes: 1000})
+		j.Stages[0].ResultBytes = 400_000
+		j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 2, ResultBytes: 1000})
 		b.submit(j)
 	}
 	for range 8 {
@@ -397,7 +397,7 @@
 func TestALeavingReplicaGetsNothing(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.s.Leaving("read-a")
+	b.s.MarkDraining("read-a")
 	for i := range 4 {
 		b.submit(newTestJob(fmt.Sprint(i), 2))
 	}
@@ -413,10 +413,10 @@
 func TestANewOwnerLeavesWhatTheLastOneLeft(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.s.Seen(0, "read-a", 1_000_000, false) // one of four megabytes is free
-	b.s.Seen(0, "read-b", 4_000_000, true)  // at work for somebody else
+	b.s.RecordReplicaState(0, "read-a", 1_000_000, false) // one of four megabytes is free
+	b.s.RecordReplicaState(0, "read-b", 4_000_000, true)  // at work for somebody else
 	j := newTestJob("r", 4)
-	j.Stages[0].Bytes = 1_000_000
+	j.Stages[0].ResultBytes = 1_000_000
 	b.submit(j)
 	is.Equal(len(b.calls["read-a"].Items), 1)
 	_, ok := b.calls["read-b"]
@@ -431,7 +431,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	for _, r := range replicas() {
-		b.s.Seen(b.now, r.ID, 4_000_000, true)
+		b.s.RecordReplicaState(b.now, r.ID, 4_000_000, true)
 	}
 	v := b.submit(newTestJob("r", 1))
 	is.True(v.Admitted)
@@ -446,7 +446,7 @@
 func TestFullReplicasAreCapacityFailingOnesAreNot(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		fate     Fate
+		fate     Outcome
 		admitted bool
 	}{{Refused, true}, {Broken, false}} {
 		b := newBench(t)
@@ -467,7 +467,7 @@
 // what arrived lately tells how much of that there will be.
 func TestAdmissionForeseesThatItIsOvertaken(t *testing.T) {
 	is := is.New(t)
-	urgentEach := func(each time.Duration) Verdict {
+	urgentEach := func(each time.Duration) Decision {
 		b := newBench(t)
 		for b.now = 0; b.now < 4*time.Second; b.now += 50 * ms {
 			if each > 0 && b.now%each == 0 {
@@ -502,10 +502,10 @@
 	is := is.New(t)
 	b := newBench(t)
 	j := newTestJob("r", 1)
-	j.Stages[0].Bytes = 1_000_000 // read by the request alone
-	j.Stages = append(j.Stages, Stage{Service: "rank", Pieces: 1, Bytes: 10_000},
-		Stage{Service: "rank", After: []int{1}, Pieces: 1, Bytes: 10_000},
-		Stage{Service: "rank", After: []int{2}, Pieces: 1, Bytes: 10_000})
+	j.Stages[0].ResultBytes = 1_000_000 // read by the request alone
+	j.Stages = append(j.Stages, Stage{Service: "rank", Items: 1, ResultBytes: 10_000},
+		Stage{Service: "rank", After: []int{1}, Items: 1, ResultBytes: 10_000},
+		Stage{Service: "rank", After: []int{2}, Items: 1, ResultBytes: 10_000})
 	is.True(b.submit(j).Admitted)
 	for stage := 1; stage < 3; stage++ {
 		is.Equal(b.working("read"), 0) // more stages are to come than its own time covers
@@ -584,7 +584,7 @@
 	}
 	back := func(objective time.Duration) Job {
 		j := newTestJob("back", 1)
-		j.Again, j.Objective, j.Deadline = true, objective, 20*time.Second
+		j.Retry, j.Objective, j.Deadline = true, objective, 20*time.Second
 		return j
 	}
 	is.True(!b.submit(back(500 * ms)).Admitted)
@@ -598,7 +598,7 @@
 	var b *bench
 	near := func(id string, objective time.Duration) Job {
 		j := newTestJob(id, 4)
-		j.Stages[0].Bytes = 1_000_000 // worth its hall
+		j.Stages[0].ResultBytes = 1_000_000 // worth its hall
 		j.Hall, j.Objective = "a", objective
 		return j
 	}
@@ -632,7 +632,7 @@
 }
 
 // step ends the calls that are due, submits a job and lets some time pass.
-func (b *bench) step(j Job, every time.Duration) Verdict {
+func (b *bench) step(j Job, every time.Duration) Decision {
 	for _, r := range slices.Sorted(maps.Keys(b.calls)) {
 		if b.now >= b.s.calls[b.calls[r].ID].due {
 			b.answer(r, Answered)
@@ -691,7 +691,7 @@
 	p := b.s.pools["read"]
 	p.def.CallTime = 2 * time.Second
 	r := p.order[0]
-	c := &call{pool: p, replica: r, pieces: []*piece{{stage: &stage{def: Stage{Bytes: 1}}}}}
+	c := &call{pool: p, replica: r, pieces: []*piece{{stage: &stage{def: Stage{ResultBytes: 1}}}}}
 	p.learn(r, c, 5*ms, false) // what failed at once tells little
 	is.True(r.speed > 0.5)
 	for _, r := range p.order {
--- a/coordination/pipeline/places_test.go
+++ b/coordination/pipeline/places_test.go
@@ -43,7 +43,7 @@
 // A cold replica gets no more calls in a second than its owner may give it.
 func TestAColdPoolReplicaGetsFewCalls(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, Cold(warmup.Limit{Overrun: 1.5, Slack: 5}))
+	b := newBench(t, WithWarmUpLimit(warmup.Limit{Overrun: 1.5, Slack: 5}))
 	cold := services()
 	cold["read"].WarmUp = &catalog.WarmUp{For: time.Minute, PerSecond: 2}
 	b.do(b.s.SetPools(0, cold, halls(func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })))
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -57,8 +57,8 @@
 	if len(pl.replicas) == 0 {
 		return noReplica, noReplica
 	}
-	batch := float64(pl.pool.batchOf(st.def.Bytes))
-	item := pl.pool.item(st.def.Bytes)
+	batch := float64(pl.pool.batchOf(st.def.ResultBytes))
+	item := pl.pool.item(st.def.ResultBytes)
 	begins, ends = ready, ready
 	for left := float64(len(st.pieces)); left > 0; {
 		at, speed := pl.replicas[0].free, pl.replicas[0].speed
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -148,7 +148,7 @@
 }
 
 func (r *replica) fail(now time.Duration, o *Options) {
-	r.pause = min(max(2*r.pause, o.PauseFirst), o.PauseMost)
+	r.pause = min(max(2*r.pause, o.InitialPause), o.MaxPause)
 	r.pausedTo = now + r.pause
 }
 
@@ -175,7 +175,7 @@
 	fixed := p.def.CallTime.Seconds()
 	counts := make(map[int64]float64)
 	for _, x := range c.pieces {
-		counts[x.stage.def.Bytes] += p.def.ItemTime.Seconds()
+		counts[x.stage.def.ResultBytes] += p.def.ItemTime.Seconds()
 	}
 	expected, norm := fixed, 0.0
 	for bytes, n := range counts {
@@ -214,7 +214,7 @@
 func (p *pool) callTime(pieces []*piece) time.Duration {
 	t := p.def.CallTime.Seconds()
 	for _, x := range pieces {
-		t += p.item(x.stage.def.Bytes)
+		t += p.item(x.stage.def.ResultBytes)
 	}
 	return time.Duration(t * float64(time.Second))
 }
--- a/coordination/pipeline/random_test.go
+++ b/coordination/pipeline/random_test.go
@@ -91,7 +91,7 @@
 func (w *world) answer(c Call) {
 	delete(w.calls, c.ID)
 	delete(w.atWork, c.Replica)
-	fate := Fate(rapid.IntRange(0, int(Overdue)).Draw(w.t, "fate"))
+	fate := Outcome(rapid.IntRange(0, int(TimedOut)).Draw(w.t, "fate"))
 	if rapid.Bool().Draw(w.t, "well") {
 		fate = Answered
 	}
@@ -101,7 +101,7 @@
 			w.next++
 			r := Result{Handle: fmt.Sprintf("%s/%d", c.Replica, w.next)}
 			if rapid.IntRange(0, 5).Draw(w.t, "piece") == 0 {
-				r = Result{Reason: Reason(rapid.IntRange(int(Late), int(PieceError)).Draw(w.t, "reason"))}
+				r = Result{Reason: Reason(rapid.IntRange(int(Expired), int(ItemFailed)).Draw(w.t, "reason"))}
 			} else {
 				w.made[r.Handle] = true
 			}
@@ -111,7 +111,7 @@
 			results = results[:len(results)-1] // an answer that can't be
 		}
 	}
-	w.do(w.s.Answer(w.now, c.ID, fate, results))
+	w.do(w.s.FinishCall(w.now, c.ID, fate, results))
 }
 
 // Whatever replicas answer, lose, refuse or deny, whoever leaves, comes back or
@@ -141,7 +141,7 @@
 			case 9:
 				r := rapid.IntRange(0, len(all)-1).Draw(t, "replica")
 				if rapid.Bool().Draw(t, "leaves") {
-					w.s.Leaving(all[r].ID)
+					w.s.MarkDraining(all[r].ID)
 				}
 				listed := append(replicas()[:r:r], all[r+1:]...)
 				if rapid.Bool().Draw(t, "listed") {
@@ -166,12 +166,12 @@
 	w.next++
 	j := newTestJob(fmt.Sprint("r", w.next), rapid.IntRange(1, 6).Draw(w.t, "pieces"))
 	j.Rank = rapid.IntRange(0, 2).Draw(w.t, "rank")
-	j.Again = rapid.Bool().Draw(w.t, "again")
-	j.LateToo = rapid.Bool().Draw(w.t, "late too")
-	last := j.Stages[0].Pieces
+	j.Retry = rapid.Bool().Draw(w.t, "again")
+	j.AllowLate = rapid.Bool().Draw(w.t, "late too")
+	last := j.Stages[0].Items
 	if rapid.Bool().Draw(w.t, "two") {
 		last = rapid.IntRange(1, 3).Draw(w.t, "second")
-		j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Pieces: last, Bytes: 10_000})
+		j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: last, ResultBytes: 10_000})
 	}
 	v, actions := w.s.Submit(w.now, j)
 	if v.Admitted {
--- a/coordination/pipeline/rest_test.go
+++ b/coordination/pipeline/rest_test.go
@@ -10,7 +10,7 @@
 // restAll has all replicas of the pool of the tests rest.
 func (b *bench) restAll(until time.Duration) {
 	for _, id := range []string{"read-a", "read-b"} {
-		b.s.Rests(id, until)
+		b.s.SetBackoff(id, until)
 	}
 }
 
@@ -39,7 +39,7 @@
 	v := b.submit(newTestJob("r", 1))
 	is.True(!v.Admitted)
 	is.True(v.RetryAfter >= 3*time.Second && v.RetryAfter <= 5*time.Second) // of the rest, what is beyond its objective of 2 s
-	b.s.Rests("read-a", 0)                                                  // shortened: what was said first holds
+	b.s.SetBackoff("read-a", 0)                                             // shortened: what was said first holds
 	is.True(!b.submit(newTestJob("s", 1)).Admitted)
 	b.now = 5 * time.Second
 	is.True(b.submit(newTestJob("t", 1)).Admitted)
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	began := newTestJob("began", 1)
-	began.Stages = append(began.Stages, Stage{Service: "read", After: []int{0}, Pieces: 1, Bytes: 10_000})
+	began.Stages = append(began.Stages, Stage{Service: "read", After: []int{0}, Items: 1, ResultBytes: 10_000})
 	first := b.submit(began)
 	busy := b.submit(newTestJob("busy", 1))
 	waits := b.submit(newTestJob("waits", 1))
@@ -62,19 +62,19 @@
 	b.answer("read-b", Answered)
 	is.Equal(len(b.delivered[busy.ID]), 1)
 	b.tick(50 * ms)
-	is.Equal(b.failed[waits.ID].Why, WhyRest)
+	is.Equal(b.failed[waits.ID].Reason, ReasonBackoff)
 	is.True(b.failed[waits.ID].RetryAfter > 5*time.Second)
-	is.Equal(b.failed[first.ID].Why, "") // its deadline is at 8 s
+	is.Equal(b.failed[first.ID].Reason, "") // its deadline is at 8 s
 	b.restAll(9 * time.Second)
 	b.tick(50 * ms)
-	is.Equal(b.failed[first.ID].Why, WhyRest)
+	is.Equal(b.failed[first.ID].Reason, ReasonBackoff)
 }
 
 // Where one replica does not rest, it gets what there is.
 func TestTheOthersWorkWhileOneRests(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.s.Rests("read-a", 3*time.Second)
+	b.s.SetBackoff("read-a", 3*time.Second)
 	for _, id := range []string{"r", "s", "t"} {
 		is.True(b.submit(newTestJob(id, 1)).Admitted)
 	}
--- a/coordination/pipeline/room.go
+++ b/coordination/pipeline/room.go
@@ -42,7 +42,7 @@
 func (j *job) roomNeeds() []roomNeed {
 	var out []roomNeed
 	for _, st := range j.stages {
-		if bytes := int64(len(st.pieces)) * st.def.Bytes; bytes > 0 && st.sink() {
+		if bytes := int64(len(st.pieces)) * st.def.ResultBytes; bytes > 0 && st.sink() {
 			out = append(out, roomNeed{pool: st.pool, bytes: bytes})
 		}
 	}
--- a/coordination/pipeline/room_test.go
+++ b/coordination/pipeline/room_test.go
@@ -77,7 +77,7 @@
 	b.do(b.s.Release(b.now, first))
 	for n := range 2 { // all but what is left to results of first stages
 		j := newTestJob(fmt.Sprint("unread-", n), 3)
-		j.Stages[0].Bytes = 1_000_000
+		j.Stages[0].ResultBytes = 1_000_000
 		j.Rank = 1
 		b.submit(j)
 		b.finish()
@@ -104,7 +104,7 @@
 	b := full(t)
 	large := func(id string, rank int) Job {
 		j := newTestJob(id, 4)
-		j.Stages[0].Bytes, j.Rank, j.Objective = 1_000_000, rank, 20*time.Second
+		j.Stages[0].ResultBytes, j.Rank, j.Objective = 1_000_000, rank, 20*time.Second
 		j.Deadline = 30 * time.Second
 		return j
 	}
@@ -143,7 +143,7 @@
 	b.finish()
 	b.do(b.s.Release(b.now, first))
 	j := newTestJob("large", 40)
-	j.Stages[0].Bytes, j.Objective, j.Deadline = 1_000_000, 30*time.Second, 60*time.Second
+	j.Stages[0].ResultBytes, j.Objective, j.Deadline = 1_000_000, 30*time.Second, 60*time.Second
 	is.True(b.submit(j).Admitted)
 	is.True(b.atWork("read") != "")
 }
@@ -153,10 +153,10 @@
 func TestWhatFindsNoRoomInTimeIsRefusedWithATime(t *testing.T) {
 	is := is.New(t)
 	b := full(t)
-	var v Verdict
+	var v Decision
 	for n := 0; n < 50; n++ {
 		j := newTestJob(fmt.Sprint("more-", n), 4)
-		j.Stages[0].Bytes = 1_000_000
+		j.Stages[0].ResultBytes = 1_000_000
 		if v = b.submit(j); !v.Admitted {
 			break
 		}
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -29,7 +29,7 @@
 // beyond it behind.
 func (s *Scheduler) stand(now time.Duration, j *job) shares.Standing {
 	j.Needs = append(j.Needs, s.needs(now, j)...)
-	standing := s.shares.Ask(now, j.Customer, j.Rank, j.Told, j.Needs)
+	standing := s.shares.Ask(now, j.Customer, j.Rank, j.UsualShare, j.Needs)
 	if !standing.Within {
 		j.surplus = true
 		j.rank += surplusRank
@@ -53,7 +53,7 @@
 	if p.powerTo <= now {
 		p.powerWas, p.powerTo = p.power(now), now+powerFor
 	}
-	return p.powerWas * o.AtWork * p.does
+	return p.powerWas * o.TargetUtilization * p.does
 }
 
 // powerFor is for how long what a pool's replicas amount to is not counted anew:
@@ -95,7 +95,7 @@
 
 // each is what one of a stage's pieces takes in a full call.
 func (st *stage) each() float64 {
-	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchOf(st.def.Bytes)) + st.pool.item(st.def.Bytes)
+	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchOf(st.def.ResultBytes)) + st.pool.item(st.def.ResultBytes)
 }
 
 // holdBack puts what waits of customers that ask for more than their share
@@ -178,7 +178,7 @@
 	s.rerank(j, surplusRank)
 	expected, limit := s.expect(now, j), j.surplusLimit(j.due-now)
 	if expected > limit {
-		s.fail(now, j, WhyShare, s.retryAfter(Verdict{Expected: expected, Limit: limit}))
+		s.fail(now, j, ReasonShare, s.retryAfter(Decision{Expected: expected, Limit: limit}))
 	}
 }
 
@@ -190,13 +190,13 @@
 }
 
 // WhyShare is why a job ends that its customer's share does not hold.
-const WhyShare = "share"
+const ReasonShare = "share"
 
 // Customers returns those that ask for most of each pool, so many of each, and all
 // that are held to a share.
-func (s *Scheduler) Customers(now time.Duration, each int) []shares.Row {
+func (s *Scheduler) TopCustomers(now time.Duration, each int) []shares.Row {
 	return s.shares.Rows(now, each)
 }
 
 // Held returns who is held to a share of which pool.
-func (s *Scheduler) Held(now time.Duration) []shares.Row { return s.shares.HeldRows(now) }
+func (s *Scheduler) ThrottledCustomers(now time.Duration) []shares.Row { return s.shares.HeldRows(now) }
--- a/coordination/pipeline/times.go
+++ b/coordination/pipeline/times.go
@@ -24,9 +24,9 @@
 		return 0
 	}
 	const sharedPart = 0.6 // of a full call's pieces are before a given one ends, together with its own
-	full := float64(st.pool.batchOf(st.def.Bytes))
+	full := float64(st.pool.batchOf(st.def.ResultBytes))
 	items := max(full*sharedPart, float64(min(len(st.pieces), st.pool.def.Batch)))
-	t := st.pool.def.CallTime.Seconds() + items*st.pool.item(st.def.Bytes)
+	t := st.pool.def.CallTime.Seconds() + items*st.pool.item(st.def.ResultBytes)
 	return time.Duration(t * float64(time.Second))
 }
 
@@ -35,7 +35,7 @@
 // job takes longer still.
 func (x *piece) early() bool {
 	st := x.stage
-	if st.def.Bytes < farBytes || !st.alone() {
+	if st.def.ResultBytes < farBytes || !st.alone() {
 		return false
 	}
 	return st.job.left() > st.duration()+st.pool.def.CallTime
--- a/coordination/pipeline/weigh.go
+++ b/coordination/pipeline/weigh.go
@@ -32,7 +32,7 @@
 
 // mayBeLate reports whether a job may be admitted to be late.
 func (s *Scheduler) mayBeLate(j *job) bool {
-	return j.LateToo && s.opts.LateWorth+s.opts.ServedWorth > 0
+	return j.AllowLate && s.opts.LateWorth+s.opts.ServedWorth > 0
 }
 
 // lateIsWorthMore weighs an answer that will be late by what is expected, for
@@ -42,10 +42,10 @@
 	if !s.mayBeLate(j) {
 		return false
 	}
-	if j.Again {
+	if j.Retry {
 		return true // who is refused now does not come back
 	}
 	r := s.returnsOf(j.Rank)
 	late := r.inTime + (1-r.inTime)*s.opts.LateWorth + s.opts.ServedWorth
-	return late > r.served*(s.opts.ReturnWorth+s.opts.ServedWorth)
+	return late > r.served*(s.opts.RetryWorth+s.opts.ServedWorth)
 }
--- a/coordination/pipeline/weigh_test.go
+++ b/coordination/pipeline/weigh_test.go
@@ -29,7 +29,7 @@
 		{"a late answer is worth nothing but that it is one", false, 0, 0.5, true, true},
 		{"another region has it in time", false, 0.15, 0.1, false, false},
 	} {
-		b := newBench(t, Worth(c.lateWorth, c.servedWorth))
+		b := newBench(t, WithWorth(c.lateWorth, c.servedWorth))
 		for range 8 {
 			j := newTestJob("ahead", 4)
 			j.Objective = time.Minute // 32 pieces wait, 1.1 s
@@ -40,7 +40,7 @@
 			note(&b.s.returnsOf(0).served, c.returnsServed)
 		}
 		j := newTestJob(c.name, 1)
-		j.Objective, j.LateToo = time.Second, c.lateToo
+		j.Objective, j.AllowLate = time.Second, c.lateToo
 		if v := b.submit(j); v.Admitted != c.admitted {
 			t.Errorf("%s: admitted %v, expected %v against %v", c.name, v.Admitted, v.Expected, v.Limit)
 		}
@@ -59,14 +59,14 @@
 		{500 * ms, time.Second, 0.15, false},
 		{500 * ms, 20 * time.Second, 0.15, true},
 	} {
-		b := newBench(t, Worth(c.late, 0))
+		b := newBench(t, WithWorth(c.late, 0))
 		for i := range 6 {
 			j := newTestJob(fmt.Sprint(i), 4)
 			j.Objective = time.Minute
 			is.True(b.submit(j).Admitted)
 		}
 		j := newTestJob("back", 1)
-		j.Again, j.LateToo, j.Objective, j.Deadline = true, true, c.objective, c.deadline
+		j.Retry, j.AllowLate, j.Objective, j.Deadline = true, true, c.objective, c.deadline
 		v := b.submit(j)
 		is.Equal(v.Admitted, c.admitted)
 		for len(b.calls) > 0 {
