--- a/coordination/pipeline/bench_test.go
+++ b/coordination/pipeline/bench_test.go
@@ -8,8 +8,8 @@
 	"quinceroad/state/catalog"
 )
 
-// waitingJobs returns a scheduler whose replicas are at work and where so many
-// jobs of three ranks wait, each of two stages with four pieces.
+// waitingJobs returns a scheduler whose replicas are all busy and that has the given number of
+// waiting jobs of three ranks, each with two stages of four items.
 func waitingJobs(b *testing.B, jobs int) *Scheduler {
 	s := New()
 	var list []catalog.Replica
@@ -22,7 +22,7 @@
 	s.SetPools(0, services(), list)
 	for i := range jobs {
 		if v, _ := s.Submit(0, waitingJob(i)); !v.Admitted {
-			b.Fatalf("job %d is refused, %v are expected", i, v.Expected)
+			b.Fatalf("job %d is refused with an expected time of %v", i, v.Expected)
 		}
 	}
 	return s
@@ -36,7 +36,7 @@
 	return j
 }
 
-// BenchmarkSubmit is one job more, which is released at once.
+// BenchmarkSubmit submits one more job and releases it at once.
 func BenchmarkSubmit(b *testing.B) {
 	for _, jobs := range []int{100, 1000} {
 		b.Run(fmt.Sprint("waiting=", jobs), func(b *testing.B) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkTick is one look at what is due by time alone.
+// BenchmarkTick runs one tick without anything due.
 func BenchmarkTick(b *testing.B) {
 	for _, jobs := range []int{100, 1000} {
 		b.Run(fmt.Sprint("waiting=", jobs), func(b *testing.B) {
@@ -61,9 +61,9 @@
 	}
 }
 
-// BenchmarkLookAtCustomers is one look at who is held, a tick's, where so many
-// customers have asked lately and there is enough for all.
-func BenchmarkLookAtCustomers(b *testing.B) {
+// BenchmarkThrottledCustomers looks for throttled customers, as each tick does, after the
+// given number of customers have sent requests and there is enough capacity for all.
+func BenchmarkThrottledCustomers(b *testing.B) {
 	for _, customers := range []int{40, 5400} {
 		b.Run(fmt.Sprint("customers=", customers), func(b *testing.B) {
 			s := waitingJobs(b, 10)
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -7,63 +7,63 @@
 	"time"
 )
 
-// call is one call to a replica under way.
+// call is a running call to a replica.
 type call struct {
-	id      uint64
-	pool    *pool
-	replica *replica
-	pieces  []*piece
-	sent    time.Duration
-	due     time.Duration // when it should be done
-	bytes   int64         // of room that its results take
-	overdue bool
+	id          uint64
+	pool        *pool
+	replica     *replica
+	items       []*stageItem
+	sentAt      time.Duration
+	dueAt       time.Duration // expected end
+	resultBytes int64         // result memory reserved for its items
+	overdue     bool
 }
 
-// knowTurns takes in when replicas may get their next calls by what they state that
-// they take. What has stated nothing for long costs nothing.
-func (s *Scheduler) knowTurns(now time.Duration) {
+// updateSendGrants updates when rate-limited replicas may get their next calls. It returns at
+// once while no replica has a rate limit.
+func (s *Scheduler) updateSendGrants(now time.Duration) {
 	t := s.opts.SendGrants
-	if t == nil || !t.Any() && !s.paced {
+	if t == nil || !t.Any() && !s.rateLimited {
 		return
 	}
-	s.paced = t.Any()
-	for _, p := range s.order {
-		for _, r := range p.order {
-			r.turnGap, r.turnFrom = t.Gap(r.ID), 0
-			if r.turnGap > 0 {
-				r.turnFrom = t.Free(now, r.ID)
+	s.rateLimited = t.Any()
+	for _, p := range s.poolsByName {
+		for _, r := range p.replicasByID {
+			r.sendInterval, r.nextSendAt = t.Gap(r.ID), 0
+			if r.sendInterval > 0 {
+				r.nextSendAt = t.Free(now, r.ID)
 			}
 		}
 	}
 }
 
 func (s *Scheduler) dispatchAll(now time.Duration) {
-	s.knowTurns(now)
-	for _, p := range s.order {
-		p.knowRoom(now)
+	s.updateSendGrants(now)
+	for _, p := range s.poolsByName {
+		p.updateMemory(now)
 	}
-	for _, p := range s.order {
+	for _, p := range s.poolsByName {
 		s.dispatch(now, p)
 	}
 }
 
-// dispatch gives each idle replica a call while pieces wait that it may take,
-// and the last one only what is urgent or fills half a call.
+// dispatch sends a call to each idle replica while items wait that it may run. The last idle
+// replica only gets urgent items or a batch that is at least LastReplicaFill full.
 func (s *Scheduler) dispatch(now time.Duration, p *pool) {
 	if len(p.ready) == 0 {
 		return
 	}
-	idle := p.idle(now)
+	idle := p.idleReplicas(now)
 	if len(idle) == 0 {
 		return
 	}
-	p.sort()
-	fill := p.fill(now, &s.opts)
+	p.sortReady()
+	fill := p.targetFill(now, &s.opts)
 	for i, r := range idle {
 		if i == len(idle)-1 {
 			fill = max(fill, s.opts.LastReplicaFill*float64(p.def.Batch))
 		}
-		if !p.mayCall(now, fill, &s.opts) {
+		if !p.shouldCall(now, fill, &s.opts) {
 			return
 		}
 		if batch := p.pickBatch(now, r, &s.opts); len(batch) > 0 {
@@ -72,176 +72,177 @@
 	}
 }
 
-// idle returns the replicas that may get a call, the fastest first.
-func (p *pool) idle(now time.Duration) []*replica {
+// idleReplicas returns the replicas that may get a call, the fastest first.
+func (p *pool) idleReplicas(now time.Duration) []*replica {
 	var out []*replica
-	for _, r := range p.order {
-		if r.usable(now) && p.warm(now, r) {
+	for _, r := range p.replicasByID {
+		if r.isIdle(now) && p.allowsWarmUpCall(now, r) {
 			out = append(out, r)
 		}
 	}
 	slices.SortFunc(out, func(a, b *replica) int {
-		return cmp.Or(cmp.Compare(a.speed, b.speed), cmp.Compare(a.held, b.held), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.slowdown, b.slowdown), cmp.Compare(a.heldBytes, b.heldBytes), cmp.Compare(a.ID, b.ID))
 	})
 	return out
 }
 
-// hallState is what a pool has in one hall.
+// hallState describes a pool's capacity in one hall.
 type hallState struct {
-	free  time.Duration // when a replica there is next free
-	holds int           // pieces that the next calls there can hold
-	seen  int           // pieces passed over so far that wait for it
+	freeAt     time.Duration // when the first replica there is free
+	capacity   int           // items that the next calls there can hold
+	passedOver int           // items passed over so far that wait for this hall
 }
 
-func (p *pool) halls(now time.Duration) map[string]*hallState {
+func (p *pool) hallStates(now time.Duration) map[string]*hallState {
 	out := make(map[string]*hallState)
-	for _, r := range p.order {
-		if !r.serving(now) {
+	for _, r := range p.replicasByID {
+		if !r.isServing(now) {
 			continue
 		}
-		free := r.free(now)
+		free := r.freeAt(now)
 		h := out[r.Hall]
 		if h == nil {
-			h = &hallState{free: free}
+			h = &hallState{freeAt: free}
 			out[r.Hall] = h
 		}
-		h.free = min(h.free, free)
-		h.holds += p.def.Batch
+		h.freeAt = min(h.freeAt, free)
+		h.capacity += p.def.Batch
 	}
 	return out
 }
 
-// pickBatch takes the pieces that go into a replica's next call, in order, as
-// many as it may hold and has room for. Pieces that belong to another hall are
-// left to it unless they could be late there, or more wait than its next calls
-// hold; large ones that are not needed soon wait, and jobs that have not begun,
-// until there is room for their results.
-func (p *pool) pickBatch(now time.Duration, r *replica, o *Options) []*piece {
-	room := p.def.Room - r.taken(now, p.def.HoldFor)
-	halls := p.halls(now)
-	leave := time.Duration(o.HallSlack * float64(p.def.CallTime))
-	var batch []*piece
-	with := company{most: o.MaxSuspectsPerCall}
-	var blocked map[*pool]bool // by more urgent jobs
-	rest := p.ready[:0]
+// pickBatch removes the items of a replica's next call from the ready queue in order, as many
+// as fit into a batch and into its result memory. Items that prefer another hall are left for
+// it unless they could be late there or more of them wait than its next calls hold. Large
+// results that are not needed soon wait, and so do jobs that have not started, until there is
+// memory for their results.
+func (p *pool) pickBatch(now time.Duration, r *replica, o *Options) []*stageItem {
+	freeBytes := p.def.Room - r.usedBytes(now, p.def.HoldFor)
+	halls := p.hallStates(now)
+	slack := time.Duration(o.HallSlack * float64(p.def.CallTime))
+	var batch []*stageItem
+	mates := batchMates{maxSuspects: o.MaxSuspectsPerCall}
+	var blocked map[*pool]bool // pools that more urgent jobs wait for
+	remaining := p.ready[:0]
 	for _, x := range p.ready {
-		if j := x.stage.job; j.blockedBy(blocked) || !j.mayBegin() {
-			blocked = j.blocks(blocked)
-			rest = append(rest, x)
+		if j := x.stage.job; j.isBlocked(blocked) || !j.mayStart() {
+			blocked = j.addBlockedPools(blocked)
+			remaining = append(remaining, x)
 			continue
 		}
-		if len(batch) < p.def.Batch && x.stage.def.ResultBytes <= room && !x.early() && x.may(r, halls[x.hall], leave) && with.admits(x.stage.job) {
-			with.join(x.stage.job)
-			x.stage.job.begin(now)
-			room -= x.stage.def.ResultBytes
+		if len(batch) < p.def.Batch && x.stage.def.ResultBytes <= freeBytes && !x.isPremature() && x.mayRunAt(r, halls[x.preferredHall], slack) && mates.admits(x.stage.job) {
+			mates.add(x.stage.job)
+			x.stage.job.start(now)
+			freeBytes -= x.stage.def.ResultBytes
 			batch = append(batch, x)
 			continue
 		}
-		rest = append(rest, x)
+		remaining = append(remaining, x)
 	}
-	clear(p.ready[len(rest):])
-	p.ready = rest
+	clear(p.ready[len(remaining):])
+	p.ready = remaining
 	return batch
 }
 
-// may reports whether a piece may run at a replica, given its own hall's state
-// and the time before its latest start from which it need not wait for it.
-func (x *piece) may(r *replica, own *hallState, leave time.Duration) bool {
-	if x.hall == "" || x.hall == r.Hall || own == nil {
+// mayRunAt reports whether an item may run at a replica, given the state of its preferred
+// hall. It need not wait for that hall if it would start there less than slack before its
+// latest start.
+func (x *stageItem) mayRunAt(r *replica, preferred *hallState, slack time.Duration) bool {
+	if x.preferredHall == "" || x.preferredHall == r.Hall || preferred == nil {
 		return true
 	}
-	own.seen++
-	return own.seen > own.holds || own.free+leave > x.stage.latest
+	preferred.passedOver++
+	return preferred.passedOver > preferred.capacity || preferred.freeAt+slack > x.stage.latestStart
 }
 
-func (s *Scheduler) send(now time.Duration, p *pool, r *replica, batch []*piece) {
-	s.next++
-	expected := time.Duration(float64(p.callTime(batch)) * r.speed)
-	c := &call{id: s.next, pool: p, replica: r, pieces: batch, sent: now, due: now + expected}
+func (s *Scheduler) send(now time.Duration, p *pool, r *replica, batch []*stageItem) {
+	s.lastID++
+	expected := time.Duration(float64(p.expectedCallTime(batch)) * r.slowdown)
+	c := &call{id: s.lastID, pool: p, replica: r, items: batch, sentAt: now, dueAt: now + expected}
 	items := make([]Item, 0, len(batch))
 	for _, x := range batch {
 		x.state = running
-		x.tries++
-		x.uncount()
-		if st := x.stage; !st.called {
-			st.called, st.calledAt = true, now
+		x.attempts++
+		x.removeFromLoad()
+		if st := x.stage; !st.started {
+			st.started, st.startedAt = true, now
 		}
-		c.bytes += x.stage.def.ResultBytes
-		items = append(items, x.item(now))
+		c.resultBytes += x.stage.def.ResultBytes
+		items = append(items, x.callItem(now))
 	}
-	if p.most > 0 && now < r.ColdUntil {
-		p.sent.Sent(now, r.ID)
+	if p.warmUpRate > 0 && now < r.ColdUntil {
+		p.warmUpCalls.Sent(now, r.ID)
 	}
-	if r.turnGap > 0 {
+	if r.sendInterval > 0 {
 		s.opts.SendGrants.Spend(now, r.ID)
-		r.turnFrom = s.opts.SendGrants.Free(now, r.ID)
+		r.nextSendAt = s.opts.SendGrants.Free(now, r.ID)
 	}
 	r.call = c
-	r.held += c.bytes
+	r.heldBytes += c.resultBytes
 	s.calls[c.id] = c
 	timeout := time.Duration(float64(expected)*2*s.opts.OverdueFactor) + 2*s.opts.OverdueSlack
-	s.act(Call{ID: c.id, Service: p.name, Replica: r.ID, Name: r.Name, Address: r.Address, Items: items, Timeout: timeout})
+	s.emit(Call{ID: c.id, Service: p.name, Replica: r.ID, Name: r.Name, Address: r.Address, Items: items, Timeout: timeout})
 }
 
-// Answer takes in what became of a call.
-func (s *Scheduler) FinishCall(now time.Duration, id uint64, fate Outcome, results []Result) []Action {
+// FinishCall takes the outcome of a call.
+func (s *Scheduler) FinishCall(now time.Duration, id uint64, outcome Outcome, results []Result) []Action {
 	c := s.calls[id]
 	if c == nil {
-		return s.take()
+		return s.takeActions()
 	}
 	delete(s.calls, id)
 	r := c.replica
 	if r.call == c {
 		r.call = nil
 	}
-	r.held -= c.bytes
-	if r.gone && r.call == nil {
+	r.heldBytes -= c.resultBytes
+	if r.unlisted && r.call == nil {
 		delete(c.pool.replicas, r.ID)
-		c.pool.reorder()
+		c.pool.sortReplicas()
 	}
-	if fate == Answered && len(results) == len(c.pieces) {
-		s.answered(now, c, results)
+	if outcome == Answered && len(results) == len(c.items) {
+		s.recordResults(now, c, results)
 	} else {
-		s.lost(now, c, fate)
+		s.recordFailedCall(now, c, outcome)
 	}
 	s.dispatchAll(now)
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *Scheduler) answered(now time.Duration, c *call, results []Result) {
+func (s *Scheduler) recordResults(now time.Duration, c *call, results []Result) {
 	failed := slices.ContainsFunc(results, func(r Result) bool { return r.Handle == "" })
-	c.pool.learn(c.replica, c, now-c.sent, !failed)
-	c.replica.pause = 0
+	c.pool.recordCallTime(c.replica, c, now-c.sentAt, !failed)
+	c.replica.lastPause = 0
 	var touched []*job
-	for i, x := range c.pieces {
-		s.result(now, c, x, results[i])
+	for i, x := range c.items {
+		s.recordResult(now, c, x, results[i])
 		if !slices.Contains(touched, x.stage.job) {
 			touched = append(touched, x.stage.job)
 		}
 	}
 	for _, j := range touched {
 		if s.jobs[j.id] == j {
-			s.proceed(now, j)
+			s.advance(now, j)
 		}
 	}
 }
 
-// result takes in what became of one piece of an answered call.
-func (s *Scheduler) result(now time.Duration, c *call, x *piece, res Result) {
+// recordResult takes the result of one item of an answered call.
+func (s *Scheduler) recordResult(now time.Duration, c *call, x *stageItem, res Result) {
 	j := x.stage.job
 	wanted := s.jobs[j.id] == j && x.state != done && !x.stage.freed
 	if res.Handle != "" {
-		c.replica.results[res.Handle] = &holding{bytes: x.stage.def.ResultBytes, until: now + c.pool.def.HoldFor}
-		c.replica.held += x.stage.def.ResultBytes
+		c.replica.results[res.Handle] = &heldResult{bytes: x.stage.def.ResultBytes, expiresAt: now + c.pool.def.HoldFor}
+		c.replica.heldBytes += x.stage.def.ResultBytes
 		if !wanted {
 			s.freeResult(c.replica, res.Handle)
 			return
 		}
-		if x.state == ready { // a second call for it waits, which is not needed any more
-			x.uncount()
-			x.stage.pool.unready(x)
+		if x.state == ready { // a repeated run is queued but no longer needed
+			x.removeFromLoad()
+			x.stage.pool.removeReady(x)
 		}
-		x.state, x.handle, x.maker, x.madeAt = done, res.Handle, c.replica, now
+		x.state, x.handle, x.producer, x.producedAt = done, res.Handle, c.replica, now
 		return
 	}
 	if !wanted || x.state != running {
@@ -251,86 +252,86 @@
 	case Expired:
 		s.fail(now, j, "late", 0)
 	case InputMissing:
-		s.remake(now, x)
+		s.rerunWithInputs(now, x)
 	case MemoryFull:
-		c.replica.full(now, c.pool.def.HoldFor, x.stage.def.ResultBytes)
-		x.tries--
+		c.replica.recordMemoryFull(now, c.pool.def.HoldFor, x.stage.def.ResultBytes)
+		x.attempts--
 		s.requeue(now, x)
 	default:
 		s.requeue(now, x)
 	}
 }
 
-// remake runs a piece again together with the results that it reads.
-func (s *Scheduler) remake(now time.Duration, x *piece) {
-	if x.tries >= s.opts.MaxAttempts {
+// rerunWithInputs runs an item again together with the items whose results it reads.
+func (s *Scheduler) rerunWithInputs(now time.Duration, x *stageItem) {
+	if x.attempts >= s.opts.MaxAttempts {
 		s.fail(now, x.stage.job, "inputs", s.opts.DefaultRetryAfter)
 		return
 	}
 	x.state = blocked
-	x.count()
+	x.addToLoad()
 	for _, a := range x.stage.def.After {
 		st := x.stage.job.stages[a]
-		for _, input := range st.pieces {
+		for _, input := range st.items {
 			if input.state == done {
-				s.freeResult(input.maker, input.handle)
+				s.freeResult(input.producer, input.handle)
 				input.state, input.handle = blocked, ""
-				input.count()
+				input.addToLoad()
 			}
 		}
 	}
 	s.unblock(now, x.stage.job)
 }
 
-func (s *Scheduler) requeue(now time.Duration, x *piece) {
-	if x.tries >= s.opts.MaxAttempts {
+func (s *Scheduler) requeue(now time.Duration, x *stageItem) {
+	if x.attempts >= s.opts.MaxAttempts {
 		s.fail(now, x.stage.job, "tries", s.opts.DefaultRetryAfter)
 		return
 	}
 	x.state = ready
-	x.count()
+	x.addToLoad()
 	x.stage.pool.ready = append(x.stage.pool.ready, x)
 }
 
-// lost takes in the end of a call without results.
-func (s *Scheduler) lost(now time.Duration, c *call, fate Outcome) {
+// recordFailedCall handles the end of a call without results.
+func (s *Scheduler) recordFailedCall(now time.Duration, c *call, outcome Outcome) {
 	r := c.replica
-	switch fate {
+	switch outcome {
 	case Refused:
-		r.pausedTo = now + s.opts.RefusalPause
+		r.pausedUntil = now + s.opts.RefusalPause
 	case WrongReplica:
-		r.leaving = true
+		r.draining = true
 	default:
-		r.fail(now, &s.opts)
+		r.recordFailure(now, &s.opts)
 	}
-	if fate == Crashed {
+	if outcome == Crashed {
 		for _, j := range c.jobs() {
 			j.ReplicaEnds++
 		}
 	}
-	for _, x := range c.pieces {
+	for _, x := range c.items {
 		j := x.stage.job
 		if s.jobs[j.id] != j || x.state != running || c.overdue {
 			continue
 		}
-		if fate == Refused || fate == WrongReplica || fate == Unreachable {
-			x.tries--
+		if outcome == Refused || outcome == WrongReplica || outcome == Unreachable {
+			x.attempts--
 		}
 		s.requeue(now, x)
 	}
 }
 
-// overdueCalls gives the pieces of calls that take far too long to others too.
-func (s *Scheduler) overdueCalls(now time.Duration) {
+// retryOverdueCalls also queues the items of calls that take far too long for other replicas.
+func (s *Scheduler) retryOverdueCalls(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.calls)) {
 		c := s.calls[id]
-		limit := time.Duration(float64(c.due-c.sent)*s.opts.OverdueFactor) + s.opts.OverdueSlack
-		if c.overdue || now-c.sent < limit {
+		limit := time.Duration(float64(c.dueAt-c.sentAt)*s.opts.OverdueFactor) + s.opts.OverdueSlack
+		if c.overdue || now-c.sentAt < limit {
 			continue
 		}
 		c.overdue = true
-		c.replica.speed = max(c.replica.speed, s.opts.OverdueFactor)
-		for _, x := range c.pieces {
+		c.replica.slowdown = max(c.replica.slowdown, s.opts.OverdueFactor)
+		for _, x := range c.items {
 			if j := x.stage.job; s.jobs[j.id] == j && x.state == running {
 				s.requeue(now, x)
 			}
@@ -338,18 +339,18 @@
 	}
 }
 
-// abandonIdleCalls ends calls none of whose pieces is wanted any more. A call
-// at work can't be dropped by its replica; it ends a wait there.
-func (s *Scheduler) abandonIdleCalls() {
+// cancelUnwantedCalls cancels overdue calls that no job needs any more. The replica can't
+// abort a running call, but the caller stops waiting for it.
+func (s *Scheduler) cancelUnwantedCalls() {
 	for _, id := range slices.Sorted(maps.Keys(s.calls)) {
 		c := s.calls[id]
 		wanted := false
-		for _, x := range c.pieces {
+		for _, x := range c.items {
 			j := x.stage.job
 			wanted = wanted || s.jobs[j.id] == j
 		}
 		if !wanted && c.overdue {
-			s.act(Cancel{Call: c.id})
+			s.emit(Cancel{Call: c.id})
 		}
 	}
 }
--- a/coordination/pipeline/company.go
+++ b/coordination/pipeline/company.go
@@ -2,56 +2,56 @@
 
 import "slices"
 
-// decisive is how many replicas end under a job before its next call is to show
-// whether it is to blame.
-const decisive = 2
+// isolateAfterEnds is the number of replicas that have ended under a job from which on the job
+// runs alone, so that the next call shows whether it is to blame.
+const isolateAfterEnds = 2
 
-// company is whose pieces are in a call. A call that ends its replica says
-// nothing of which piece did it, so jobs under which one has ended are parted
-// into small groups, and after a second end each is alone (group testing, after
-// Dorfman, 1943): with 20 jobs in a call, three ends show which of them it is.
-type company struct {
-	most int // suspects in a call
-	jobs []*job
+// batchMates is the jobs whose items share a call. If a call ends its replica, any of its
+// items may be the cause. Jobs under which one replica has ended are therefore split into
+// small groups, and after a second end each runs alone (group testing, after Dorfman, 1943).
+// With 20 jobs in a call, three ends identify the cause.
+type batchMates struct {
+	maxSuspects int // in a call
+	jobs        []*job
 }
 
-// admits reports whether a job's pieces may go into the call.
-func (c *company) admits(j *job) bool {
+// admits reports whether a job's items may be added to the call.
+func (c *batchMates) admits(j *job) bool {
 	if slices.Contains(c.jobs, j) {
 		return true
 	}
 	if len(c.jobs) == 0 {
-		return j.ReplicaEnds < decisive || !j.atWork()
+		return j.ReplicaEnds < isolateAfterEnds || !j.isRunning()
 	}
-	if min(j.ReplicaEnds, decisive) != min(c.jobs[0].ReplicaEnds, decisive) {
+	if min(j.ReplicaEnds, isolateAfterEnds) != min(c.jobs[0].ReplicaEnds, isolateAfterEnds) {
 		return false
 	}
 	switch {
 	case j.ReplicaEnds == 0:
 		return true
-	case j.ReplicaEnds < decisive:
-		return len(c.jobs) < c.most
+	case j.ReplicaEnds < isolateAfterEnds:
+		return len(c.jobs) < c.maxSuspects
 	}
 	return false
 }
 
-func (c *company) join(j *job) {
+func (c *batchMates) add(j *job) {
 	if !slices.Contains(c.jobs, j) {
 		c.jobs = append(c.jobs, j)
 	}
 }
 
-// atWork reports whether a piece of the job is in a call.
-func (j *job) atWork() bool {
+// isRunning reports whether any item of the job is in a call.
+func (j *job) isRunning() bool {
 	return slices.ContainsFunc(j.stages, func(st *stage) bool {
-		return slices.ContainsFunc(st.pieces, func(x *piece) bool { return x.state == running })
+		return slices.ContainsFunc(st.items, func(x *stageItem) bool { return x.state == running })
 	})
 }
 
-// jobs returns whose pieces a call holds, each once.
+// jobs returns the distinct jobs whose items the call holds.
 func (c *call) jobs() []*job {
 	var out []*job
-	for _, x := range c.pieces {
+	for _, x := range c.items {
 		if !slices.Contains(out, x.stage.job) {
 			out = append(out, x.stage.job)
 		}
--- a/coordination/pipeline/company_test.go
+++ b/coordination/pipeline/company_test.go
@@ -9,11 +9,11 @@
 	"quinceroad/state/catalog"
 )
 
-// Of twenty jobs in a call one ends the replica of each call that it is in:
-// three replicas end, no other job is beside it a third time, and all others are done.
+// One of twenty jobs in a call ends the replica of every call that it is in. It must be
+// isolated after three ends: no other job is in a third failing call, and all others are done.
 func TestThreeEndsShowWhichJobItIs(t *testing.T) {
 	is := is.New(t)
-	const jobs, guilty, replicas = 20, 7, 6
+	const jobs, culprit, replicas = 20, 7, 6
 	s := New()
 	pool := &catalog.Pool{Slots: 1, Batch: 40, CallTime: 100 * time.Millisecond, ItemTime: time.Millisecond, Room: 1 << 30, HoldFor: time.Minute}
 	var all []catalog.Replica
@@ -25,7 +25,7 @@
 	s.SetPools(now, map[string]*catalog.Service{"pool": {Name: "pool", Pool: pool}}, all[:1])
 	ended, done := 0, 0
 	var calls []Call
-	takeIn := func(actions []Action) {
+	handle := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Call:
@@ -38,10 +38,10 @@
 	for n := range jobs {
 		id := string(rune('A' + n))
 		_, actions := s.Submit(now, Job{RequestID: id, Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "pool", Items: 1, ResultBytes: 10}}})
-		takeIn(actions)
+		handle(actions)
 	}
-	takeIn(s.SetPools(now, map[string]*catalog.Service{"pool": {Name: "pool", Pool: pool}}, all))
-	beside := make(map[string]int)
+	handle(s.SetPools(now, map[string]*catalog.Service{"pool": {Name: "pool", Pool: pool}}, all))
+	endsByRequest := make(map[string]int)
 	for step := 0; step < 200 && done < jobs-1; step++ {
 		now += 120 * time.Millisecond
 		var open []Call
@@ -49,30 +49,30 @@
 		for _, c := range open {
 			crashes := false
 			for _, x := range c.Items {
-				crashes = crashes || x.RequestID == string(rune('A'+guilty))
+				crashes = crashes || x.RequestID == string(rune('A'+culprit))
 			}
 			if !crashes {
 				results := make([]Result, len(c.Items))
 				for i := range results {
 					results[i].Handle = c.Items[i].RequestID
 				}
-				takeIn(s.FinishCall(now, c.ID, Answered, results))
+				handle(s.FinishCall(now, c.ID, Answered, results))
 				continue
 			}
 			ended++
 			for _, x := range c.Items {
-				beside[x.RequestID]++
+				endsByRequest[x.RequestID]++
 			}
-			takeIn(s.FinishCall(now, c.ID, Crashed, nil))
+			handle(s.FinishCall(now, c.ID, Crashed, nil))
 			if ended == 3 {
-				takeIn(s.FailRequest(now, string(rune('A'+guilty)), "condemned"))
+				handle(s.FailRequest(now, string(rune('A'+culprit)), "condemned"))
 			}
 		}
-		takeIn(s.Tick(now))
+		handle(s.Tick(now))
 	}
 	is.Equal(ended, 3)
 	is.Equal(done, jobs-1)
-	for id, n := range beside {
-		is.True(n < 3 || id == string(rune('A'+guilty)))
+	for id, n := range endsByRequest {
+		is.True(n < 3 || id == string(rune('A'+culprit)))
 	}
 }
--- a/coordination/pipeline/expect.go
+++ b/coordination/pipeline/expect.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Forecast is what is expected of one stage of a job; times are from its coming.
+// Forecast is the expected progress of one stage of a job; times are relative to the job's
+// submission.
 type Forecast struct {
 	Service string
 	Items   int
-	Ahead   int           // pieces that wait at the pool and go before
-	Ready   time.Duration // when the stages that it reads are done
-	Starts  time.Duration // when the last of its pieces is in a call
+	Ahead   int           // items that wait at the pool and go before
+	Ready   time.Duration // when the stage's inputs are available
+	Starts  time.Duration // when the last of its items is in a call
 	Ends    time.Duration
 }
 
-// String returns the forecast as logs show it.
+// String formats the forecast for logs.
 func (f Forecast) String() string {
 	return fmt.Sprintf("%s: %d pieces ready at %v, %d ahead, begun by %v, done by %v", f.Service, f.Items,
 		f.Ready.Round(time.Millisecond), f.Ahead, f.Starts.Round(time.Millisecond), f.Ends.Round(time.Millisecond))
 }
 
-// Explain returns what a verdict expects of each stage, for a log line.
+// Explain formats the forecasts of all stages for a log line.
 func (v Decision) Explain() string {
 	parts := make([]string, 0, len(v.Stages))
 	for _, f := range v.Stages {
@@ -31,89 +32,89 @@
 	return strings.Join(parts, "; ")
 }
 
-// expect returns the time until the job's stages are done, by a plan of each
+// forecast returns the expected time until the job's stages are done, from a plan of each
 // pool's next calls.
-func (s *Scheduler) expect(now time.Duration, j *job) time.Duration {
+func (s *Scheduler) forecast(now time.Duration, j *job) time.Duration {
 	ends := make([]time.Duration, len(j.stages))
 	plans := make(map[*pool]*plan)
 	last := time.Duration(0)
-	begins := s.roomWait(now, j)
+	start := s.memoryWait(now, j)
 	for n, st := range j.stages {
-		ends[n] = begins
+		ends[n] = start
 		for _, a := range st.def.After {
 			ends[n] = max(ends[n], ends[a])
 		}
-		if len(st.pieces) == 0 {
+		if len(st.items) == 0 {
 			continue
 		}
 		pl := plans[st.pool]
 		if pl == nil {
-			pl = st.pool.plan(now, j.rank)
+			pl = st.pool.newPlan(now, j.rank)
 			plans[st.pool] = pl
 		}
-		st.plan = Forecast{Service: st.def.Service, Items: len(st.pieces), Ahead: int(pl.ahead), Ready: ends[n]}
-		st.plan.Starts, st.plan.Ends = pl.place(ends[n], st)
-		ends[n] = st.plan.Ends
+		st.forecast = Forecast{Service: st.def.Service, Items: len(st.items), Ahead: int(pl.itemsAhead), Ready: ends[n]}
+		st.forecast.Starts, st.forecast.Ends = pl.place(ends[n], st)
+		ends[n] = st.forecast.Ends
 		last = max(last, ends[n])
 	}
 	return last
 }
 
-func (j *job) forecasts() []Forecast {
+func (j *job) stageForecasts() []Forecast {
 	var out []Forecast
 	for _, st := range j.stages {
-		if len(st.pieces) > 0 {
-			out = append(out, st.plan)
+		if len(st.items) > 0 {
+			out = append(out, st.forecast)
 		}
 	}
 	return out
 }
 
-// judge expects a job and says what that is held against. One that won't be in
-// time, but before its deadline, stands back where a late answer is worth more
-// than a refusal: it gets what those that are in time leave.
-func (s *Scheduler) judge(now time.Duration, j *job) Decision {
-	v := Decision{Expected: s.expect(now, j), Limit: s.limit(j), Uncontended: j.own()}
+// decide compares a job's expected time with its limit. A job that will miss its objective but
+// not its deadline is admitted late if a late answer is worth more than a refusal; it then
+// gets the capacity that jobs in time leave.
+func (s *Scheduler) decide(now time.Duration, j *job) Decision {
+	v := Decision{Expected: s.forecast(now, j), Limit: s.timeLimit(j), Uncontended: j.uncontendedTime()}
 	if j.Retry {
-		note(&s.returnsOf(j.Rank).served, v.Expected <= v.Limit)
+		recordOutcome(&s.lateStatsOf(j.Rank).retriesInTime, v.Expected <= v.Limit)
 	}
-	if v.Expected > v.Limit && s.lateIsWorthMore(j) {
-		j.rank, j.back = j.rank+lateRank, true
-		v.Expected = s.expect(now, j)
+	if v.Expected > v.Limit && s.prefersLateAnswer(j) {
+		j.rank, j.admittedLate = j.rank+lateRank, true
+		v.Expected = s.forecast(now, j)
 		v.Limit = time.Duration(float64(j.Deadline) * s.opts.DeadlineMargin)
 	}
-	if over := s.roomOver(now, j, v.Limit); over > 0 {
+	if over := s.excessMemoryWait(now, j, v.Limit); over > 0 {
 		v.Expected = max(v.Expected, v.Limit+over)
 	}
-	v.Bottleneck, v.Stages = j.bound(), j.forecasts()
+	v.Bottleneck, v.Stages = j.bottleneck(), j.stageForecasts()
 	return v
 }
 
-// limit is the time that a job's stages may be expected to take.
-func (s *Scheduler) limit(j *job) time.Duration {
-	if j.surplus {
-		return j.surplusLimit(j.Objective)
+// timeLimit returns the time that a job's stages may be expected to take.
+func (s *Scheduler) timeLimit(j *job) time.Duration {
+	if j.overShare {
+		return j.overShareLimit(j.Objective)
 	}
-	if j.Retry && !s.mayBeLate(j) {
+	if j.Retry && !s.allowsLate(j) {
 		return min(time.Duration(float64(j.Deadline)*s.opts.DeadlineMargin), time.Duration(float64(j.Objective)*s.opts.RetryObjectiveFactor))
 	}
 	return time.Duration(float64(j.Objective) * s.opts.ObjectiveMargin)
 }
 
-// own is what a job's stages take where nothing waits.
-func (j *job) own() time.Duration {
+// uncontendedTime returns the time that the job's stages take without queueing.
+func (j *job) uncontendedTime() time.Duration {
 	longest := time.Duration(0)
-	for _, rest := range j.rests() {
-		longest = max(longest, rest)
+	for _, remaining := range j.remainingTimes() {
+		longest = max(longest, remaining)
 	}
 	return longest
 }
 
-// bound names the service whose pool a job waits for longest.
-func (j *job) bound() string {
+// bottleneck returns the service whose pool the job waits for longest.
+func (j *job) bottleneck() string {
 	name, longest := "", time.Duration(0)
 	for _, st := range j.stages {
-		if wait := st.plan.Starts - st.plan.Ready; wait > longest {
+		if wait := st.forecast.Starts - st.forecast.Ready; wait > longest {
 			name, longest = st.def.Service, wait
 		}
 	}
--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -6,159 +6,159 @@
 	"time"
 )
 
-type pieceState int
+type itemState int
 
 const (
-	blocked pieceState = iota // inputs are missing
+	blocked itemState = iota // waits for inputs
 	ready
 	running
 	done
 )
 
-// piece is one unit of a stage.
-type piece struct {
-	stage   *stage
-	index   int
-	state   pieceState
-	tries   int
-	handle  string
-	maker   *replica
-	madeAt  time.Duration
-	counted bool   // in its pool's pending work
-	hall    string // where it should run, for the bytes that it reads and makes; "" for anywhere
+// stageItem is one item of a stage.
+type stageItem struct {
+	stage         *stage
+	index         int
+	state         itemState
+	attempts      int
+	handle        string
+	producer      *replica
+	producedAt    time.Duration
+	inLoad        bool   // counted in the pool's load
+	preferredHall string // by the bytes that it reads and makes; "" for any
 }
 
-// stage is one stage of a job under way.
+// stage is one stage of a job.
 type stage struct {
-	job    *job
-	number int
-	def    Stage
-	pool   *pool
-	item   float64       // seconds that one piece takes in a call
-	latest time.Duration // when it must start for the job to be in time
-	plan   Forecast      // as expected when the job came
-	pieces []*piece
-	freed  bool
+	job         *job
+	index       int
+	def         Stage
+	pool        *pool
+	itemSeconds float64       // that one item adds to a call
+	latestStart time.Duration // for the job to meet its objective
+	forecast    Forecast      // made when the job was submitted
+	items       []*stageItem
+	freed       bool
 
-	opened   bool          // its inputs were there
-	readyAt  time.Duration // when they first were
-	called   bool          // one of its pieces was in a call
-	calledAt time.Duration // when the first was
+	inputsReady bool          // all inputs have been available
+	readyAt     time.Duration // when they first were
+	started     bool          // one of its items has been in a call
+	startedAt   time.Duration // when the first one was sent
 }
 
-// job is one request's stages under way.
+// job is a submitted request with the state of its stages.
 type job struct {
 	Job
-	id        uint64
-	rank      int // Job.Rank, or behind all once it is late
-	due       time.Duration
-	dead      time.Duration
-	stages    []*stage
-	delivered bool
-	begun     bool // a piece was given to a replica, and room is kept for its results
-	needs     []roomNeed
+	id          uint64
+	rank        int // Job.Rank, plus lateRank or overShareRank
+	dueAt       time.Duration
+	expiresAt   time.Duration
+	stages      []*stage
+	delivered   bool
+	started     bool // an item was sent to a replica, and memory is reserved for the job's results
+	memoryNeeds []memoryNeed
 
-	begunAt     time.Duration
+	startedAt   time.Duration
 	deliveredAt time.Duration
 
-	surplus bool // it is beyond its customer's share
-	back    bool // it stands back: admitted to be late, behind all that is in time
+	overShare    bool // beyond its customer's share
+	admittedLate bool // expected to be late when it was admitted; ranks behind all jobs that will be in time
 }
 
 func (s *Scheduler) newJob(now time.Duration, def Job) (*job, bool) {
-	j := &job{Job: def, rank: def.Rank, due: now + def.Objective, dead: now + def.Deadline}
+	j := &job{Job: def, rank: def.Rank, dueAt: now + def.Objective, expiresAt: now + def.Deadline}
 	for n, d := range def.Stages {
 		p := s.pools[d.Service]
 		if p == nil {
 			return nil, false
 		}
-		st := &stage{job: j, number: n, def: d, pool: p, item: p.item(d.ResultBytes)}
+		st := &stage{job: j, index: n, def: d, pool: p, itemSeconds: p.itemSeconds(d.ResultBytes)}
 		for i := range d.Items {
-			st.pieces = append(st.pieces, &piece{stage: st, index: i})
+			st.items = append(st.items, &stageItem{stage: st, index: i})
 		}
 		j.stages = append(j.stages, st)
 	}
-	rest := j.rests()
+	remaining := j.remainingTimes()
 	for n, st := range j.stages {
-		st.latest = j.due - rest[n]
+		st.latestStart = j.dueAt - remaining[n]
 	}
-	j.needs = j.roomNeeds()
+	j.memoryNeeds = j.sinkMemoryNeeds()
 	return j, true
 }
 
-// retryAfter is when a refused job may come back.
+// retryAfter returns the delay after which a refused job may be submitted again.
 func (s *Scheduler) retryAfter(v Decision) time.Duration {
-	if v.Expected >= noReplica {
+	if v.Expected >= noReplicaWait {
 		return s.opts.DefaultRetryAfter
 	}
 	return max(v.Expected-v.Limit, s.opts.MinRetryAfter)
 }
 
-// admit counts the job's pieces and readies those without inputs.
+// admit adds the job's items to the load and marks those without inputs as ready.
 func (s *Scheduler) admit(now time.Duration, j *job) {
 	for _, st := range j.stages {
-		st.pool.load.of(j.rank).arrives(now, len(st.pieces), st.item)
-		for _, x := range st.pieces {
-			x.count()
+		st.pool.load.forRank(j.rank).recordArrival(now, len(st.items), st.itemSeconds)
+		for _, x := range st.items {
+			x.addToLoad()
 		}
 	}
-	j.wantRoom(now)
+	j.queueMemory(now)
 	s.unblock(now, j)
 }
 
-func (x *piece) count() {
-	if !x.counted {
-		x.counted = true
-		x.stage.pool.load.of(x.stage.job.rank).add(x.stage.item)
+func (x *stageItem) addToLoad() {
+	if !x.inLoad {
+		x.inLoad = true
+		x.stage.pool.load.forRank(x.stage.job.rank).add(x.stage.itemSeconds)
 	}
 }
 
-func (x *piece) uncount() {
-	if x.counted {
-		x.counted = false
-		x.stage.pool.load.of(x.stage.job.rank).drop(x.stage.item)
+func (x *stageItem) removeFromLoad() {
+	if x.inLoad {
+		x.inLoad = false
+		x.stage.pool.load.forRank(x.stage.job.rank).remove(x.stage.itemSeconds)
 	}
 }
 
-// unblock readies every piece whose inputs are there.
+// unblock marks every item whose inputs are available as ready.
 func (s *Scheduler) unblock(now time.Duration, j *job) {
 	for _, st := range j.stages {
 		if !st.inputsDone() {
 			continue
 		}
-		if !st.opened {
-			st.opened, st.readyAt = true, now
+		if !st.inputsReady {
+			st.inputsReady, st.readyAt = true, now
 		}
-		for _, x := range st.pieces {
+		for _, x := range st.items {
 			if x.state == blocked {
 				x.state = ready
-				x.count()
-				x.hall = x.nearest()
+				x.addToLoad()
+				x.preferredHall = x.choosePreferredHall()
 				st.pool.ready = append(st.pool.ready, x)
 			}
 		}
 	}
 }
 
-// farBytes is how much a piece must read or make for its hall to matter.
-const farBytes = 150_000
+// localityBytes is how much an item must read or make for its hall to matter.
+const localityBytes = 150_000
 
-// nearest returns the hall between which and the piece most bytes go: those of
-// the results that it reads, and its own when the request reads it, at the
-// place that the job names.
-func (x *piece) nearest() string {
+// choosePreferredHall returns the hall that exchanges the most bytes with the item. It counts
+// the inputs at their producers and, if the request reads the item's result, the result itself
+// in the job's hall.
+func (x *stageItem) choosePreferredHall() string {
 	bytes := make(map[string]int64)
 	for _, a := range x.stage.def.After {
-		for _, input := range x.stage.job.stages[a].pieces {
-			if input.maker != nil {
-				bytes[input.maker.Hall] += input.stage.def.ResultBytes
+		for _, input := range x.stage.job.stages[a].items {
+			if input.producer != nil {
+				bytes[input.producer.Hall] += input.stage.def.ResultBytes
 			}
 		}
 	}
-	if x.stage.sink() && x.stage.job.Hall != "" {
+	if x.stage.isSink() && x.stage.job.Hall != "" {
 		bytes[x.stage.job.Hall] += x.stage.def.ResultBytes
 	}
-	best, most := "", int64(farBytes-1)
+	best, most := "", int64(localityBytes-1)
 	for hall, n := range bytes {
 		if n > most || (n == most && hall < best) {
 			best, most = hall, n
@@ -169,136 +169,136 @@
 
 func (st *stage) inputsDone() bool {
 	for _, a := range st.def.After {
-		if !st.job.stages[a].done() {
+		if !st.job.stages[a].isDone() {
 			return false
 		}
 	}
 	return true
 }
 
-func (st *stage) done() bool {
-	return !slices.ContainsFunc(st.pieces, func(x *piece) bool { return x.state != done })
+func (st *stage) isDone() bool {
+	return !slices.ContainsFunc(st.items, func(x *stageItem) bool { return x.state != done })
 }
 
-// sink reports whether the request itself reads the stage's results.
-func (st *stage) sink() bool {
-	return !slices.ContainsFunc(st.job.stages, func(other *stage) bool { return slices.Contains(other.def.After, st.number) })
+// isSink reports whether the request itself reads the stage's results.
+func (st *stage) isSink() bool {
+	return !slices.ContainsFunc(st.job.stages, func(other *stage) bool { return slices.Contains(other.def.After, st.index) })
 }
 
-func (st *stage) handles(to []string) []string {
-	for _, x := range st.pieces {
+func (st *stage) appendHandles(to []string) []string {
+	for _, x := range st.items {
 		to = append(to, x.handle)
 	}
 	return to
 }
 
-func (x *piece) item(now time.Duration) Item {
+func (x *stageItem) callItem(now time.Duration) Item {
 	j := x.stage.job
-	item := Item{RequestID: j.RequestID, Stage: x.stage.number, Index: x.index, Left: max(j.dead-now, time.Millisecond)}
+	item := Item{RequestID: j.RequestID, Stage: x.stage.index, Index: x.index, Left: max(j.expiresAt-now, time.Millisecond)}
 	if len(x.stage.def.After) == 0 {
 		item.Key = j.Key
 		return item
 	}
 	for _, a := range x.stage.def.After {
-		item.Inputs = j.stages[a].handles(item.Inputs)
+		item.Inputs = j.stages[a].appendHandles(item.Inputs)
 	}
 	return item
 }
 
-// proceed goes on with a job after a piece of it was done.
-func (s *Scheduler) proceed(now time.Duration, j *job) {
+// advance continues a job after one of its items is done.
+func (s *Scheduler) advance(now time.Duration, j *job) {
 	s.unblock(now, j)
 	for _, st := range j.stages {
-		if !st.freed && !st.sink() && st.done() && st.readersDone() {
-			s.free(st)
+		if !st.freed && !st.isSink() && st.isDone() && st.readersDone() {
+			s.freeResults(st)
 		}
 	}
 	if j.delivered {
 		return
 	}
 	var handles []string
-	near := make(map[string]int64)
+	bytesByHall := make(map[string]int64)
 	for _, st := range j.stages {
-		if !st.sink() {
+		if !st.isSink() {
 			continue
 		}
-		if !st.done() {
+		if !st.isDone() {
 			return
 		}
-		handles = st.handles(handles)
-		for _, x := range st.pieces {
-			near[x.maker.Hall] += st.def.ResultBytes
+		handles = st.appendHandles(handles)
+		for _, x := range st.items {
+			bytesByHall[x.producer.Hall] += st.def.ResultBytes
 		}
 	}
 	j.delivered, j.deliveredAt = true, now
-	if j.back {
-		note(&s.returnsOf(j.Rank).inTime, now <= j.due)
+	if j.admittedLate {
+		recordOutcome(&s.lateStatsOf(j.Rank).lateAdmittedInTime, now <= j.dueAt)
 	}
-	s.act(Deliver{Job: j.id, Handles: handles, BytesByHall: near})
+	s.emit(Deliver{Job: j.id, Handles: handles, BytesByHall: bytesByHall})
 }
 
 func (st *stage) readersDone() bool {
 	for _, other := range st.job.stages {
-		if slices.Contains(other.def.After, st.number) && !other.done() {
+		if slices.Contains(other.def.After, st.index) && !other.isDone() {
 			return false
 		}
 	}
 	return true
 }
 
-// free gives a stage's results up.
-func (s *Scheduler) free(st *stage) {
+// freeResults releases the results of a stage.
+func (s *Scheduler) freeResults(st *stage) {
 	st.freed = true
-	for _, x := range st.pieces {
+	for _, x := range st.items {
 		if x.handle != "" {
-			s.freeResult(x.maker, x.handle)
+			s.freeResult(x.producer, x.handle)
 		}
 	}
 }
 
 func (s *Scheduler) freeResult(r *replica, handle string) {
-	r.drop(handle)
-	for i, a := range s.out { // one call to a replica for all that is freed at once
+	r.dropResult(handle)
+	for i, a := range s.actions { // results freed at the same time share one action for each replica
 		if f, ok := a.(Free); ok && f.Replica == r.ID {
 			f.Handles = append(f.Handles, handle)
-			s.out[i] = f
+			s.actions[i] = f
 			return
 		}
 	}
-	s.act(Free{Service: r.Service, Replica: r.ID, Address: r.Address, Handles: []string{handle}})
+	s.emit(Free{Service: r.Service, Replica: r.ID, Address: r.Address, Handles: []string{handle}})
 }
 
-// remove ends a job; what is at work of it is freed when it comes.
+// remove ends a job. Results of its running items are freed when they arrive.
 func (s *Scheduler) remove(now time.Duration, j *job) {
 	delete(s.jobs, j.id)
-	j.learnRoom(now)
-	j.leaveRoom()
+	j.recordHoldTime(now)
+	j.releaseMemory()
 	for _, st := range j.stages {
-		for _, x := range st.pieces {
-			x.uncount()
+		for _, x := range st.items {
+			x.removeFromLoad()
 			if x.state == ready {
-				st.pool.unready(x)
+				st.pool.removeReady(x)
 			}
 		}
 		if !st.freed {
-			s.free(st)
+			s.freeResults(st)
 		}
 	}
-	s.abandonIdleCalls()
+	s.cancelUnwantedCalls()
 }
 
-// GiveUp ends the job of a request.
-func (s *Scheduler) FailRequest(now time.Duration, request, why string) []Action {
+// FailRequest ends the job of a request.
+func (s *Scheduler) FailRequest(now time.Duration, request, reason string) []Action {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		if j := s.jobs[id]; j.RequestID == request {
-			s.fail(now, j, why, 0)
+			s.fail(now, j, reason, 0)
 		}
 	}
 	s.dispatchAll(now)
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *Scheduler) fail(now time.Duration, j *job, why string, after time.Duration) {
+func (s *Scheduler) fail(now time.Duration, j *job, reason string, retryAfter time.Duration) {
 	s.remove(now, j)
-	s.act(Fail{Job: j.id, Reason: why, RetryAfter: after})
+	s.emit(Fail{Job: j.id, Reason: reason, RetryAfter: retryAfter})
 }
--- a/coordination/pipeline/late.go
+++ b/coordination/pipeline/late.go
@@ -10,13 +10,12 @@
 // lateRank is added to the rank of jobs that miss their objective.
 const lateRank = 1000
 
-// hopelessJobs ends jobs that miss their deadline, and those that miss their
-// objective before any work was done on them: what waits there takes the time
-// of others. Jobs that will be late, and those that are, go on behind the
-// others, the latter for a while.
-func (s *Scheduler) hopelessJobs(now time.Duration) {
-	for _, p := range s.order {
-		p.restTo = p.restsTo(now)
+// endHopelessJobs ends jobs that miss their deadline, and those that miss their objective
+// before any work was done on them, because waiting jobs take capacity from others. Started
+// jobs that are or will be late continue behind the others, those that are late for LateGrace.
+func (s *Scheduler) endHopelessJobs(now time.Duration) {
+	for _, p := range s.poolsByName {
+		p.backoffUntil = p.backoffEnd(now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
@@ -25,33 +24,34 @@
 		}
 		lateFor := time.Duration(float64(j.Objective) * s.opts.LateGrace)
 		switch {
-		case now >= j.dead, j.back && j.outOfTime(now):
+		case now >= j.expiresAt, j.admittedLate && j.willMissDeadline(now):
 			s.fail(now, j, "deadline", 0)
-		case j.restsUntil() > now:
-			s.fail(now, j, ReasonBackoff, j.restsUntil()-now)
-		case j.back:
-		case now > j.due && (!j.begun || now > j.due+lateFor):
+		case j.hopelessBackoff() > now:
+			s.fail(now, j, ReasonBackoff, j.hopelessBackoff()-now)
+		case j.admittedLate:
+		case now > j.dueAt && (!j.started || now > j.dueAt+lateFor):
 			s.fail(now, j, "late", s.opts.DefaultRetryAfter)
-		case j.rank < lateRank && j.willBeLate(now):
-			if !j.begun {
+		case j.rank < lateRank && j.willMissObjective(now):
+			if !j.started {
 				s.fail(now, j, "late", s.opts.DefaultRetryAfter)
 				continue
 			}
-			s.demote(j)
+			s.demoteLate(j)
 		}
 	}
 }
 
-// WhyRest is why a job ends for whose stages all replicas rest for too long.
+// ReasonBackoff is the reason for ending a job whose stages need a pool where all replicas are
+// in backoff for too long.
 const ReasonBackoff = "rest"
 
-// restsTo returns until when all replicas of a pool that take work rest; 0 when
-// one does not, or there is none.
-func (p *pool) restsTo(now time.Duration) time.Duration {
+// backoffEnd returns when the first replica of a pool ends its backoff; 0 if some replica is
+// not in backoff or none accepts work.
+func (p *pool) backoffEnd(now time.Duration) time.Duration {
 	first := time.Duration(math.MaxInt64)
-	for _, r := range p.order {
-		if r.takes() {
-			first = min(first, r.restTo)
+	for _, r := range p.replicasByID {
+		if r.acceptsWork() {
+			first = min(first, r.backoffUntil)
 		}
 	}
 	if first <= now || first == math.MaxInt64 {
@@ -60,66 +60,66 @@
 	return first
 }
 
-// restsUntil returns until when all replicas rest that a job waits for, where that
-// is too long for it: it would begin late, or after its deadline where work was
-// done for it. What is known is told at once, not at the deadline; 0 otherwise.
-func (j *job) restsUntil() time.Duration {
+// hopelessBackoff returns the end of the backoff of the pools that the job waits for if it is
+// too late for the job: after its latest start, or after its deadline if it has started.
+// Otherwise it returns 0. This fails such jobs at once instead of at their deadline.
+func (j *job) hopelessBackoff() time.Duration {
 	until := time.Duration(0)
 	for _, st := range j.stages {
-		last := st.latest
-		if j.begun || j.back {
-			last = j.dead
+		latest := st.latestStart
+		if j.started || j.admittedLate {
+			latest = j.expiresAt
 		}
-		if st.pool.restTo > last && st.waits() {
-			until = max(until, st.pool.restTo)
+		if st.pool.backoffUntil > latest && st.hasUnstartedItems() {
+			until = max(until, st.pool.backoffUntil)
 		}
 	}
 	return until
 }
 
-// outOfTime reports whether a stage whose pieces still wait can't lead to a
-// result before the deadline.
-func (j *job) outOfTime(now time.Duration) bool {
+// willMissDeadline reports whether a stage with unstarted items can no longer lead to a result
+// before the deadline.
+func (j *job) willMissDeadline(now time.Duration) bool {
 	for _, st := range j.stages {
-		if now > st.latest+j.dead-j.due && st.waits() {
+		if now > st.latestStart+j.expiresAt-j.dueAt && st.hasUnstartedItems() {
 			return true
 		}
 	}
 	return false
 }
 
-// waits reports whether a stage has pieces that are neither done nor at work.
-func (st *stage) waits() bool {
-	return slices.ContainsFunc(st.pieces, func(x *piece) bool { return x.state == ready || x.state == blocked })
+// hasUnstartedItems reports whether the stage has items that are neither running nor done.
+func (st *stage) hasUnstartedItems() bool {
+	return slices.ContainsFunc(st.items, func(x *stageItem) bool { return x.state == ready || x.state == blocked })
 }
 
-// willBeLate reports whether a stage whose pieces still wait should have begun.
-func (j *job) willBeLate(now time.Duration) bool {
+// willMissObjective reports whether a stage with unstarted items is past its latest start.
+func (j *job) willMissObjective(now time.Duration) bool {
 	for _, st := range j.stages {
-		if now > st.latest && st.waits() {
+		if now > st.latestStart && st.hasUnstartedItems() {
 			return true
 		}
 	}
 	return false
 }
 
-// demote has a late job go on behind the others.
-func (s *Scheduler) demote(j *job) { s.rerank(j, lateRank) }
+// demoteLate ranks a late job behind the others.
+func (s *Scheduler) demoteLate(j *job) { s.rerank(j, lateRank) }
 
-// rerank puts a job that many ranks behind where it is.
-func (s *Scheduler) rerank(j *job, by int) {
-	var counted []*piece
+// rerank adds an offset to the rank of a job.
+func (s *Scheduler) rerank(j *job, offset int) {
+	var counted []*stageItem
 	for _, st := range j.stages {
-		for _, x := range st.pieces {
-			if x.counted {
-				x.uncount()
+		for _, x := range st.items {
+			if x.inLoad {
+				x.removeFromLoad()
 				counted = append(counted, x)
 			}
 		}
 	}
-	j.moveWant(j.rank + by)
-	j.rank += by
+	j.moveQueuedMemory(j.rank + offset)
+	j.rank += offset
 	for _, x := range counted {
-		x.count()
+		x.addToLoad()
 	}
 }
--- a/coordination/pipeline/load.go
+++ b/coordination/pipeline/load.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// rankLoad is the work of one rank at a pool.
+// rankLoad is a pool's work of one rank.
 type rankLoad struct {
-	rank    int
-	pieces  int     // admitted and not at work
-	waiting float64 // seconds that these will take in calls, beside the calls' fixed times
-	came    float64 // pieces that were admitted lately, fading
-	items   float64 // seconds of these in calls, the same
-	room    int64   // bytes that the results of jobs take which have not begun
-	wanted  float64 // bytes of the results of jobs that were admitted lately, fading
-	at      time.Duration
+	rank           int
+	items          int     // admitted and not running
+	waitingSeconds float64 // that the items add to calls
+	recentItems    float64 // items admitted recently, decaying
+	recentSeconds  float64 // that these items add to calls, decaying
+	queuedBytes    int64   // results of admitted jobs that have not started
+	recentBytes    float64 // results of jobs admitted recently, decaying
+	decayedAt      time.Duration
 }
 
 // load is a pool's work by rank, the most urgent first.
 type load []*rankLoad
 
-// of returns the work of a rank.
-func (l *load) of(rank int) *rankLoad {
+// forRank returns the work of a rank, which it adds if needed.
+func (l *load) forRank(rank int) *rankLoad {
 	i, found := slices.BinarySearchFunc(*l, rank, func(r *rankLoad, rank int) int { return cmp.Compare(r.rank, rank) })
 	if !found {
 		*l = slices.Insert(*l, i, &rankLoad{rank: rank})
@@ -31,80 +31,80 @@
 	return (*l)[i]
 }
 
-func (r *rankLoad) add(item float64) {
-	r.pieces++
-	r.waiting += item
+func (r *rankLoad) add(itemSeconds float64) {
+	r.items++
+	r.waitingSeconds += itemSeconds
 }
 
-func (r *rankLoad) drop(item float64) {
-	r.pieces--
-	r.waiting -= item
-	if r.pieces == 0 {
-		r.waiting = 0 // leaves no rounding behind
+func (r *rankLoad) remove(itemSeconds float64) {
+	r.items--
+	r.waitingSeconds -= itemSeconds
+	if r.items == 0 {
+		r.waitingSeconds = 0 // clears rounding errors
 	}
 }
 
-// arrivalFor is over which time arriving work is averaged.
-const arrivalFor = 2 * time.Second
+// arrivalWindow is the time constant of the average over arriving work.
+const arrivalWindow = 2 * time.Second
 
-func (r *rankLoad) fade(now time.Duration) {
-	left := math.Exp(-(now - r.at).Seconds() / arrivalFor.Seconds())
-	r.came *= left
-	r.items *= left
-	r.wanted *= left
-	r.at = now
+func (r *rankLoad) decay(now time.Duration) {
+	left := math.Exp(-(now - r.decayedAt).Seconds() / arrivalWindow.Seconds())
+	r.recentItems *= left
+	r.recentSeconds *= left
+	r.recentBytes *= left
+	r.decayedAt = now
 }
 
-// arrives notes pieces that are admitted, which take so many seconds each.
-func (r *rankLoad) arrives(now time.Duration, pieces int, item float64) {
-	r.fade(now)
-	r.came += float64(pieces)
-	r.items += item * float64(pieces)
+// recordArrival counts admitted items.
+func (r *rankLoad) recordArrival(now time.Duration, items int, itemSeconds float64) {
+	r.decay(now)
+	r.recentItems += float64(items)
+	r.recentSeconds += itemSeconds * float64(items)
 }
 
-// wantsRoom notes a job that is admitted and whose results take so many bytes.
-func (r *rankLoad) wantsRoom(now time.Duration, bytes int64) {
-	r.fade(now)
-	r.room += bytes
-	r.wanted += float64(bytes)
+// queueMemory counts the result memory of an admitted job.
+func (r *rankLoad) queueMemory(now time.Duration, bytes int64) {
+	r.decay(now)
+	r.queuedBytes += bytes
+	r.recentBytes += float64(bytes)
 }
 
-// roomBefore returns the bytes of results whose jobs have not begun and go before
-// a new one of a rank, and how many bytes a second come that do.
-func (l load) roomBefore(now time.Duration, rank int) (bytes int64, coming float64) {
+// memoryAhead returns the bytes of results of waiting jobs that go before a new job of the
+// given rank, and the bytes a second of such jobs that arrive.
+func (l load) memoryAhead(now time.Duration, rank int) (bytes int64, arrivalRate float64) {
 	for _, r := range l {
 		if r.rank <= rank {
-			bytes += r.room
+			bytes += r.queuedBytes
 		}
 		if r.rank < rank {
-			r.fade(now)
-			coming += r.wanted / arrivalFor.Seconds()
+			r.decay(now)
+			arrivalRate += r.recentBytes / arrivalWindow.Seconds()
 		}
 	}
-	return bytes, coming
+	return bytes, arrivalRate
 }
 
-// before returns the pieces that wait and go before a new job of a rank, and
-// the seconds that they take in calls.
-func (l load) before(rank int) (pieces int, items float64) {
+// itemsAhead returns the waiting items that go before a new job of the given rank, and the
+// seconds that they add to calls.
+func (l load) itemsAhead(rank int) (items int, seconds float64) {
 	for _, r := range l {
 		if r.rank <= rank {
-			pieces += r.pieces
-			items += r.waiting
+			items += r.items
+			seconds += r.waitingSeconds
 		}
 	}
-	return pieces, items
+	return items, seconds
 }
 
-// overtaking returns how many pieces that go before a rank come in a second,
-// and the seconds that they take in calls.
-func (l load) overtaking(now time.Duration, rank int) (pieces, items float64) {
+// arrivalsAhead returns how many items that go before the given rank arrive a second, and the
+// seconds that they add to calls.
+func (l load) arrivalsAhead(now time.Duration, rank int) (itemRate, secondsRate float64) {
 	for _, r := range l {
 		if r.rank < rank {
-			r.fade(now)
-			pieces += r.came / arrivalFor.Seconds()
-			items += r.items / arrivalFor.Seconds()
+			r.decay(now)
+			itemRate += r.recentItems / arrivalWindow.Seconds()
+			secondsRate += r.recentSeconds / arrivalWindow.Seconds()
 		}
 	}
-	return pieces, items
+	return itemRate, secondsRate
 }
--- a/coordination/pipeline/options.go
+++ b/coordination/pipeline/options.go
@@ -7,37 +7,37 @@
 	"quinceroad/coordination/warmup"
 )
 
-// Options are the scheduler's constants.
+// Options are the parameters of a Scheduler.
 type Options struct {
-	ObjectiveMargin      float64       // share of the objective that a new job's expected end may take
-	LateWorth            float64       // of an answer in time that a late one keeps; stated by settings
-	RetryWorth           float64       // the same of one that is in time after a refusal: its caller waited once for nothing
-	ServedWorth          float64       // of being served at all, in time or late, beside these; stated by settings
-	DeadlineMargin       float64       // share of the deadline, of one that came back or will be late; the engine needs the rest
-	RetryObjectiveFactor float64       // and times of its objective, where nobody is admitted to be late: what ends much later is given up on the way
-	LateGrace            float64       // of the objective, for which a late job goes on
-	OverdueFactor        float64       // a call is overdue after so many times what it should take, beyond what calls vary by
-	OverdueSlack         time.Duration // and this
-	TargetUtilization    float64       // share of a pool's replicas that arriving work may keep at work before pieces wait for company
-	LastReplicaFill      float64       // share of a batch that may take the last idle replica, urgent or not
-	UrgentSlack          float64       // calls' fixed times before a piece's latest start, from when it waits for no company
-	HallSlack            float64       // calls' fixed times between a piece's start in its hall and its latest start, under which it goes elsewhere
-	MaxAttempts          int           // of a piece: more cost others more than a job is worth
-	RefusalPause         time.Duration // a replica that refused is left alone for, half of a short call
-	InitialPause         time.Duration // a replica that failed is left alone for, doubled each time, two calls
-	MaxPause             time.Duration // at most: who is back is missed for no longer
-	DefaultRetryAfter    time.Duration // when a job may come back whose pools are not known or gone, or that was given up
-	WarmUpLimit          warmup.Limit  // of calls to a cold replica
-	SendGrants           pace.Turns    // nil: none are counted
-	MaxSuspectsPerCall   int           // jobs in a call under which one replica has ended: about the root of the jobs in a full call
-	MinRetryAfter        time.Duration // until a refused job may come back
+	ObjectiveMargin      float64       // share of the objective that a new job may be expected to take
+	LateWorth            float64       // worth of a late answer, with 1 for one in time; from the settings
+	RetryWorth           float64       // worth of an answer that is in time after a refusal; below 1 because its caller waited in vain once
+	ServedWorth          float64       // extra worth of any answer, in time or late; from the settings
+	DeadlineMargin       float64       // share of the deadline that a retried or late job may be expected to take; the engine needs the rest
+	RetryObjectiveFactor float64       // also limits a retried job to this multiple of its objective if late jobs are not admitted; one that ends much later is given up on the way
+	LateGrace            float64       // share of the objective for which a late job continues
+	OverdueFactor        float64       // multiple of the expected time after which a call is overdue; above the usual variation of calls
+	OverdueSlack         time.Duration // added to OverdueFactor times the expected time
+	TargetUtilization    float64       // share of a pool's replicas that arriving work may keep busy before items wait for fuller calls
+	LastReplicaFill      float64       // share of a full batch that may take the last idle replica even if it is not urgent
+	UrgentSlack          float64       // multiple of a call's fixed time; an item this close to its latest start does not wait for a fuller call
+	HallSlack            float64       // multiple of a call's fixed time; an item that would start in its hall closer than this to its latest start may go elsewhere
+	MaxAttempts          int           // of an item; more would cost others more than the job is worth
+	RefusalPause         time.Duration // for a replica that refused a call; half of a short call
+	InitialPause         time.Duration // for a replica that failed, doubled with each failure; two calls
+	MaxPause             time.Duration // upper bound of the pause, so that a recovered replica is soon used again
+	DefaultRetryAfter    time.Duration // for jobs whose pools are unknown or have no replicas, and for jobs that were given up
+	WarmUpLimit          warmup.Limit  // for calls to warming replicas
+	SendGrants           pace.Turns    // nil: rate limits of replicas are ignored
+	MaxSuspectsPerCall   int           // jobs under which one replica has ended that may share a call; about the square root of the jobs in a full call
+	MinRetryAfter        time.Duration // lower bound for the retry time of a refused job
 }
 
-// Option changes the options.
+// Option changes Options.
 type Option func(*Options)
 
 func newOptions(opts []Option) Options {
-	o := Options{ // the fields say each one's unit and source
+	o := Options{
 		ObjectiveMargin:      1,
 		RetryWorth:           0.5,
 		DeadlineMargin:       0.85,
@@ -63,17 +63,18 @@
 	return o
 }
 
-// Cold bounds what replicas get while they are cold.
+// WithWarmUpLimit limits the calls to replicas that are warming up.
 func WithWarmUpLimit(l warmup.Limit) Option { return func(o *Options) { o.WarmUpLimit = l } }
 
-// Paced has calls counted by turns; a call is one request, whatever it holds.
+// WithSendGrants applies the rate limits of replicas to calls; a call counts as one request
+// whatever it holds.
 func WithSendGrants(t pace.Turns) Option { return func(o *Options) { o.SendGrants = t } }
 
-// Margin sets the share of the objective that a new job's expected end may take.
+// WithObjectiveMargin sets the share of the objective that a new job may be expected to take.
 func WithObjectiveMargin(share float64) Option { return func(o *Options) { o.ObjectiveMargin = share } }
 
-// Worth sets what a late answer is worth, of one in time, and what being served
-// at all counts beside.
+// WithWorth sets the worth of a late answer, with 1 for one in time, and the extra worth of
+// any answer.
 func WithWorth(late, served float64) Option {
 	return func(o *Options) { o.LateWorth, o.ServedWorth = late, served }
 }
--- a/coordination/pipeline/patience.go
+++ b/coordination/pipeline/patience.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// fewReplicas is the number of replicas from which a pool waits for fuller
-// calls: with fewer, a wait for a call's end is too long (with three, calls of
-// 0.3 s end each 0.1 s).
-const fewReplicas = 3
+// minReplicasToWait is the number of replicas from which a pool waits for fuller calls. With
+// fewer replicas the wait for a call's end is too long; with three, calls of 0.3 s end every
+// 0.1 s.
+const minReplicasToWait = 3
 
-// mayCall reports whether what waits may take an idle replica now. A call's
-// fixed time costs as much as dozens of pieces, so a pool that gives each idle
-// replica whatever waits keeps all of them at work with calls that are a third
-// full, and what has no time waits for a call's end. Pieces wait for company
-// while all of them have time to spare, up to the fill at which a share of the
-// replicas stays idle; at little load that fill is below one piece, and
-// nothing waits.
-func (p *pool) mayCall(now time.Duration, fill float64, o *Options) bool {
-	if float64(len(p.ready)) >= fill || len(p.order) < fewReplicas {
+// shouldCall reports whether the waiting items may take an idle replica now. A call's fixed
+// time costs as much as dozens of items. If every idle replica got whatever waits, all
+// replicas would be busy with calls that are a third full, and urgent items would wait for a
+// call's end. Items therefore wait for a fuller call while none of them is urgent, up to the
+// fill at which a share of the replicas stays idle. At low load that fill is below one item,
+// and nothing waits.
+func (p *pool) shouldCall(now time.Duration, fill float64, o *Options) bool {
+	if float64(len(p.ready)) >= fill || len(p.replicasByID) < minReplicasToWait {
 		return true
 	}
-	pressing := now + time.Duration(o.UrgentSlack*float64(p.def.CallTime))
-	return slices.ContainsFunc(p.ready, func(x *piece) bool {
-		return x.stage.latest < pressing && x.stage.job.rank < lateRank // what is late already does not press
+	urgentBefore := now + time.Duration(o.UrgentSlack*float64(p.def.CallTime))
+	return slices.ContainsFunc(p.ready, func(x *stageItem) bool {
+		return x.stage.latestStart < urgentBefore && x.stage.job.rank < lateRank // late items are not urgent
 	})
 }
 
-// fill is how many pieces calls must hold for the work that arrives to leave a
-// share of the replicas idle: n pieces a call, of arrivals a second and item
-// seconds each, keep arrivals * (call/n + item) replicas at work.
-func (p *pool) fill(now time.Duration, o *Options) float64 {
-	most := float64(p.def.Batch)
-	arrivals, items := p.load.overtaking(now, math.MaxInt)
-	spare := p.power(now)*o.TargetUtilization - items
+// targetFill returns how many items calls must hold for the arriving work to leave a share of
+// the replicas idle. With n items a call, arrivals a second and item seconds each, arrivals *
+// (call/n + item) replicas are busy.
+func (p *pool) targetFill(now time.Duration, o *Options) float64 {
+	limit := float64(p.def.Batch)
+	arrivals, itemSecondsRate := p.load.arrivalsAhead(now, math.MaxInt)
+	spare := p.effectiveReplicas(now)*o.TargetUtilization - itemSecondsRate
 	if spare <= 0 {
-		return most
+		return limit
 	}
-	return min(arrivals*p.def.CallTime.Seconds()/spare, most)
+	return min(arrivals*p.def.CallTime.Seconds()/spare, limit)
 }
 
-// power is how many replicas of speed 1 a pool's replicas amount to.
-func (p *pool) power(now time.Duration) float64 {
-	power := 0.0
-	for _, r := range p.order {
-		if r.serving(now) && now+soon >= r.restTo {
-			power += 1 / r.speed
+// effectiveReplicas returns the throughput of a pool's replicas as a number of replicas with
+// slowdown 1.
+func (p *pool) effectiveReplicas(now time.Duration) float64 {
+	sum := 0.0
+	for _, r := range p.replicasByID {
+		if r.isServing(now) && now+capacityHorizon >= r.backoffUntil {
+			sum += 1 / r.slowdown
 		}
 	}
-	return power
+	return sum
 }
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -1,15 +1,14 @@
-// Package pipeline decides for the pools of replicas that run the stages of
-// requests: which requests are admitted, which pieces go into which call, to
-// which replica and when.
+// Package pipeline schedules multi-stage requests on pools of replicas. It decides which
+// requests are admitted, which items are batched into which call, and when each call is sent
+// to which replica.
 //
-// One Scheduler owns the replicas it is given. A call costs a fixed time plus
-// that of its pieces, so pieces of all requests are put together; a replica
-// gets its next call when the last one ends, which makes calls as full as the
-// load asks for and no fuller. Room for results counts like time: a batch
-// holds no more than fits, and a result is freed as soon as its last reader
-// has it.
+// One Scheduler owns the replicas that it is given. A call costs a fixed time plus a time per
+// item, so items of all requests share calls. A replica gets its next call when the previous
+// one ends, which makes calls as full as the load requires and no fuller. Result memory is
+// scheduled like time: a batch holds no more results than fit, and a result is freed as soon
+// as its last reader has read it.
 //
-// The scheduler is pure: event and time in, actions out.
+// The scheduler is pure: events and the current time go in, actions come out.
 package pipeline
 
 import (
@@ -21,46 +20,46 @@
 	"quinceroad/state/catalog"
 )
 
-// Item is one piece as a call carries it.
+// Item is one item of a stage as a call carries it.
 type Item struct {
 	RequestID string
 	Stage     int
 	Index     int
-	Left      time.Duration // until the result is of no use
-	Key       string        // for stages without inputs
-	Inputs    []string      // handles of the results it reads
+	Left      time.Duration // until the result is useless
+	Key       string        // set for stages without inputs
+	Inputs    []string      // handles of the results that the item reads
 }
 
-// Reason tells why a piece has no result.
+// Reason says why an item has no result.
 type Reason int
 
 // The reasons.
 const (
 	NoReason     Reason = iota
-	Expired             // its time was over at its turn
-	InputMissing        // a result that it reads is gone
-	MemoryFull          // no room for the result
-	ItemFailed          // it failed
+	Expired             // its deadline passed before it ran
+	InputMissing        // a result that it reads no longer exists
+	MemoryFull          // not enough result memory
+	ItemFailed          // it ran and failed
 )
 
-// Result is what became of one item of a call.
+// Result is the outcome of one item of a call.
 type Result struct {
 	Handle string
 	Reason Reason
 }
 
-// Fate tells what became of a call as a whole.
+// Outcome is how a call ended as a whole.
 type Outcome int
 
-// The fates.
+// The outcomes.
 const (
-	Answered     Outcome = iota // there are results
-	Refused                     // the replica says that it did not run the call
-	WrongReplica                // another replica has the address
+	Answered     Outcome = iota // results were returned
+	Refused                     // the replica reports that it did not run the call
+	WrongReplica                // a different replica has the address
 	Unreachable                 // no connection; nothing was sent
-	Broken                      // sent, and no whole answer came
-	Crashed                     // the same, and the replica has ended
-	TimedOut                    // sent, and no answer came in time
+	Broken                      // sent, but the answer is missing or incomplete
+	Crashed                     // Broken, and the replica's incarnation has ended
+	TimedOut                    // sent, but no answer arrived in time
 )
 
 // Stage is one stage of a job.
@@ -68,81 +67,81 @@
 	Service     string
 	After       []int
 	Items       int
-	ResultBytes int64 // of one result
+	ResultBytes int64 // of one item's result
 }
 
-// Job is a request's stages.
+// Job describes the stages of a request.
 type Job struct {
 	RequestID   string
 	Key         string
 	Customer    string
-	UsualShare  shares.Told   // of that
-	Rank        int           // 0 first
-	Hall        string        // where its results are best made; "" for anywhere
-	Objective   time.Duration // from now, by when the stages should be done
-	Deadline    time.Duration // from now, after which they are of no use
-	Retry       bool          // it came back after a refusal
-	AllowLate   bool          // it may be admitted to be late
-	ReplicaEnds int           // replicas that ended under its request
-	Needs       []shares.Need // of other things than pools, that run short too
+	UsualShare  shares.Told   // of the customer, as reported with the request
+	Rank        int           // 0 is the most urgent
+	Hall        string        // hall in which its results are preferably made; "" for any
+	Objective   time.Duration // from now, by which the stages should be done
+	Deadline    time.Duration // from now, after which the results are useless
+	Retry       bool          // the request was refused before
+	AllowLate   bool          // the job may be admitted although it will be late
+	ReplicaEnds int           // replica incarnations that ended while they ran this request
+	Needs       []shares.Need // scarce resources that the request uses besides pools
 	Stages      []Stage
 }
 
-// Asks reports whether a job has pieces for a service.
+// Uses reports whether the job has items for a service.
 func (j Job) Uses(service string) bool {
 	return slices.ContainsFunc(j.Stages, func(st Stage) bool { return st.Service == service && st.Items > 0 })
 }
 
-// Verdict is the answer to a submitted job.
+// Decision is the answer to a submitted job.
 type Decision struct {
-	ID          uint64 // of the job when it is admitted
+	ID          uint64 // of the job if it is admitted
 	Admitted    bool
-	RetryAfter  time.Duration   // when a refused job may come back
-	Expected    time.Duration   // until its stages are done
-	Uncontended time.Duration   // of Expected: what they take where nothing waits
-	Limit       time.Duration   // that Expected was held against
-	Bottleneck  string          // service whose pool it waits for longest; "" for none
-	Stages      []Forecast      // what Expected is made of, of the stages that have pieces
-	Standing    shares.Standing // within its customer's share
+	RetryAfter  time.Duration   // delay after which a refused job may be submitted again
+	Expected    time.Duration   // until the job's stages are done
+	Uncontended time.Duration   // part of Expected that the stages take without queueing
+	Limit       time.Duration   // upper bound for Expected
+	Bottleneck  string          // service whose pool the job waits for longest; "" for none
+	Stages      []Forecast      // forecast of each stage that has items
+	Standing    shares.Standing // within the customer's share
 }
 
-// Action is what the caller must do; one of the types below.
+// Action is what the caller must do; it is one of the types below.
 type Action interface{ action() }
 
-// Call is sent to a replica; its end is told to Answer.
+// Call is to be sent to a replica; its outcome is passed to FinishCall.
 type Call struct {
 	ID      uint64
 	Service string
-	Replica string // one life's ID
-	Name    string // of the replica, in every life
+	Replica string // ID of the incarnation
+	Name    string // of the replica, the same in every incarnation
 	Address string
 	Items   []Item
 	Timeout time.Duration
 }
 
-// Deliver hands a job the results that its request reads.
+// Deliver hands over the results that the job's request reads.
 type Deliver struct {
 	Job         uint64
 	Handles     []string
-	BytesByHall map[string]int64 // by hall: bytes of these results
+	BytesByHall map[string]int64 // bytes of these results
 }
 
-// Fail ends a job that can't be done.
+// Fail ends a job that can't be completed.
 type Fail struct {
 	Job        uint64
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Free tells a replica which results nobody reads any more.
+// Free releases results at a replica that nothing reads any more.
 type Free struct {
 	Service string
-	Replica string // one life's ID
+	Replica string // ID of the incarnation
 	Address string
 	Handles []string
 }
 
-// Abandon ends a call whose answer is of no use.
+// Cancel aborts a call whose answer is no longer needed.
 type Cancel struct{ Call uint64 }
 
 func (Call) action()    {}
@@ -151,33 +150,33 @@
 func (Free) action()    {}
 func (Cancel) action()  {}
 
-// Scheduler owns the pools' replicas. It is not safe for concurrent use.
+// Scheduler owns the replicas of its pools. It is not safe for concurrent use.
 type Scheduler struct {
-	opts    Options
-	pools   map[string]*pool
-	order   []*pool // the same, by name
-	jobs    map[uint64]*job
-	calls   map[uint64]*call
-	next    uint64
-	returns map[int]*returns // by rank
-	shares  *shares.Table
-	out     []Action
-	paced   bool // some replica stated a limit when that was asked last
+	opts        Options
+	pools       map[string]*pool
+	poolsByName []*pool // the values of pools, sorted by name
+	jobs        map[uint64]*job
+	calls       map[uint64]*call
+	lastID      uint64
+	lateStats   map[int]*lateStats // by rank
+	shares      *shares.Table
+	actions     []Action
+	rateLimited bool // whether any replica had a rate limit at the last check
 }
 
 // New returns a scheduler without pools.
 func New(opts ...Option) *Scheduler {
 	return &Scheduler{
-		opts:    newOptions(opts),
-		pools:   make(map[string]*pool),
-		jobs:    make(map[uint64]*job),
-		calls:   make(map[uint64]*call),
-		returns: make(map[int]*returns),
-		shares:  shares.New(shares.Standard()),
+		opts:      newOptions(opts),
+		pools:     make(map[string]*pool),
+		jobs:      make(map[uint64]*job),
+		calls:     make(map[uint64]*call),
+		lateStats: make(map[int]*lateStats),
+		shares:    shares.New(shares.Standard()),
 	}
 }
 
-// SetPools takes the services and their replicas into force.
+// SetPools updates the services that have pools and replaces the list of replicas.
 func (s *Scheduler) SetPools(now time.Duration, services map[string]*catalog.Service, replicas []catalog.Replica) []Action {
 	for name, service := range services {
 		if service.Pool == nil {
@@ -187,15 +186,15 @@
 		if p == nil {
 			p = newPool(name)
 			s.pools[name] = p
-			s.order = append(s.order, p)
+			s.poolsByName = append(s.poolsByName, p)
 		}
 		p.def = *service.Pool
-		p.most = 0
+		p.warmUpRate = 0
 		if service.WarmUp != nil {
-			p.most = s.opts.WarmUpLimit.Most(service.WarmUp.PerSecond)
+			p.warmUpRate = s.opts.WarmUpLimit.Most(service.WarmUp.PerSecond)
 		}
 	}
-	slices.SortFunc(s.order, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(s.poolsByName, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
 	listed := make(map[string]bool, len(replicas))
 	for _, r := range replicas {
 		p := s.pools[r.Service]
@@ -203,133 +202,133 @@
 			continue
 		}
 		listed[r.ID] = true
-		p.put(r)
+		p.upsert(r)
 	}
-	for _, p := range s.order {
-		p.dropUnlisted(listed)
+	for _, p := range s.poolsByName {
+		p.removeUnlisted(listed)
 	}
 	s.dispatchAll(now)
-	return s.take()
+	return s.takeActions()
 }
 
-// Leaving notes that a replica says, by whatever sign, that it leaves.
+// MarkDraining records that a replica has announced that it is draining.
 func (s *Scheduler) MarkDraining(id string) {
-	for _, p := range s.order {
+	for _, p := range s.poolsByName {
 		if r := p.replicas[id]; r != nil {
-			r.leaving = true
+			r.draining = true
 		}
 	}
 }
 
-// Rests notes until when a replica wants nothing. It counts as one that is free
-// then, so that what has time waits for it and the rest is refused.
+// SetBackoff records until when a replica accepts no calls. It counts as free from then on, so
+// jobs that have the time wait for it and others are refused.
 func (s *Scheduler) SetBackoff(id string, until time.Duration) {
-	for _, p := range s.order {
+	for _, p := range s.poolsByName {
 		if r := p.replicas[id]; r != nil {
-			r.restTo = max(r.restTo, until)
+			r.backoffUntil = max(r.backoffUntil, until)
 		}
 	}
 }
 
-// Seen takes in what a replica tells of itself: its free room, and whether it
-// is at work. It matters where another owner has used the replica lately.
-func (s *Scheduler) RecordReplicaState(now time.Duration, id string, free int64, atWork bool) {
-	for _, p := range s.order {
+// RecordReplicaState takes the free result memory that a replica reports and whether it is
+// running a call. This matters where another owner has used the replica recently.
+func (s *Scheduler) RecordReplicaState(now time.Duration, id string, freeBytes int64, busy bool) {
+	for _, p := range s.poolsByName {
 		r := p.replicas[id]
 		if r == nil {
 			continue
 		}
-		r.unknown = max(p.def.Room-free-r.held, 0)
-		r.shownAt = now
-		if atWork && r.call == nil {
-			r.pausedTo = max(r.pausedTo, now+p.def.CallTime)
+		r.foreignBytes = max(p.def.Room-freeBytes-r.heldBytes, 0)
+		r.foreignAt = now
+		if busy && r.call == nil {
+			r.pausedUntil = max(r.pausedUntil, now+p.def.CallTime)
 		}
 	}
 }
 
-// Submit decides on a job. An admitted one is ended by a Deliver or Fail, and
-// by Release in any case.
+// Submit decides on a job. An admitted job ends with a Deliver or Fail action, and Release
+// must be called for it in any case.
 func (s *Scheduler) Submit(now time.Duration, j Job) (Decision, []Action) {
 	job, ok := s.newJob(now, j)
 	if !ok {
 		return Decision{RetryAfter: s.opts.DefaultRetryAfter, Standing: shares.Standing{Within: true}}, nil
 	}
-	standing := s.stand(now, job)
-	verdict := s.judge(now, job)
-	verdict.Standing = standing
-	if verdict.Expected > verdict.Limit {
-		verdict.RetryAfter = s.retryAfter(verdict)
-		return verdict, nil
+	standing := s.checkShare(now, job)
+	decision := s.decide(now, job)
+	decision.Standing = standing
+	if decision.Expected > decision.Limit {
+		decision.RetryAfter = s.retryAfter(decision)
+		return decision, nil
 	}
-	if !job.surplus {
+	if !job.overShare {
 		s.shares.Serve(job.Customer, job.Rank, job.Needs)
 	}
-	s.next++
-	job.id = s.next
+	s.lastID++
+	job.id = s.lastID
 	s.jobs[job.id] = job
 	s.admit(now, job)
 	s.dispatchAll(now)
-	verdict.ID, verdict.Admitted = job.id, true
-	return verdict, s.take()
+	decision.ID, decision.Admitted = job.id, true
+	return decision, s.takeActions()
 }
 
-// Release ends a job: its request has read the results, or wants none.
+// Release ends a job: its request has read the results or no longer needs them.
 func (s *Scheduler) Release(now time.Duration, id uint64) []Action {
 	if j := s.jobs[id]; j != nil {
 		s.remove(now, j)
 	}
 	s.dispatchAll(now)
-	return s.take()
+	return s.takeActions()
 }
 
-// Tick does what is due by time alone; call it some times a second.
+// Tick does what is due by time alone; call it several times a second.
 func (s *Scheduler) Tick(now time.Duration) []Action {
-	s.overdueCalls(now)
-	s.holdBack(now)
-	s.hopelessJobs(now)
-	s.expireRoom(now)
-	for _, p := range s.order {
-		for _, r := range p.order {
-			r.expire(now)
+	s.retryOverdueCalls(now)
+	s.throttle(now)
+	s.endHopelessJobs(now)
+	s.expireMemory(now)
+	for _, p := range s.poolsByName {
+		for _, r := range p.replicasByID {
+			r.expireResults(now)
 		}
 	}
 	s.dispatchAll(now)
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *Scheduler) take() []Action {
-	out := s.out
-	s.out = nil
+func (s *Scheduler) takeActions() []Action {
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *Scheduler) act(a Action) { s.out = append(s.out, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Empty reports whether it knows of no pool.
+// Empty reports whether the scheduler has no pools.
 func (s *Scheduler) Empty() bool { return len(s.pools) == 0 }
 
-// Jobs returns the number of jobs under way.
+// Jobs returns the number of admitted jobs that have not ended.
 func (s *Scheduler) Jobs() int { return len(s.jobs) }
 
-// PoolState is what a scheduler knows of a pool, for the dump of state.
+// PoolState describes a pool in the state dump.
 type PoolState struct {
 	Service string
-	Waiting int           // pieces
-	Clear   time.Duration // until all that is admitted is through
-	AtWork  int           // replicas with a call
+	Waiting int           // items
+	Clear   time.Duration // time until all admitted work is done
+	AtWork  int           // replicas that run a call
 	Serving int           // replicas that count as capacity
 }
 
-// Pools returns the state of the pools, by name.
+// Pools returns the state of each pool, sorted by name.
 func (s *Scheduler) Pools(now time.Duration) []PoolState {
 	var out []PoolState
-	for _, p := range s.order {
-		st := PoolState{Service: p.name, Waiting: len(p.ready), Clear: p.clear(now)}
-		for _, r := range p.order {
+	for _, p := range s.poolsByName {
+		st := PoolState{Service: p.name, Waiting: len(p.ready), Clear: p.drainTime(now)}
+		for _, r := range p.replicasByID {
 			if r.call != nil {
 				st.AtWork++
 			}
-			if r.serving(now) {
+			if r.isServing(now) {
 				st.Serving++
 			}
 		}
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -15,11 +15,11 @@
 
 const ms = time.Millisecond
 
-// pools: read has two replicas in two halls, rank one in each too.
+// services returns the pools read and rank; each has one replica in each of two halls.
 func services() map[string]*catalog.Service {
-	pool := func(batch int, room int64) *catalog.Service {
+	pool := func(batch int, memory int64) *catalog.Service {
 		return &catalog.Service{Pool: &catalog.Pool{
-			Slots: 1, Queue: 2, Batch: batch, CallTime: 200 * ms, ItemTime: 20 * ms, Room: room, HoldFor: 4 * time.Second,
+			Slots: 1, Queue: 2, Batch: batch, CallTime: 200 * ms, ItemTime: 20 * ms, Room: memory, HoldFor: 4 * time.Second,
 		}}
 	}
 	return map[string]*catalog.Service{"read": pool(4, 4_000_000), "rank": pool(8, 8_000_000), "plain": {}}
@@ -36,76 +36,76 @@
 	return out
 }
 
-// bench drives a scheduler: it keeps the calls under way and what was delivered.
-type bench struct {
-	t         *testing.T
-	s         *Scheduler
-	now       time.Duration
-	calls     map[string]Call // by replica
-	delivered map[uint64][]string
-	failed    map[uint64]Fail
-	freed     []string
-	made      int
+// harness drives a scheduler and records running calls, results and failures.
+type harness struct {
+	t          *testing.T
+	s          *Scheduler
+	now        time.Duration
+	calls      map[string]Call // by replica
+	delivered  map[uint64][]string
+	failed     map[uint64]Fail
+	freed      []string
+	lastHandle int
 }
 
-func newBench(t *testing.T, opts ...Option) *bench {
-	b := &bench{t: t, s: New(opts...), calls: make(map[string]Call), delivered: make(map[uint64][]string), failed: make(map[uint64]Fail)}
-	b.do(b.s.SetPools(0, services(), replicas()))
-	return b
+func newHarness(t *testing.T, opts ...Option) *harness {
+	h := &harness{t: t, s: New(opts...), calls: make(map[string]Call), delivered: make(map[uint64][]string), failed: make(map[uint64]Fail)}
+	h.apply(h.s.SetPools(0, services(), replicas()))
+	return h
 }
 
-func (b *bench) do(actions []Action) {
+func (h *harness) apply(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Call:
-			if c, busy := b.calls[a.Replica]; busy {
-				b.t.Errorf("%s got call %d while call %d is at work", a.Replica, a.ID, c.ID)
+			if c, busy := h.calls[a.Replica]; busy {
+				h.t.Errorf("%s got call %d while call %d is running", a.Replica, a.ID, c.ID)
 			}
-			b.calls[a.Replica] = a
+			h.calls[a.Replica] = a
 		case Deliver:
-			if _, twice := b.delivered[a.Job]; twice {
-				b.t.Errorf("job %d was delivered twice", a.Job)
+			if _, twice := h.delivered[a.Job]; twice {
+				h.t.Errorf("job %d was delivered twice", a.Job)
 			}
-			b.delivered[a.Job] = a.Handles
+			h.delivered[a.Job] = a.Handles
 		case Fail:
-			b.failed[a.Job] = a
+			h.failed[a.Job] = a
 		case Free:
-			b.freed = append(b.freed, a.Handles...)
+			h.freed = append(h.freed, a.Handles...)
 		}
 	}
 }
 
-func (b *bench) submit(j Job) Decision {
-	v, actions := b.s.Submit(b.now, j)
-	b.do(actions)
+func (h *harness) submit(j Job) Decision {
+	v, actions := h.s.Submit(h.now, j)
+	h.apply(actions)
 	return v
 }
 
-// answer ends a replica's call; reasons are those of its first items.
-func (b *bench) answer(replica string, fate Outcome, reasons ...Reason) {
-	b.t.Helper()
-	c, ok := b.calls[replica]
+// answer ends a replica's call; reasons apply to its first items.
+func (h *harness) answer(replica string, outcome Outcome, reasons ...Reason) {
+	h.t.Helper()
+	c, ok := h.calls[replica]
 	if !ok {
-		b.t.Fatalf("%s has no call", replica)
+		h.t.Fatalf("%s has no call", replica)
 	}
-	delete(b.calls, replica)
+	delete(h.calls, replica)
 	var results []Result
-	if fate == Answered {
+	if outcome == Answered {
 		for i := range c.Items {
-			b.made++
-			r := Result{Handle: fmt.Sprintf("%s/%d", replica, b.made)}
+			h.lastHandle++
+			r := Result{Handle: fmt.Sprintf("%s/%d", replica, h.lastHandle)}
 			if i < len(reasons) && reasons[i] != NoReason {
 				r = Result{Reason: reasons[i]}
 			}
 			results = append(results, r)
 		}
 	}
-	b.do(b.s.FinishCall(b.now, c.ID, fate, results))
+	h.apply(h.s.FinishCall(h.now, c.ID, outcome, results))
 }
 
-// atWork returns a replica of a service that has a call; "" when none has.
-func (b *bench) atWork(service string) string {
-	for id := range b.calls {
+// busyReplica returns a replica of the service that has a call, or "".
+func (h *harness) busyReplica(service string) string {
+	for id := range h.calls {
 		if strings.HasPrefix(id, service) {
 			return id
 		}
@@ -113,10 +113,10 @@
 	return ""
 }
 
-// working returns how many replicas of a service have a call.
-func (b *bench) working(service string) int {
+// busyReplicas returns how many replicas of the service have a call.
+func (h *harness) busyReplicas(service string) int {
 	n := 0
-	for id := range b.calls {
+	for id := range h.calls {
 		if strings.HasPrefix(id, service) {
 			n++
 		}
@@ -124,107 +124,107 @@
 	return n
 }
 
-func (b *bench) tick(d time.Duration) {
-	b.now += d
-	b.do(b.s.Tick(b.now))
+func (h *harness) tick(d time.Duration) {
+	h.now += d
+	h.apply(h.s.Tick(h.now))
 }
 
-func newTestJob(id string, pieces int) Job {
+func newTestJob(id string, items int) Job {
 	return Job{
 		RequestID: id, Key: "key-" + id, Objective: 2 * time.Second, Deadline: 8 * time.Second,
-		Stages: []Stage{{Service: "read", Items: pieces, ResultBytes: 10_000}},
+		Stages: []Stage{{Service: "read", Items: items, ResultBytes: 10_000}},
 	}
 }
 
-func TestPiecesOfManyRequestsShareACall(t *testing.T) {
+func TestItemsOfManyRequestsShareACall(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	for i := range 2 { // both replicas get work at once
-		is.True(b.submit(newTestJob(fmt.Sprint("first", i), 1)).Admitted)
+	h := newHarness(t)
+	for i := range 2 { // keep both replicas busy
+		is.True(h.submit(newTestJob(fmt.Sprint("first", i), 1)).Admitted)
 	}
 	for i := range 4 {
-		b.submit(newTestJob(fmt.Sprint("next", i), 1))
+		h.submit(newTestJob(fmt.Sprint("next", i), 1))
 	}
-	b.now = 220 * ms
-	b.answer("read-a", Answered)
-	is.Equal(len(b.calls["read-a"].Items), 4) // all that waited, in one call
+	h.now = 220 * ms
+	h.answer("read-a", Answered)
+	is.Equal(len(h.calls["read-a"].Items), 4) // all waiting items in one call
 }
 
 func TestStagesFollowEachOtherAndResultsAreFreed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	j := newTestJob("r", 2)
 	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
-	v := b.submit(j)
+	v := h.submit(j)
 	is.True(v.Admitted)
 	replica := "read-a"
-	if _, ok := b.calls[replica]; !ok {
+	if _, ok := h.calls[replica]; !ok {
 		replica = "read-b"
 	}
-	is.Equal(b.calls[replica].Items[0].Key, "key-r")
-	b.now = 240 * ms
-	b.answer(replica, Answered)
+	is.Equal(h.calls[replica].Items[0].Key, "key-r")
+	h.now = 240 * ms
+	h.answer(replica, Answered)
 	next := "rank-a"
-	if _, ok := b.calls[next]; !ok {
+	if _, ok := h.calls[next]; !ok {
 		next = "rank-b"
 	}
-	is.Equal(len(b.calls[next].Items[0].Inputs), 2)
-	is.Equal(b.calls[next].Items[0].Key, "") // only stages without inputs carry it
-	b.now = 480 * ms
-	b.answer(next, Answered)
-	is.Equal(len(b.delivered[v.ID]), 1)
-	is.Equal(len(b.freed), 2) // the inputs, their last reader has them
-	b.do(b.s.Release(b.now, v.ID))
-	is.Equal(len(b.freed), 3)
-	is.Equal(b.s.Jobs(), 0)
-}
-
-func TestAPieceOfALostCallRunsElsewhere(t *testing.T) {
-	for _, fate := range []Outcome{Refused, WrongReplica, Unreachable, Broken, TimedOut} {
-		b := newBench(t)
-		v := b.submit(newTestJob("r", 1))
+	is.Equal(len(h.calls[next].Items[0].Inputs), 2)
+	is.Equal(h.calls[next].Items[0].Key, "") // only set for stages without inputs
+	h.now = 480 * ms
+	h.answer(next, Answered)
+	is.Equal(len(h.delivered[v.ID]), 1)
+	is.Equal(len(h.freed), 2) // the inputs, as their last reader is done
+	h.apply(h.s.Release(h.now, v.ID))
+	is.Equal(len(h.freed), 3)
+	is.Equal(h.s.Jobs(), 0)
+}
+
+func TestItemsOfAFailedCallRunElsewhere(t *testing.T) {
+	for _, outcome := range []Outcome{Refused, WrongReplica, Unreachable, Broken, TimedOut} {
+		h := newHarness(t)
+		v := h.submit(newTestJob("r", 1))
 		first, second := "read-a", "read-b"
-		if _, ok := b.calls[first]; !ok {
+		if _, ok := h.calls[first]; !ok {
 			first, second = second, first
 		}
-		b.answer(first, fate)
-		if _, ok := b.calls[second]; !ok {
-			t.Fatalf("fate %d: the piece is not sent elsewhere", fate)
+		h.answer(first, outcome)
+		if _, ok := h.calls[second]; !ok {
+			t.Fatalf("outcome %d: the item is not sent elsewhere", outcome)
 		}
-		b.answer(second, Answered)
-		if len(b.delivered[v.ID]) != 1 {
-			t.Errorf("fate %d: not delivered", fate)
+		h.answer(second, Answered)
+		if len(h.delivered[v.ID]) != 1 {
+			t.Errorf("outcome %d: not delivered", outcome)
 		}
 	}
 }
 
-func TestACallThatTakesTooLongIsRunElsewhereToo(t *testing.T) {
+func TestOverdueCallIsAlsoRunElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	v := b.submit(newTestJob("r", 1))
+	h := newHarness(t)
+	v := h.submit(newTestJob("r", 1))
 	first, second := "read-a", "read-b"
-	if _, ok := b.calls[first]; !ok {
+	if _, ok := h.calls[first]; !ok {
 		first, second = second, first
 	}
-	b.tick(time.Second)
-	_, ok := b.calls[second]
+	h.tick(time.Second)
+	_, ok := h.calls[second]
 	is.True(ok)
-	b.answer(second, Answered)
-	is.Equal(len(b.delivered[v.ID]), 1)
-	b.answer(first, Answered) // late, of no use
-	is.Equal(len(b.freed), 1)
+	h.answer(second, Answered)
+	is.Equal(len(h.delivered[v.ID]), 1)
+	h.answer(first, Answered) // too late to be used
+	is.Equal(len(h.freed), 1)
 }
 
-func TestAGoneInputIsMadeAgain(t *testing.T) {
+func TestMissingInputIsRecomputed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	j := newTestJob("r", 1)
 	j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
-	v := b.submit(j)
+	v := h.submit(j)
 	run := func(service string, reasons ...Reason) {
 		for _, hall := range []string{"a", "b"} {
-			if _, ok := b.calls[service+"-"+hall]; ok {
-				b.answer(service+"-"+hall, Answered, reasons...)
+			if _, ok := h.calls[service+"-"+hall]; ok {
+				h.answer(service+"-"+hall, Answered, reasons...)
 				return
 			}
 		}
@@ -234,112 +234,113 @@
 	run("rank", InputMissing)
 	run("read")
 	run("rank")
-	is.Equal(len(b.delivered[v.ID]), 1)
+	is.Equal(len(h.delivered[v.ID]), 1)
 }
 
-// A scale day of kld held 119 requests to their deadline behind those in time.
-func TestALateJobThatNobodyBeganEndsAtItsObjective(t *testing.T) {
+// Late jobs that had not started used to wait until their deadline behind jobs that were in
+// time: 119 requests in one large test run.
+func TestUnstartedJobEndsAtItsObjective(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, WithObjectiveMargin(100))
+	h := newHarness(t, WithObjectiveMargin(100))
 	for i := range 2 {
-		b.submit(newTestJob(fmt.Sprint("first", i), 4))
+		h.submit(newTestJob(fmt.Sprint("first", i), 4))
 	}
-	late := b.submit(newTestJob("late", 1))
+	late := h.submit(newTestJob("late", 1))
 	is.True(late.Admitted)
-	b.tick(2100 * ms)
-	_, ended := b.failed[late.ID]
+	h.tick(2100 * ms)
+	_, ended := h.failed[late.ID]
 	is.True(ended)
 }
 
-func TestALateJobUnderWayGoesOnBehindTheOthersForAWhile(t *testing.T) {
+func TestStartedLateJobContinuesForTheGracePeriod(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	v := b.submit(newTestJob("r", 1))
-	b.tick(2100 * ms)
-	_, ended := b.failed[v.ID]
+	h := newHarness(t)
+	v := h.submit(newTestJob("r", 1))
+	h.tick(2100 * ms)
+	_, ended := h.failed[v.ID]
 	is.True(!ended)
-	b.tick(1600 * ms)
-	_, ended = b.failed[v.ID]
+	h.tick(1600 * ms)
+	_, ended = h.failed[v.ID]
 	is.True(ended)
 }
 
-// After all instances were killed, replicas still held the results of an owner
-// that was gone: calls of eight pieces found room for one.
-// A job whose stages have not begun by the time at which they must is given up
-// at once: its client is told before its time is over.
-func TestAJobThatCanNotBeInTimeAnyMoreIsGivenUpAtOnce(t *testing.T) {
+// An unstarted job fails at the latest time at which its stages could start, so that its
+// client learns this before the deadline.
+func TestUnstartedJobFailsAtItsLatestStart(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.submit(newTestJob("a", 1))
-	b.submit(newTestJob("b", 1)) // both replicas are at work, and never answer
-	waits := b.submit(newTestJob("waits", 1))
+	h := newHarness(t)
+	h.submit(newTestJob("a", 1))
+	h.submit(newTestJob("b", 1)) // both replicas are busy and never answer
+	waits := h.submit(newTestJob("waits", 1))
 	is.True(waits.Admitted)
-	latest := 2*time.Second - b.s.jobs[waits.ID].stages[0].duration()
-	b.tick(latest)
-	is.Equal(b.failed[waits.ID].Reason, "")
-	b.tick(10 * ms)
-	is.Equal(b.failed[waits.ID].Reason, "late")
-	is.True(b.failed[waits.ID].RetryAfter > 0)
+	latest := 2*time.Second - h.s.jobs[waits.ID].stages[0].duration()
+	h.tick(latest)
+	is.Equal(h.failed[waits.ID].Reason, "")
+	h.tick(10 * ms)
+	is.Equal(h.failed[waits.ID].Reason, "late")
+	is.True(h.failed[waits.ID].RetryAfter > 0)
 }
 
-// One that has begun goes on behind those that can still be in time.
-func TestAJobUnderWayThatWillBeLateStandsBack(t *testing.T) {
+// A started job continues behind those that can still be in time.
+func TestStartedJobThatWillBeLateIsDemoted(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	late := newTestJob("late", 1)
 	late.Stages = append(late.Stages, Stage{Service: "rank", After: []int{0}, Items: 1, ResultBytes: 10_000})
-	v := b.submit(late)
+	v := h.submit(late)
 	is.True(v.Admitted)
 	first := "read-a"
-	if _, ok := b.calls[first]; !ok {
+	if _, ok := h.calls[first]; !ok {
 		first = "read-b"
 	}
-	b.tick(1900 * ms) // its second stage can't end in time, though the job is not due yet
-	is.Equal(b.s.jobs[v.ID].rank, lateRank)
-	is.Equal(b.failed[v.ID].Reason, "")
-	b.answer(first, Answered)
-	is.True(len(b.calls) > 0) // it goes on while nobody else waits
+	h.tick(1900 * ms) // its second stage can't end in time, although the job is not due yet
+	is.Equal(h.s.jobs[v.ID].rank, lateRank)
+	is.Equal(h.failed[v.ID].Reason, "")
+	h.answer(first, Answered)
+	is.True(len(h.calls) > 0) // it continues while nothing else waits
 }
 
-func TestRoomThatOthersHoldIsLearnt(t *testing.T) {
+// After all instances were killed, replicas still held the results of a previous owner, and calls
+// of eight items found memory for one.
+func TestMemoryHeldByOthersIsInferred(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	big := func(id string) Job {
 		j := newTestJob(id, 4)
 		j.Stages[0].ResultBytes = 1_000_000
 		j.Hall = "a"
 		return j
 	}
-	b.submit(big("r"))
-	is.Equal(len(b.calls["read-a"].Items), 4)
-	b.now = 210 * ms
-	b.answer("read-a", Answered, NoReason, MemoryFull, MemoryFull, MemoryFull)
-	b.tick(150 * ms)
+	h.submit(big("r"))
+	is.Equal(len(h.calls["read-a"].Items), 4)
+	h.now = 210 * ms
+	h.answer("read-a", Answered, NoReason, MemoryFull, MemoryFull, MemoryFull)
+	h.tick(150 * ms)
 	for i := range 4 {
-		b.submit(big(fmt.Sprint(i)))
+		h.submit(big(fmt.Sprint(i)))
 	}
-	for replica, c := range b.calls {
-		is.True(replica != "read-a" || len(c.Items) == 0) // room for four: one taken, others hold three
+	for replica, c := range h.calls {
+		is.True(replica != "read-a" || len(c.Items) == 0) // memory for four results: one is held, three belong to others
 	}
-	b.tick(2100 * ms) // half of what they held has run out
-	is.Equal(len(b.calls["read-a"].Items), 1)
+	h.tick(2100 * ms) // half of the foreign results have expired
+	is.Equal(len(h.calls["read-a"].Items), 1)
 }
 
-func TestRoomBoundsACall(t *testing.T) {
+func TestResultMemoryBoundsACall(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	j := newTestJob("r", 4)
 	j.Stages[0].ResultBytes = 1_500_000 // two fit
-	b.submit(j)
-	is.True(len(b.calls["read-a"].Items) <= 2)
+	h.submit(j)
+	is.True(len(h.calls["read-a"].Items) <= 2)
 }
 
-func TestMoreThanThePoolCanDoIsRefusedAtOnceWithATime(t *testing.T) {
+func TestExcessLoadIsRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	refused := 0
 	for i := range 60 {
-		v := b.submit(newTestJob(fmt.Sprint(i), 4))
+		v := h.submit(newTestJob(fmt.Sprint(i), 4))
 		if v.Admitted {
 			continue
 		}
@@ -352,33 +353,33 @@
 
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	for i := range 2 {
-		b.submit(newTestJob(fmt.Sprint("first", i), 4))
+		h.submit(newTestJob(fmt.Sprint("first", i), 4))
 	}
 	for i := range 3 {
 		j := newTestJob(fmt.Sprint("low", i), 4)
 		j.Rank = 2
-		b.submit(j)
+		h.submit(j)
 	}
-	b.submit(newTestJob("high", 1))
-	b.now = 280 * ms
-	b.answer("read-a", Answered)
-	is.Equal(b.calls["read-a"].Items[0].RequestID, "high")
+	h.submit(newTestJob("high", 1))
+	h.now = 280 * ms
+	h.answer("read-a", Answered)
+	is.Equal(h.calls["read-a"].Items[0].RequestID, "high")
 }
 
-func TestPiecesRunInTheHallOfWhatTheyRead(t *testing.T) {
+func TestItemsRunInTheHallOfTheirInputs(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	for i := range 6 {
 		j := newTestJob(fmt.Sprint(i), 1)
 		j.Stages[0].ResultBytes = 400_000
 		j.Stages = append(j.Stages, Stage{Service: "rank", After: []int{0}, Items: 2, ResultBytes: 1000})
-		b.submit(j)
+		h.submit(j)
 	}
 	for range 8 {
 		for _, r := range []string{"read-a", "read-b", "rank-a", "rank-b"} {
-			c, ok := b.calls[r]
+			c, ok := h.calls[r]
 			if !ok {
 				continue
 			}
@@ -387,320 +388,319 @@
 					is.Equal(in[len("read-")], r[len("rank-")])
 				}
 			}
-			b.now += 60 * ms
-			b.answer(r, Answered)
+			h.now += 60 * ms
+			h.answer(r, Answered)
 		}
 	}
-	is.Equal(len(b.delivered), 6)
+	is.Equal(len(h.delivered), 6)
 }
 
-func TestALeavingReplicaGetsNothing(t *testing.T) {
+func TestDrainingReplicaGetsNoCalls(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.s.MarkDraining("read-a")
+	h := newHarness(t)
+	h.s.MarkDraining("read-a")
 	for i := range 4 {
-		b.submit(newTestJob(fmt.Sprint(i), 2))
+		h.submit(newTestJob(fmt.Sprint(i), 2))
 	}
-	_, ok := b.calls["read-a"]
+	_, ok := h.calls["read-a"]
 	is.True(!ok)
 	list := replicas()
-	b.do(b.s.SetPools(b.now, services(), list)) // a lagging list does not bring it back
-	_, ok = b.calls["read-a"]
+	h.apply(h.s.SetPools(h.now, services(), list)) // a stale list does not undo the drain
+	_, ok = h.calls["read-a"]
 	is.True(!ok)
 }
 
-// A new owner met replicas that the last one had left full or at work.
-func TestANewOwnerLeavesWhatTheLastOneLeft(t *testing.T) {
+// A new owner finds replicas that are full or busy because of the previous one.
+func TestNewOwnerRespectsCallsAndResultsOfThePreviousOne(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.s.RecordReplicaState(0, "read-a", 1_000_000, false) // one of four megabytes is free
-	b.s.RecordReplicaState(0, "read-b", 4_000_000, true)  // at work for somebody else
+	h := newHarness(t)
+	h.s.RecordReplicaState(0, "read-a", 1_000_000, false) // one of four megabytes is free
+	h.s.RecordReplicaState(0, "read-b", 4_000_000, true)  // busy for another owner
 	j := newTestJob("r", 4)
 	j.Stages[0].ResultBytes = 1_000_000
-	b.submit(j)
-	is.Equal(len(b.calls["read-a"].Items), 1)
-	_, ok := b.calls["read-b"]
+	h.submit(j)
+	is.Equal(len(h.calls["read-a"].Items), 1)
+	_, ok := h.calls["read-b"]
 	is.True(!ok)
-	b.tick(210 * ms)
-	is.True(len(b.calls["read-b"].Items) > 0)
+	h.tick(210 * ms)
+	is.True(len(h.calls["read-b"].Items) > 0)
 }
 
-// When the owner changed on a rolling restart, the new one saw every replica at
-// work for the last one and refused all requests for want of replicas.
-func TestReplicasAtWorkForAnotherOwnerAreCapacity(t *testing.T) {
+// When the owner changed during a rolling restart, the new owner found every replica busy for
+// the previous one and refused all requests for lack of replicas.
+func TestReplicasBusyForAnotherOwnerAreCapacity(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	for _, r := range replicas() {
-		b.s.RecordReplicaState(b.now, r.ID, 4_000_000, true)
+		h.s.RecordReplicaState(h.now, r.ID, 4_000_000, true)
 	}
-	v := b.submit(newTestJob("r", 1))
+	v := h.submit(newTestJob("r", 1))
 	is.True(v.Admitted)
-	is.True(v.Expected > 200*ms) // they are waited for
-	is.Equal(len(b.calls), 0)
-	b.tick(250 * ms)
-	is.Equal(len(b.calls), 1)
+	is.True(v.Expected > 200*ms) // includes the wait for the replicas
+	is.Equal(len(h.calls), 0)
+	h.tick(250 * ms)
+	is.Equal(len(h.calls), 1)
 }
 
-// A pool whose replicas have all just said that they are full has room soon;
-// one whose replicas all fail has none.
-func TestFullReplicasAreCapacityFailingOnesAreNot(t *testing.T) {
+// Replicas that have just refused calls because they are full will be free soon and count as
+// capacity; failing replicas don't.
+func TestFullReplicasAreCapacityButFailingOnesAreNot(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		fate     Outcome
 		admitted bool
 	}{{Refused, true}, {Broken, false}} {
-		b := newBench(t)
+		h := newHarness(t)
 		for _, r := range []string{"read-a", "read-b"} {
-			for range 2 { // its second failure makes a longer pause
-				b.submit(newTestJob("a", 1))
-				b.submit(newTestJob("b", 1))
-				if _, ok := b.calls[r]; ok {
-					b.answer(r, c.fate)
+			for range 2 { // the second failure extends the pause
+				h.submit(newTestJob("a", 1))
+				h.submit(newTestJob("b", 1))
+				if _, ok := h.calls[r]; ok {
+					h.answer(r, c.fate)
 				}
 			}
 		}
-		is.Equal(b.submit(newTestJob("next", 1)).Admitted, c.admitted)
+		is.Equal(h.submit(newTestJob("next", 1)).Admitted, c.admitted)
 	}
 }
 
-// What is less urgent is overtaken by what is more urgent and arrives later:
-// what arrived lately tells how much of that there will be.
-func TestAdmissionForeseesThatItIsOvertaken(t *testing.T) {
+// Less urgent jobs are overtaken by more urgent ones that arrive later. The forecast must
+// include these, based on recent arrivals.
+func TestForecastIncludesMoreUrgentArrivals(t *testing.T) {
 	is := is.New(t)
-	urgentEach := func(each time.Duration) Decision {
-		b := newBench(t)
-		for b.now = 0; b.now < 4*time.Second; b.now += 50 * ms {
-			if each > 0 && b.now%each == 0 {
-				j := newTestJob(fmt.Sprint(b.now), 3)
+	decideWithUrgent := func(interval time.Duration) Decision {
+		h := newHarness(t)
+		for h.now = 0; h.now < 4*time.Second; h.now += 50 * ms {
+			if interval > 0 && h.now%interval == 0 {
+				j := newTestJob(fmt.Sprint(h.now), 3)
 				j.Rank = 1
-				b.submit(j)
+				h.submit(j)
 			}
-			for replica, c := range b.calls {
-				if b.now-b.s.calls[c.ID].sent >= 250*ms {
-					b.answer(replica, Answered)
+			for replica, c := range h.calls {
+				if h.now-h.s.calls[c.ID].sentAt >= 250*ms {
+					h.answer(replica, Answered)
 				}
 			}
-			b.tick(0)
+			h.tick(0)
 		}
-		for range 3 { // what waits there already
+		for range 3 { // already waiting
 			j := newTestJob("waits", 4)
 			j.Rank = 2
-			b.submit(j)
+			h.submit(j)
 		}
 		j := newTestJob("asks", 2)
 		j.Rank = 2
-		return b.submit(j)
+		return h.submit(j)
 	}
-	quiet, busy := urgentEach(0), urgentEach(200*ms)
+	quiet, busy := decideWithUrgent(0), decideWithUrgent(200*ms)
 	is.True(quiet.Admitted)
 	is.True(busy.Expected > quiet.Expected*3/2)
 }
 
-// A large result that only the request reads lay for a second and more in its
-// replica's room while the job's other stages ran, and others found none.
-func TestLargeResultsAreMadeWhenTheRequestIsAboutToReadThem(t *testing.T) {
+// A large result that only the request reads used to occupy its replica's memory for more than
+// a second while the job's other stages ran, and other jobs found no memory.
+func TestLargeResultsAreMadeShortlyBeforeTheyAreRead(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	j := newTestJob("r", 1)
 	j.Stages[0].ResultBytes = 1_000_000 // read by the request alone
 	j.Stages = append(j.Stages, Stage{Service: "rank", Items: 1, ResultBytes: 10_000},
 		Stage{Service: "rank", After: []int{1}, Items: 1, ResultBytes: 10_000},
 		Stage{Service: "rank", After: []int{2}, Items: 1, ResultBytes: 10_000})
-	is.True(b.submit(j).Admitted)
+	is.True(h.submit(j).Admitted)
 	for stage := 1; stage < 3; stage++ {
-		is.Equal(b.working("read"), 0) // more stages are to come than its own time covers
-		b.now += 220 * ms
-		b.answer(b.atWork("rank"), Answered)
+		is.Equal(h.busyReplicas("read"), 0) // the remaining stages take longer than its own
+		h.now += 220 * ms
+		h.answer(h.busyReplica("rank"), Answered)
 		if stage == 1 {
-			is.Equal(b.working("read"), 0)
+			is.Equal(h.busyReplicas("read"), 0)
 		}
 	}
-	is.Equal(b.working("read"), 1) // one stage is left, as long as its own
+	is.Equal(h.busyReplicas("read"), 1) // one stage is left, as long as its own
 
-	small := newTestJob("s", 1) // with small results nothing is held back
+	small := newTestJob("s", 1) // small results are not delayed
 	small.Stages = append(small.Stages, j.Stages[1:]...)
-	is.True(b.submit(small).Admitted)
-	is.Equal(b.working("read"), 2)
+	is.True(h.submit(small).Admitted)
+	is.Equal(h.busyReplicas("read"), 2)
 }
 
-// Calls with one piece of work that had a second to spare kept every replica
-// at work, and urgent pieces waited for a call's end.
+// Calls with one item that had a second of slack used to keep every replica busy, and urgent
+// items had to wait for the end of a call.
 func TestTheLastIdleReplicaIsKeptForUrgentWork(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	list := append(replicas(), catalog.Replica{ID: "read-c", Service: "read", Hall: "a", Address: "read-c:1"})
-	b.do(b.s.SetPools(0, services(), list))
+	h.apply(h.s.SetPools(0, services(), list))
 	urgent := func(id string) Job {
 		j := newTestJob(id, 1)
 		j.Objective = 600 * ms
 		return j
 	}
-	patient := func(id string, pieces int) Job {
-		j := newTestJob(id, pieces)
+	patient := func(id string, items int) Job {
+		j := newTestJob(id, items)
 		j.Rank = 5
 		return j
 	}
-	is.True(b.submit(urgent("first")).Admitted)
-	is.True(b.submit(patient("second", 1)).Admitted)
-	is.Equal(b.working("read"), 2)
-	is.True(b.submit(patient("third", 1)).Admitted)
-	is.Equal(b.working("read"), 2) // it has time
-	is.True(b.submit(urgent("fourth")).Admitted)
-	is.Equal(b.working("read"), 3)
+	is.True(h.submit(urgent("first")).Admitted)
+	is.True(h.submit(patient("second", 1)).Admitted)
+	is.Equal(h.busyReplicas("read"), 2)
+	is.True(h.submit(patient("third", 1)).Admitted)
+	is.Equal(h.busyReplicas("read"), 2) // it has slack
+	is.True(h.submit(urgent("fourth")).Admitted)
+	is.Equal(h.busyReplicas("read"), 3)
 
-	b.now = 220 * ms
-	b.answer("read-a", Answered)
-	is.True(b.submit(patient("fifth", 2)).Admitted)
-	is.Equal(b.working("read"), 3) // half a batch is worth a call
+	h.now = 220 * ms
+	h.answer("read-a", Answered)
+	is.True(h.submit(patient("fifth", 2)).Admitted)
+	is.Equal(h.busyReplicas("read"), 3) // half a batch may take the last replica
 }
 
-func TestWhatHasWaitedLongTakesTheLastIdleReplica(t *testing.T) {
+func TestItemsNearTheirLatestStartTakeTheLastIdleReplica(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	list := append(replicas(), catalog.Replica{ID: "read-c", Service: "read", Hall: "a", Address: "read-c:1"})
-	b.do(b.s.SetPools(0, services(), list))
+	h.apply(h.s.SetPools(0, services(), list))
 	for i := range 2 {
-		is.True(b.submit(newTestJob(fmt.Sprint(i), 1)).Admitted)
+		is.True(h.submit(newTestJob(fmt.Sprint(i), 1)).Admitted)
 	}
 	j := newTestJob("patient", 1)
 	j.Rank = 5
-	is.True(b.submit(j).Admitted)
-	is.Equal(b.working("read"), 2)
-	for range 30 { // 1.5 s, of 2 s that it has
-		b.tick(50 * ms)
+	is.True(h.submit(j).Admitted)
+	is.Equal(h.busyReplicas("read"), 2)
+	for range 30 { // 1.5 s of the 2 s objective
+		h.tick(50 * ms)
 	}
-	is.Equal(b.working("read"), 3)
+	is.Equal(h.busyReplicas("read"), 3)
 }
 
-// Jobs that came back with a long deadline were admitted although they would
-// be given up as late on the way, with half of their stages done.
-func TestWhoCameBackIsNotAdmittedToBeGivenUpOnTheWay(t *testing.T) {
+// Retried jobs with a long deadline used to be admitted although they were given up as late
+// with half of their stages done.
+func TestRetriedJobIsRefusedIfItWouldBeGivenUp(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	for i := range 6 {
 		j := newTestJob(fmt.Sprint(i), 4)
-		j.Objective = time.Minute // 24 pieces wait, about 0.9 s for two replicas
-		is.True(b.submit(j).Admitted)
+		j.Objective = time.Minute // 24 items wait, about 0.9 s for two replicas
+		is.True(h.submit(j).Admitted)
 	}
-	back := func(objective time.Duration) Job {
+	retried := func(objective time.Duration) Job {
 		j := newTestJob("back", 1)
 		j.Retry, j.Objective, j.Deadline = true, objective, 20*time.Second
 		return j
 	}
-	is.True(!b.submit(back(500 * ms)).Admitted)
-	is.True(b.submit(back(900 * ms)).Admitted) // late perhaps, not by much
+	is.True(!h.submit(retried(500 * ms)).Admitted)
+	is.True(h.submit(retried(900 * ms)).Admitted) // may be slightly late
 }
 
-// Pieces waited for a replica of their own hall, while others stood idle, until
-// no wait at all was left: any longer call made them late.
-func TestAPieceLeavesItsHallWhenItCouldBeLateThere(t *testing.T) {
+// Items used to wait for a replica of their preferred hall until no slack was left, while
+// others were idle; any call longer than expected then made them late.
+func TestItemLeavesItsHallIfItCouldBeLateThere(t *testing.T) {
 	is := is.New(t)
-	var b *bench
-	near := func(id string, objective time.Duration) Job {
+	var h *harness
+	inHallA := func(id string, objective time.Duration) Job {
 		j := newTestJob(id, 4)
-		j.Stages[0].ResultBytes = 1_000_000 // worth its hall
+		j.Stages[0].ResultBytes = 1_000_000 // large enough to prefer a hall
 		j.Hall, j.Objective = "a", objective
 		return j
 	}
 	for _, c := range []struct {
-		objective time.Duration // of which 280 ms are its own call
+		objective time.Duration // includes 280 ms for its own call
 		working   int
 	}{
-		{2 * time.Second, 1}, // its hall is free long before it must begin
-		{900 * ms, 2},        // it could begin in time there, but not by much
+		{2 * time.Second, 1}, // its hall is free long before its latest start
+		{900 * ms, 2},        // it could just start in time there
 	} {
-		b = newBench(t)
-		is.True(b.submit(near("first", 2*time.Second)).Admitted)
-		is.Equal(len(b.calls["read-a"].Items), 4) // until 280 ms
-		is.True(b.submit(near("second", c.objective)).Admitted)
-		is.Equal(b.working("read"), c.working)
+		h = newHarness(t)
+		is.True(h.submit(inHallA("first", 2*time.Second)).Admitted)
+		is.Equal(len(h.calls["read-a"].Items), 4) // until 280 ms
+		is.True(h.submit(inHallA("second", c.objective)).Admitted)
+		is.Equal(h.busyReplicas("read"), c.working)
 	}
 }
 
-// crowd lets one piece come at each step, for so many steps, to eight replicas
-// that end their calls when these are due.
-func (b *bench) crowd(steps int, every time.Duration) {
+// submitSteadily submits one item per interval, for the given number of steps, to eight
+// replicas that end their calls when due.
+func (h *harness) submitSteadily(steps int, every time.Duration) {
 	list := replicas()
 	for i := range 6 {
 		id := fmt.Sprint("read-", i)
 		list = append(list, catalog.Replica{ID: id, Service: "read", Hall: "a", Address: id + ":1"})
 	}
-	b.do(b.s.SetPools(0, services(), list))
+	h.apply(h.s.SetPools(0, services(), list))
 	for i := range steps {
-		b.step(newTestJob(fmt.Sprint(i), 1), every)
+		h.step(newTestJob(fmt.Sprint(i), 1), every)
 	}
 }
 
-// step ends the calls that are due, submits a job and lets some time pass.
-func (b *bench) step(j Job, every time.Duration) Decision {
-	for _, r := range slices.Sorted(maps.Keys(b.calls)) {
-		if b.now >= b.s.calls[b.calls[r].ID].due {
-			b.answer(r, Answered)
+// step ends the calls that are due, submits a job and advances the time.
+func (h *harness) step(j Job, every time.Duration) Decision {
+	for _, r := range slices.Sorted(maps.Keys(h.calls)) {
+		if h.now >= h.s.calls[h.calls[r].ID].dueAt {
+			h.answer(r, Answered)
 		}
 	}
-	v := b.submit(j)
-	b.tick(every)
+	v := h.submit(j)
+	h.tick(every)
 	return v
 }
 
-// On calm days pools were at work all the time with calls a third full: each
-// idle replica took whatever waited, and what had no time found none idle.
-func TestPiecesThatHaveTimeWaitForAFullerCallUnderLoad(t *testing.T) {
+// At low load, idle replicas used to take whatever waited, so that pools were fully busy with
+// calls a third full and urgent items found no idle replica.
+func TestItemsWithSlackWaitForFullerCallsUnderLoad(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.crowd(200, 20*ms) // 50 pieces a second; 8 replicas carry 36 of them in calls of one
-	is.True(b.working("read") < 8)
-	for _, c := range b.calls {
+	h := newHarness(t)
+	h.submitSteadily(200, 20*ms) // 50 items a second; 8 replicas carry 36 of them in calls of one
+	is.True(h.busyReplicas("read") < 8)
+	for _, c := range h.calls {
 		is.True(len(c.Items) >= 2)
 	}
 	urgent := newTestJob("urgent", 1)
-	urgent.Objective = 500 * ms // 248 of which are its own call
-	is.True(b.step(urgent, 20*ms).Admitted)
+	urgent.Objective = 500 * ms // includes 248 ms for its own call
+	is.True(h.step(urgent, 20*ms).Admitted)
 	begun := false
-	for _, c := range b.calls {
+	for _, c := range h.calls {
 		begun = begun || c.Items[0].RequestID == "urgent"
 	}
-	is.True(begun) // at once, with those that waited
+	is.True(begun) // at once, together with waiting items
 }
 
-// Work that goes before and still comes was taken off the pool's replicas at
-// the pace of calls a third full, so the least urgent was refused for a second
-// that there was: calls fill up, and have places left.
-func TestTheLeastUrgentIsNotRefusedForWorkThatFillsCallsUp(t *testing.T) {
+// Future more urgent work used to be counted at the current fill of calls. The least urgent
+// jobs were refused although calls had places left, as calls fill up under load.
+func TestLeastUrgentJobIsNotRefusedForWorkThatFillsCalls(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.crowd(200, 14*ms) // 71 pieces a second, of 114 that full calls carry
+	h := newHarness(t)
+	h.submitSteadily(200, 14*ms) // 71 items a second of 114 in full calls
 	least := newTestJob("least", 2)
 	least.Rank, least.Objective = 5, 700*ms
-	came := b.now
-	v := b.step(least, 14*ms)
+	came := h.now
+	v := h.step(least, 14*ms)
 	is.True(v.Admitted)
-	for i := 0; b.delivered[v.ID] == nil && i < 100; i++ {
-		b.step(newTestJob(fmt.Sprint("more", i), 1), 14*ms)
+	for i := 0; h.delivered[v.ID] == nil && i < 100; i++ {
+		h.step(newTestJob(fmt.Sprint("more", i), 1), 14*ms)
 	}
-	took := b.now - came
+	took := h.now - came
 	is.True(took <= least.Objective)
 	is.True((took - v.Expected).Abs() < 200*ms) // less than a call
 }
 
-// Calls that were stated to take seconds and end in some milliseconds made
-// pieces wait for company for seconds: three requests were served in the time of fifty.
-func TestCallsThatEndFarSoonerThanStatedAreNotWaitedFor(t *testing.T) {
+// Calls that were declared to take seconds but ended within milliseconds made items wait
+// seconds for fuller calls: three requests were served in the time of fifty.
+func TestCallsMuchFasterThanDeclaredAreNotWaitedFor(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	p := b.s.pools["read"]
+	h := newHarness(t)
+	p := h.s.pools["read"]
 	p.def.CallTime = 2 * time.Second
-	r := p.order[0]
-	c := &call{pool: p, replica: r, pieces: []*piece{{stage: &stage{def: Stage{ResultBytes: 1}}}}}
-	p.learn(r, c, 5*ms, false) // what failed at once tells little
-	is.True(r.speed > 0.5)
-	for _, r := range p.order {
-		p.learn(r, c, 5*ms, true)
-	}
-	p.load.of(0).arrives(b.now, 20, p.item(1)) // ten a second
-	is.True(p.fill(b.now, &b.s.opts) < 1)      // 0.85 of a replica is idle in any case
+	r := p.replicasByID[0]
+	c := &call{pool: p, replica: r, items: []*stageItem{{stage: &stage{def: Stage{ResultBytes: 1}}}}}
+	p.recordCallTime(r, c, 5*ms, false) // a quick failure says little about the speed
+	is.True(r.slowdown > 0.5)
+	for _, r := range p.replicasByID {
+		p.recordCallTime(r, c, 5*ms, true)
+	}
+	p.load.forRank(0).recordArrival(h.now, 20, p.itemSeconds(1)) // ten a second
+	is.True(p.targetFill(h.now, &h.s.opts) < 1)                  // 0.85 of a replica is idle in any case
 	for range 10 {
-		p.learn(r, c, 2*time.Second, true) // and one that slows down shows as before
+		p.recordCallTime(r, c, 2*time.Second, true) // a slowdown is still detected
 	}
-	is.True(r.speed > 0.9)
+	is.True(r.slowdown > 0.9)
 }
--- a/coordination/pipeline/places_test.go
+++ b/coordination/pipeline/places_test.go
@@ -10,8 +10,8 @@
 	"quinceroad/state/catalog"
 )
 
-// halls returns the test's replicas, those of hall b changed.
-func halls(change func(*catalog.Replica)) []catalog.Replica {
+// replicasWithHallB returns the replicas, with change applied to those in hall b.
+func replicasWithHallB(change func(*catalog.Replica)) []catalog.Replica {
 	out := replicas()
 	for i := range out {
 		if out[i].Hall == "b" {
@@ -21,42 +21,42 @@
 	return out
 }
 
-// A hall that is being emptied gets no call and counts for nothing; what is at
-// work there is taken in, and after its return it is used again.
-func TestAnEmptiedHallIsNoCapacity(t *testing.T) {
+// A draining hall gets no calls and does not count as capacity. The results of its running
+// calls are used, and once it is no longer drained it gets calls again.
+func TestDrainedHallIsNoCapacity(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.submit(newTestJob("first", 8)) // more than a call holds: both replicas work
-	is.Equal(b.working("read"), 2)
-	full := b.submit(newTestJob("before", 4)).Expected
-	b.do(b.s.SetPools(b.now, services(), halls(func(r *catalog.Replica) { r.Emptied = true })))
-	is.True(b.submit(newTestJob("during", 4)).Expected > full)
-	b.answer("read-b", Answered)
-	_, busy := b.calls["read-b"]
+	h := newHarness(t)
+	h.submit(newTestJob("first", 8)) // more than one call holds, so both replicas are busy
+	is.Equal(h.busyReplicas("read"), 2)
+	full := h.submit(newTestJob("before", 4)).Expected
+	h.apply(h.s.SetPools(h.now, services(), replicasWithHallB(func(r *catalog.Replica) { r.Emptied = true })))
+	is.True(h.submit(newTestJob("during", 4)).Expected > full)
+	h.answer("read-b", Answered)
+	_, busy := h.calls["read-b"]
 	is.True(!busy)
-	b.do(b.s.SetPools(b.now, services(), replicas()))
-	b.tick(50 * ms)
-	_, busy = b.calls["read-b"]
+	h.apply(h.s.SetPools(h.now, services(), replicas()))
+	h.tick(50 * ms)
+	_, busy = h.calls["read-b"]
 	is.True(busy)
 }
 
-// A cold replica gets no more calls in a second than its owner may give it.
-func TestAColdPoolReplicaGetsFewCalls(t *testing.T) {
+// A warming replica gets at most the permitted number of calls a second.
+func TestWarmingReplicaGetsFewCalls(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, WithWarmUpLimit(warmup.Limit{Overrun: 1.5, Slack: 5}))
-	cold := services()
-	cold["read"].WarmUp = &catalog.WarmUp{For: time.Minute, PerSecond: 2}
-	b.do(b.s.SetPools(0, cold, halls(func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })))
+	h := newHarness(t, WithWarmUpLimit(warmup.Limit{Overrun: 1.5, Slack: 5}))
+	withWarmUp := services()
+	withWarmUp["read"].WarmUp = &catalog.WarmUp{For: time.Minute, PerSecond: 2}
+	h.apply(h.s.SetPools(0, withWarmUp, replicasWithHallB(func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })))
 	calls := 0
 	for range 59 { // just under three seconds
-		b.submit(newTestJob("job", 8)) // for both
-		b.tick(50 * ms)
-		if _, busy := b.calls["read-b"]; busy {
+		h.submit(newTestJob("job", 8)) // for both replicas
+		h.tick(50 * ms)
+		if _, busy := h.calls["read-b"]; busy {
 			calls++
-			b.answer("read-b", Answered)
+			h.answer("read-b", Answered)
 		}
-		if _, busy := b.calls["read-a"]; busy {
-			b.answer("read-a", Answered)
+		if _, busy := h.calls["read-a"]; busy {
+			h.answer("read-a", Answered)
 		}
 	}
 	is.Equal(calls, 2*3) // two a second
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -7,96 +7,97 @@
 	"time"
 )
 
-// plan reckons a pool's next calls for a job that is not yet admitted: each
-// replica, as it gets free, takes a call of the pieces that go before the job's,
-// and the job's own have the places that are left. What still arrives and goes
-// before takes places in calls as they fill up, not replicas: reckoned as work
-// at the pace of today's calls it took up to two thirds of a pool, and jobs
-// were refused for a second that there was.
+// plan simulates a pool's next calls for a job that is not yet admitted. Each replica, as it
+// becomes free, takes a call of the items that go before the job's, and the job's own items
+// get the places that are left. Work that will still arrive and go before takes places in
+// calls as they fill up, not whole replicas. If it were counted as work at the current fill of
+// calls, it would claim up to two thirds of a pool, and jobs would be refused although there
+// is capacity.
 type plan struct {
-	pool     *pool
-	replicas []planned     // a heap, the one that is free first at its top
-	ahead    float64       // pieces that wait and go before
-	arrivals float64       // pieces a second that still come and go before
-	counted  time.Duration // from now, to which these are in ahead
-	item     float64       // seconds that one of them takes in a call
+	pool         *pool
+	replicas     []plannedReplica // heap by freeAt
+	itemsAhead   float64          // waiting items that go before the job
+	arrivalRate  float64          // items a second that will still arrive and go before the job
+	countedUntil time.Duration    // from now; arrivals up to then are in itemsAhead
+	itemSeconds  float64          // that each of these items adds to a call
 }
 
-// planned is a replica in a plan.
-type planned struct {
-	free  time.Duration // from now
-	speed float64
-	gap   time.Duration // between two calls, by what it states that it takes
+// plannedReplica is a replica in a plan.
+type plannedReplica struct {
+	freeAt       time.Duration // from now
+	slowdown     float64
+	sendInterval time.Duration // between two calls under its rate limit; 0: no limit
 }
 
-// farthest is how far from now plans look: beyond it no job has time. It also
-// bounds what a plan of a pool that falls behind costs.
-const farthest = 15 * time.Second
+// planHorizon is how far into the future plans look; no job has more time than that. It also
+// bounds the cost of a plan for an overloaded pool.
+const planHorizon = 15 * time.Second
 
-// plan returns the plan for a job of a rank, of what is known now.
-func (p *pool) plan(now time.Duration, rank int) *plan {
+// newPlan returns the plan for a job of the given rank, based on the current state of the
+// pool.
+func (p *pool) newPlan(now time.Duration, rank int) *plan {
 	pl := &plan{pool: p}
-	for _, r := range p.order {
-		if r.serving(now) {
-			pl.replicas = append(pl.replicas, planned{free: r.free(now) - now, speed: r.speed, gap: r.turnGap})
+	for _, r := range p.replicasByID {
+		if r.isServing(now) {
+			pl.replicas = append(pl.replicas, plannedReplica{freeAt: r.freeAt(now) - now, slowdown: r.slowdown, sendInterval: r.sendInterval})
 		}
 	}
-	slices.SortFunc(pl.replicas, func(a, b planned) int { return cmp.Compare(a.free, b.free) })
-	waiting, items := p.load.before(rank)
-	arrivals, arriving := p.load.overtaking(now, rank)
-	pl.ahead, pl.arrivals = float64(waiting), arrivals
-	if n := pl.ahead + arrivals; n > 0 {
-		pl.item = (items + arriving) / n
+	slices.SortFunc(pl.replicas, func(a, b plannedReplica) int { return cmp.Compare(a.freeAt, b.freeAt) })
+	waitingItems, waitingSeconds := p.load.itemsAhead(rank)
+	arrivals, arrivingSeconds := p.load.arrivalsAhead(now, rank)
+	pl.itemsAhead, pl.arrivalRate = float64(waitingItems), arrivals
+	if n := pl.itemsAhead + arrivals; n > 0 {
+		pl.itemSeconds = (waitingSeconds + arrivingSeconds) / n
 	}
 	return pl
 }
 
-// place gives places in calls to a stage that is ready at a time from now on.
-// It returns when the last of its pieces begins, and when it ends.
-func (pl *plan) place(ready time.Duration, st *stage) (begins, ends time.Duration) {
+// place assigns places in calls to a stage that becomes ready at the given time from now. It
+// returns when the last of the stage's items starts and when the stage ends.
+func (pl *plan) place(ready time.Duration, st *stage) (starts, ends time.Duration) {
 	if len(pl.replicas) == 0 {
-		return noReplica, noReplica
+		return noReplicaWait, noReplicaWait
 	}
-	batch := float64(pl.pool.batchOf(st.def.ResultBytes))
-	item := pl.pool.item(st.def.ResultBytes)
-	begins, ends = ready, ready
-	for left := float64(len(st.pieces)); left > 0; {
-		at, speed := pl.replicas[0].free, pl.replicas[0].speed
-		if at > farthest {
+	batch := float64(pl.pool.batchLimit(st.def.ResultBytes))
+	item := pl.pool.itemSeconds(st.def.ResultBytes)
+	starts, ends = ready, ready
+	for left := float64(len(st.items)); left > 0; {
+		at, speed := pl.replicas[0].freeAt, pl.replicas[0].slowdown
+		if at > planHorizon {
 			return at, at + st.duration()
 		}
-		pl.arrive(at)
-		if pl.ahead < 1 && at < ready { // idle until then
+		pl.addArrivals(at)
+		if pl.itemsAhead < 1 && at < ready { // idle until the stage is ready
 			at = ready
-			pl.arrive(at)
+			pl.addArrivals(at)
 		}
-		others := min(pl.ahead, batch)
+		others := min(pl.itemsAhead, batch)
 		own := 0.0
 		if at >= ready {
 			own = min(left, batch-others)
 		}
-		pl.ahead -= others
+		pl.itemsAhead -= others
 		left -= own
-		took := pl.pool.def.CallTime.Seconds() + others*pl.item + own*item
-		done := at + time.Duration(took*speed*float64(time.Second))
-		pl.keep(max(done, at+pl.replicas[0].gap))
+		took := pl.pool.def.CallTime.Seconds() + others*pl.itemSeconds + own*item
+		end := at + time.Duration(took*speed*float64(time.Second))
+		pl.occupyFirst(max(end, at+pl.replicas[0].sendInterval))
 		if own > 0 {
-			begins = max(begins, at)
-			ends = max(ends, done, at+st.duration()) // others may still fill the call up
+			starts = max(starts, at)
+			ends = max(ends, end, at+st.duration()) // arriving items may still fill the call
 		}
 	}
-	return begins, ends
+	return starts, ends
 }
 
-// keep gives the replica that is free first a call until then, and keeps the
-// replicas in the order of a heap.
-func (pl *plan) keep(until time.Duration) {
+// occupyFirst makes the replica that is free first busy until the given time and restores the
+// heap order.
+func (pl *plan) occupyFirst(until time.Duration) {
 	h := pl.replicas
-	h[0].free = until
+	h[0].freeAt = until
 	for i := 0; ; {
 		first := i
 		for _, k := range []int{2*i + 1, 2*i + 2} {
-			if k < len(h) && h[k].free < h[first].free {
+			if k < len(h) && h[k].freeAt < h[first].freeAt {
 				first = k
 			}
 		}
@@ -108,41 +109,42 @@
 	}
 }
 
-// lastsFor is how long arrivals are taken to go on, fading, as they were seen
-// to come lately: a burst ends. Where they went on for good, the least urgent would be
-// refused for what does not come.
-const lastsFor = 4 * time.Second
+// arrivalDecay is the time constant with which the recent arrival rate is assumed to decay,
+// because bursts end. With a constant rate the least urgent jobs would be refused for work
+// that never arrives.
+const arrivalDecay = 4 * time.Second
 
-// arrive adds what comes until then.
-func (pl *plan) arrive(until time.Duration) {
-	if until > pl.counted {
-		pl.ahead += pl.arrivals * (coming(until) - coming(pl.counted))
-		pl.counted = until
+// addArrivals adds the items that are expected to arrive by the given time.
+func (pl *plan) addArrivals(until time.Duration) {
+	if until > pl.countedUntil {
+		pl.itemsAhead += pl.arrivalRate * (arrivalSeconds(until) - arrivalSeconds(pl.countedUntil))
+		pl.countedUntil = until
 	}
 }
 
-// coming is for how many seconds, at their present rate, arrivals come until then.
-func coming(until time.Duration) float64 {
-	return lastsFor.Seconds() * (1 - math.Exp(-until.Seconds()/lastsFor.Seconds()))
+// arrivalSeconds integrates the decaying arrival rate up to the given time, in seconds at the
+// current rate.
+func arrivalSeconds(until time.Duration) float64 {
+	return arrivalDecay.Seconds() * (1 - math.Exp(-until.Seconds()/arrivalDecay.Seconds()))
 }
 
-// noReplica stands for the time until a pool without replicas is through.
-const noReplica = time.Hour
+// noReplicaWait stands for the expected time in a pool without replicas.
+const noReplicaWait = time.Hour
 
-// clear is the time until a pool is through with all that waits.
-func (p *pool) clear(now time.Duration) time.Duration {
-	pl := p.plan(now, lateRank*2)
-	for pl.ahead >= 1 {
+// drainTime returns the time until a pool has finished all waiting work.
+func (p *pool) drainTime(now time.Duration) time.Duration {
+	pl := p.newPlan(now, lateRank*2)
+	for pl.itemsAhead >= 1 {
 		if len(pl.replicas) == 0 {
-			return noReplica
+			return noReplicaWait
 		}
-		n := min(pl.ahead, float64(p.def.Batch))
-		pl.ahead -= n
-		took := (p.def.CallTime.Seconds() + n*pl.item) * pl.replicas[0].speed
-		pl.keep(pl.replicas[0].free + max(time.Duration(took*float64(time.Second)), pl.replicas[0].gap))
+		n := min(pl.itemsAhead, float64(p.def.Batch))
+		pl.itemsAhead -= n
+		took := (p.def.CallTime.Seconds() + n*pl.itemSeconds) * pl.replicas[0].slowdown
+		pl.occupyFirst(pl.replicas[0].freeAt + max(time.Duration(took*float64(time.Second)), pl.replicas[0].sendInterval))
 	}
 	if len(pl.replicas) == 0 {
 		return 0
 	}
-	return slices.MaxFunc(pl.replicas, func(a, b planned) int { return cmp.Compare(a.free, b.free) }).free
+	return slices.MaxFunc(pl.replicas, func(a, b plannedReplica) int { return cmp.Compare(a.freeAt, b.freeAt) }).freeAt
 }
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -10,196 +10,199 @@
 	"quinceroad/state/catalog"
 )
 
-// pool is one service's replicas and the pieces that wait for them.
+// pool is the replicas of one service and the items that wait for them.
 type pool struct {
-	name     string
-	def      catalog.Pool
-	replicas map[string]*replica
-	order    []*replica // the same, by id
-	ready    []*piece
-	load     load
-	room     roomUse
-	factors  map[int64]float64
-	most     int            // calls in a second to a cold replica; 0: no bound
-	sent     *warmup.Window // to cold replicas
-	powerWas float64        // of its replicas, until powerTo
-	powerTo  time.Duration
-	does     float64       // of what its replicas could in full calls, as its queue shows
-	restTo   time.Duration // until when all replicas rest, as of the last tick; 0: one does not
+	name                string
+	def                 catalog.Pool
+	replicas            map[string]*replica
+	replicasByID        []*replica // the values of replicas, sorted by ID
+	ready               []*stageItem
+	load                load
+	memory              memoryUse
+	sizeFactors         map[int64]float64
+	warmUpRate          int            // calls a second to a warming replica; 0: unlimited
+	warmUpCalls         *warmup.Window // to warming replicas
+	cachedReplicas      float64        // effectiveReplicas, valid until cachedReplicasUntil
+	cachedReplicasUntil time.Duration
+	efficiency          float64       // actual throughput as a share of that with full calls, adjusted by the queue
+	backoffUntil        time.Duration // when the first replica ends its backoff, as of the last tick; 0: some replica is not in backoff
 }
 
 func newPool(name string) *pool {
 	return &pool{
-		name:     name,
-		replicas: make(map[string]*replica),
-		factors:  make(map[int64]float64),
-		sent:     warmup.NewWindow(),
-		does:     1,
+		name:        name,
+		replicas:    make(map[string]*replica),
+		sizeFactors: make(map[int64]float64),
+		warmUpCalls: warmup.NewWindow(),
+		efficiency:  1,
 	}
 }
 
 // replica is one replica of a pool.
 type replica struct {
 	catalog.Replica
-	leaving  bool
-	gone     bool
-	call     *call // at work
-	held     int64 // bytes of results that lie there, those of its call included
-	results  map[string]*holding
-	unknown  int64         // bytes of room that others hold there, as its refusals showed
-	shownAt  time.Duration // when they did
-	speed    float64       // time taken against time expected
-	pausedTo time.Duration
-	restTo   time.Duration // until when it wants nothing, as it said itself
-	pause    time.Duration // the last pause, doubled by the next
-	turnFrom time.Duration // when it may get the next call by what it states that it takes
-	turnGap  time.Duration // between two of its calls; 0: it states none
-}
-
-// holding is one result at its maker.
-type holding struct {
-	bytes int64
-	until time.Duration // after which the maker drops it by itself
-}
-
-func (p *pool) put(r catalog.Replica) {
+	draining     bool
+	unlisted     bool
+	call         *call // running call, or nil
+	heldBytes    int64 // results held there, including those of its running call
+	results      map[string]*heldResult
+	foreignBytes int64         // result memory used by others, as inferred from its refusals and reports
+	foreignAt    time.Duration // when that was inferred
+	slowdown     float64       // actual call time divided by the expected one
+	pausedUntil  time.Duration
+	backoffUntil time.Duration // requested by the replica itself
+	lastPause    time.Duration // after a failure; the next one is twice as long
+	nextSendAt   time.Duration // earliest next call under its rate limit
+	sendInterval time.Duration // between two calls under its rate limit; 0: no limit
+}
+
+// heldResult is a result that its producer holds.
+type heldResult struct {
+	bytes     int64
+	expiresAt time.Duration // when the producer drops it by itself
+}
+
+func (p *pool) upsert(r catalog.Replica) {
 	old := p.replicas[r.ID]
 	if old == nil {
-		p.replicas[r.ID] = &replica{Replica: r, leaving: r.Leaving, results: make(map[string]*holding), speed: 1}
+		p.replicas[r.ID] = &replica{Replica: r, draining: r.Leaving, results: make(map[string]*heldResult), slowdown: 1}
 		return
 	}
 	old.Replica = r
-	old.leaving = old.leaving || r.Leaving // leaving wins within a replica's life
-	old.gone = false
+	old.draining = old.draining || r.Leaving // an incarnation never stops draining
+	old.unlisted = false
 }
 
-func (p *pool) dropUnlisted(listed map[string]bool) {
+func (p *pool) removeUnlisted(listed map[string]bool) {
 	for id, r := range p.replicas {
 		if listed[id] {
 			continue
 		}
-		r.gone = true
+		r.unlisted = true
 		if r.call == nil {
 			delete(p.replicas, id)
 		}
 	}
-	p.reorder()
+	p.sortReplicas()
 }
 
-func (p *pool) reorder() {
-	p.order = slices.SortedFunc(maps.Values(p.replicas), func(a, b *replica) int { return cmp.Compare(a.ID, b.ID) })
+func (p *pool) sortReplicas() {
+	p.replicasByID = slices.SortedFunc(maps.Values(p.replicas), func(a, b *replica) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// takes reports whether a replica may get new work at all.
-func (r *replica) takes() bool { return !r.leaving && !r.gone && !r.Emptied && !r.Withheld }
+// acceptsWork reports whether a replica may get new work at all.
+func (r *replica) acceptsWork() bool { return !r.draining && !r.unlisted && !r.Emptied && !r.Withheld }
 
-func (r *replica) usable(now time.Duration) bool {
-	return r.call == nil && r.takes() && now >= r.pausedTo && now >= r.restTo && now >= r.turnFrom
+func (r *replica) isIdle(now time.Duration) bool {
+	return r.call == nil && r.acceptsWork() && now >= r.pausedUntil && now >= r.backoffUntil && now >= r.nextSendAt
 }
 
-// warm reports whether a replica is, or may get one more call while it is cold.
-func (p *pool) warm(now time.Duration, r *replica) bool {
-	return p.most == 0 || now >= r.ColdUntil || p.sent.Free(now, r.ID, p.most) <= now
+// allowsWarmUpCall reports whether a replica has warmed up or may get another call before it
+// has.
+func (p *pool) allowsWarmUpCall(now time.Duration, r *replica) bool {
+	return p.warmUpRate == 0 || now >= r.ColdUntil || p.warmUpCalls.Free(now, r.ID, p.warmUpRate) <= now
 }
 
-// soon is how long a replica may be left alone and still count as capacity: it
-// is full or at work for another owner, and will be free.
-const soon = 400 * time.Millisecond
+// capacityHorizon is how long a replica may be paused and still count as capacity. Such a
+// replica is full or busy for another owner and will soon be free.
+const capacityHorizon = 400 * time.Millisecond
 
-// serving reports whether a replica counts as capacity.
-func (r *replica) serving(now time.Duration) bool {
-	return r.takes() && (now+soon >= r.pausedTo || r.call != nil)
+// isServing reports whether a replica counts as capacity.
+func (r *replica) isServing(now time.Duration) bool {
+	return r.acceptsWork() && (now+capacityHorizon >= r.pausedUntil || r.call != nil)
 }
 
-// free is when a replica can take its next call.
-func (r *replica) free(now time.Duration) time.Duration {
+// freeAt returns when a replica can take its next call.
+func (r *replica) freeAt(now time.Duration) time.Duration {
 	if r.call != nil {
-		return max(r.call.due, r.turnFrom, now)
+		return max(r.call.dueAt, r.nextSendAt, now)
 	}
-	return max(r.pausedTo, r.restTo, r.turnFrom, now)
+	return max(r.pausedUntil, r.backoffUntil, r.nextSendAt, now)
 }
 
-func (r *replica) expire(now time.Duration) {
+func (r *replica) expireResults(now time.Duration) {
 	for h, res := range r.results {
-		if now >= res.until {
-			r.drop(h)
+		if now >= res.expiresAt {
+			r.dropResult(h)
 		}
 	}
 }
 
-func (r *replica) drop(handle string) {
+func (r *replica) dropResult(handle string) {
 	if h := r.results[handle]; h != nil {
-		r.held -= h.bytes
+		r.heldBytes -= h.bytes
 		delete(r.results, handle)
 	}
 }
 
-// taken returns the room that is taken at a replica. What others hold there,
-// an earlier owner of the pool for instance, goes as its results run out.
-func (r *replica) taken(now time.Duration, holdFor time.Duration) int64 {
-	left := 1 - float64(now-r.shownAt)/float64(max(holdFor, time.Millisecond))
-	return r.held + int64(max(left, 0)*float64(r.unknown))
+// usedBytes returns the result memory in use at a replica. The part that others use, such as a
+// previous owner of the pool, is taken to shrink linearly over holdFor as their results
+// expire.
+func (r *replica) usedBytes(now time.Duration, holdFor time.Duration) int64 {
+	left := 1 - float64(now-r.foreignAt)/float64(max(holdFor, time.Millisecond))
+	return r.heldBytes + int64(max(left, 0)*float64(r.foreignBytes))
 }
 
-// full notes that a replica had no room for so many bytes.
-func (r *replica) full(now time.Duration, holdFor time.Duration, bytes int64) {
-	r.unknown = r.taken(now, holdFor) - r.held + bytes
-	r.shownAt = now
+// recordMemoryFull records that a replica had no memory for a result of this size.
+func (r *replica) recordMemoryFull(now time.Duration, holdFor time.Duration, bytes int64) {
+	r.foreignBytes = r.usedBytes(now, holdFor) - r.heldBytes + bytes
+	r.foreignAt = now
 }
 
-func (r *replica) fail(now time.Duration, o *Options) {
-	r.pause = min(max(2*r.pause, o.InitialPause), o.MaxPause)
-	r.pausedTo = now + r.pause
+func (r *replica) recordFailure(now time.Duration, o *Options) {
+	r.lastPause = min(max(2*r.lastPause, o.InitialPause), o.MaxPause)
+	r.pausedUntil = now + r.lastPause
 }
 
-// factor is how much work a piece with results of that size is against the
-// pool's usual one; it is learnt from the calls.
-func (p *pool) factor(bytes int64) float64 {
-	if f, ok := p.factors[bytes]; ok {
+// sizeFactor returns the work of an item with results of this size relative to the pool's
+// nominal item, as estimated from past calls.
+func (p *pool) sizeFactor(bytes int64) float64 {
+	if f, ok := p.sizeFactors[bytes]; ok {
 		return f
 	}
 	return 1
 }
 
 const (
-	learnRate   = 0.25 // of a call's error that is laid on its pieces' factors: some five calls settle it
-	leastFactor = 0.05 // of a pool's usual piece; a bound against a wrong measurement
-	mostFactor  = 4    // the same above
-	speedRate   = 0.3  // weight of the last call: a slow replica shows within three
-	leastSpeed  = 0.02 // time taken against expected: calls may be stated for seconds and end in some tens of ms; a bound against a wrong measurement
-	mostSpeed   = 8    // slower ones than this are taken for as slow
+	sizeFactorGain = 0.25 // share of a call's error that corrects its items' factors; settles in about five calls
+	minSizeFactor  = 0.05 // bounds the effect of wrong measurements
+	maxSizeFactor  = 4
+	slowdownWeight = 0.3  // weight of the latest call; a slow replica shows within three calls
+	minSlowdown    = 0.02 // calls declared to take seconds may end in tens of ms; also bounds the effect of wrong measurements
+	maxSlowdown    = 8    // slower replicas are treated as this slow
 )
 
-// learn takes in how long a call took, and whether all of its pieces were made.
-func (p *pool) learn(r *replica, c *call, took time.Duration, whole bool) {
+// recordCallTime updates the estimates with the duration of a call; allSucceeded says whether
+// all of its items have results.
+func (p *pool) recordCallTime(r *replica, c *call, took time.Duration, allSucceeded bool) {
 	fixed := p.def.CallTime.Seconds()
 	counts := make(map[int64]float64)
-	for _, x := range c.pieces {
+	for _, x := range c.items {
 		counts[x.stage.def.ResultBytes] += p.def.ItemTime.Seconds()
 	}
-	expected, norm := fixed, 0.0
+	expected, squares := fixed, 0.0
 	for bytes, n := range counts {
-		expected += n * p.factor(bytes)
-		norm += n * n
+		expected += n * p.sizeFactor(bytes)
+		squares += n * n
 	}
 	ratio := took.Seconds() / expected
-	if whole && ratio < r.speed/2 {
-		r.speed = clamp(ratio, leastSpeed, mostSpeed) // work can't be done before its time, so one call tells enough
+	if allSucceeded && ratio < r.slowdown/2 {
+		r.slowdown = clamp(ratio, minSlowdown, maxSlowdown) // work can't finish faster than it takes, so one call is enough evidence
 	}
-	r.speed = clamp(r.speed+speedRate*(ratio-r.speed), leastSpeed, mostSpeed)
-	if ratio > 1.5*r.speed || norm == 0 {
-		return // it says something of the replica, not of the pieces
+	r.slowdown = clamp(r.slowdown+slowdownWeight*(ratio-r.slowdown), minSlowdown, maxSlowdown)
+	if ratio > 1.5*r.slowdown || squares == 0 {
+		return // caused by the replica rather than by the items
 	}
-	fault := took.Seconds()/r.speed - expected
+	excess := took.Seconds()/r.slowdown - expected
 	for bytes, n := range counts {
-		p.factors[bytes] = clamp(p.factor(bytes)+learnRate*fault*n/norm, leastFactor, mostFactor)
+		p.sizeFactors[bytes] = clamp(p.sizeFactor(bytes)+sizeFactorGain*excess*n/squares, minSizeFactor, maxSizeFactor)
 	}
 }
 
-func clamp(x, least, most float64) float64 { return min(max(x, least), most) }
+func clamp(x, lower, upper float64) float64 { return min(max(x, lower), upper) }
 
-// batchOf is how many pieces with results of that size a call can hold.
-func (p *pool) batchOf(bytes int64) int {
+// batchLimit returns how many items with results of this size a call can hold.
+func (p *pool) batchLimit(bytes int64) int {
 	n := p.def.Batch
 	if bytes > 0 && p.def.Room > 0 {
 		n = min(n, int(p.def.Room/bytes))
@@ -207,27 +210,30 @@
 	return max(n, 1)
 }
 
-// item is the time that a piece takes in a call beside the call's fixed time.
-func (p *pool) item(bytes int64) float64 { return p.def.ItemTime.Seconds() * p.factor(bytes) }
+// itemSeconds returns the time that an item adds to a call.
+func (p *pool) itemSeconds(bytes int64) float64 {
+	return p.def.ItemTime.Seconds() * p.sizeFactor(bytes)
+}
 
-// callTime is what a call with these pieces should take at a replica of speed 1.
-func (p *pool) callTime(pieces []*piece) time.Duration {
+// expectedCallTime returns the time that a call with these items takes at a replica with
+// slowdown 1.
+func (p *pool) expectedCallTime(items []*stageItem) time.Duration {
 	t := p.def.CallTime.Seconds()
-	for _, x := range pieces {
-		t += p.item(x.stage.def.ResultBytes)
+	for _, x := range items {
+		t += p.itemSeconds(x.stage.def.ResultBytes)
 	}
 	return time.Duration(t * float64(time.Second))
 }
 
-func (p *pool) unready(x *piece) {
+func (p *pool) removeReady(x *stageItem) {
 	if i := slices.Index(p.ready, x); i >= 0 {
 		p.ready = slices.Delete(p.ready, i, i+1)
 	}
 }
 
-func (p *pool) sort() {
-	slices.SortStableFunc(p.ready, func(a, b *piece) int {
-		return cmp.Or(cmp.Compare(a.stage.job.rank, b.stage.job.rank), cmp.Compare(a.stage.latest, b.stage.latest),
+func (p *pool) sortReady() {
+	slices.SortStableFunc(p.ready, func(a, b *stageItem) int {
+		return cmp.Or(cmp.Compare(a.stage.job.rank, b.stage.job.rank), cmp.Compare(a.stage.latestStart, b.stage.latestStart),
 			cmp.Compare(a.stage.job.id, b.stage.job.id))
 	})
 }
--- a/coordination/pipeline/random_test.go
+++ b/coordination/pipeline/random_test.go
@@ -11,36 +11,36 @@
 	"pgregory.net/rapid"
 )
 
-// world drives a scheduler by random events and keeps what must hold of it.
-type world struct {
-	t         *rapid.T
-	s         *Scheduler
-	now       time.Duration
-	calls     map[uint64]Call
-	atWork    map[string]uint64 // by replica: the call that was sent last and not answered
-	ended     map[uint64]bool   // jobs that were delivered or failed
-	delivered map[uint64][]string
-	live      map[uint64]int  // admitted and not released: pieces of the last stage
-	made      map[string]bool // handles that exist at their makers
-	freed     map[string]bool
-	next      int
+// randomRun applies random events to a scheduler and checks its invariants.
+type randomRun struct {
+	t           *rapid.T
+	s           *Scheduler
+	now         time.Duration
+	calls       map[uint64]Call
+	runningCall map[string]uint64 // by replica: the last call, if not answered yet
+	ended       map[uint64]bool   // jobs that were delivered, failed or released
+	delivered   map[uint64][]string
+	unreleased  map[uint64]int  // by admitted job: items of the last stage
+	made        map[string]bool // handles that were created
+	freed       map[string]bool
+	lastNumber  int
 }
 
-func (w *world) do(actions []Action) {
+func (w *randomRun) apply(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Call:
-			w.called(a)
+			w.checkCall(a)
 		case Deliver:
-			if w.ended[a.Job] || w.live[a.Job] == 0 {
+			if w.ended[a.Job] || w.unreleased[a.Job] == 0 {
 				w.t.Fatalf("job %d ends twice, or was never admitted", a.Job)
 			}
-			if len(a.Handles) != w.live[a.Job] {
-				w.t.Fatalf("job %d is given %d results of %d", a.Job, len(a.Handles), w.live[a.Job])
+			if len(a.Handles) != w.unreleased[a.Job] {
+				w.t.Fatalf("job %d got %d results of %d", a.Job, len(a.Handles), w.unreleased[a.Job])
 			}
 			for _, h := range a.Handles {
 				if !w.made[h] || w.freed[h] {
-					w.t.Fatalf("job %d is given %s, which is not there", a.Job, h)
+					w.t.Fatalf("job %d got %s, which does not exist", a.Job, h)
 				}
 			}
 			w.ended[a.Job], w.delivered[a.Job] = true, a.Handles
@@ -49,7 +49,7 @@
 				w.t.Fatalf("job %d ends twice", a.Job)
 			}
 			w.ended[a.Job] = true
-			delete(w.live, a.Job)
+			delete(w.unreleased, a.Job)
 		case Free:
 			for _, h := range a.Handles {
 				if !w.made[h] || w.freed[h] {
@@ -61,12 +61,12 @@
 	}
 }
 
-func (w *world) called(c Call) {
-	if id, busy := w.atWork[c.Replica]; busy {
-		w.t.Fatalf("%s gets call %d while %d is at work", c.Replica, c.ID, id)
+func (w *randomRun) checkCall(c Call) {
+	if id, busy := w.runningCall[c.Replica]; busy {
+		w.t.Fatalf("%s gets call %d while %d is running", c.Replica, c.ID, id)
 	}
 	if len(c.Items) == 0 || len(c.Items) > w.s.pools[c.Service].def.Batch {
-		w.t.Fatalf("a call of %d pieces", len(c.Items))
+		w.t.Fatalf("a call of %d items", len(c.Items))
 	}
 	seen := make(map[string]bool)
 	for _, i := range c.Items {
@@ -76,30 +76,30 @@
 		}
 		seen[key] = true
 		if (i.Key == "") == (len(i.Inputs) == 0) {
-			w.t.Fatalf("a piece has %d inputs and the key %q", len(i.Inputs), i.Key)
+			w.t.Fatalf("an item has %d inputs and the key %q", len(i.Inputs), i.Key)
 		}
 		for _, h := range i.Inputs {
 			if w.freed[h] {
-				w.t.Fatalf("a piece reads %s, which was freed", h)
+				w.t.Fatalf("an item reads %s, which was freed", h)
 			}
 		}
 	}
-	w.calls[c.ID], w.atWork[c.Replica] = c, c.ID
+	w.calls[c.ID], w.runningCall[c.Replica] = c, c.ID
 }
 
-// answer ends a call in any way it may end.
-func (w *world) answer(c Call) {
+// answer ends a call with a random outcome.
+func (w *randomRun) answer(c Call) {
 	delete(w.calls, c.ID)
-	delete(w.atWork, c.Replica)
-	fate := Outcome(rapid.IntRange(0, int(TimedOut)).Draw(w.t, "fate"))
+	delete(w.runningCall, c.Replica)
+	outcome := Outcome(rapid.IntRange(0, int(TimedOut)).Draw(w.t, "fate"))
 	if rapid.Bool().Draw(w.t, "well") {
-		fate = Answered
+		outcome = Answered
 	}
 	var results []Result
-	if fate == Answered {
+	if outcome == Answered {
 		for range c.Items {
-			w.next++
-			r := Result{Handle: fmt.Sprintf("%s/%d", c.Replica, w.next)}
+			w.lastNumber++
+			r := Result{Handle: fmt.Sprintf("%s/%d", c.Replica, w.lastNumber)}
 			if rapid.IntRange(0, 5).Draw(w.t, "piece") == 0 {
 				r = Result{Reason: Reason(rapid.IntRange(int(Expired), int(ItemFailed)).Draw(w.t, "reason"))}
 			} else {
@@ -108,23 +108,23 @@
 			results = append(results, r)
 		}
 		if rapid.IntRange(0, 19).Draw(w.t, "short") == 0 {
-			results = results[:len(results)-1] // an answer that can't be
+			results = results[:len(results)-1] // invalid: a result is missing
 		}
 	}
-	w.do(w.s.FinishCall(w.now, c.ID, fate, results))
+	w.apply(w.s.FinishCall(w.now, c.ID, outcome, results))
 }
 
-// Whatever replicas answer, lose, refuse or deny, whoever leaves, comes back or
-// goes: a replica has one call, a job ends once and with all its results, no
-// result is used after it was freed or freed twice, and the books are even.
-func TestStepsInAnyOrder(t *testing.T) {
+// Whatever the outcome of calls and whichever replicas drain, disappear or return: a replica
+// has one call at a time, a job ends once and with all its results, no result is used after it
+// was freed or freed twice, and the scheduler's counters match its jobs.
+func TestRandomEventSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
-			t: t, s: New(), calls: make(map[uint64]Call), atWork: make(map[string]uint64), ended: make(map[uint64]bool),
-			delivered: make(map[uint64][]string), live: make(map[uint64]int), made: make(map[string]bool), freed: make(map[string]bool),
+		w := &randomRun{
+			t: t, s: New(), calls: make(map[uint64]Call), runningCall: make(map[string]uint64), ended: make(map[uint64]bool),
+			delivered: make(map[uint64][]string), unreleased: make(map[uint64]int), made: make(map[string]bool), freed: make(map[string]bool),
 		}
 		all := replicas()
-		w.do(w.s.SetPools(0, services(), all))
+		w.apply(w.s.SetPools(0, services(), all))
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -135,7 +135,7 @@
 					w.answer(c)
 				}
 			case 7:
-				w.do(w.s.Tick(w.now))
+				w.apply(w.s.Tick(w.now))
 			case 8:
 				w.release()
 			case 9:
@@ -147,14 +147,14 @@
 				if rapid.Bool().Draw(t, "listed") {
 					listed = all
 				}
-				w.do(w.s.SetPools(w.now, services(), listed))
+				w.apply(w.s.SetPools(w.now, services(), listed))
 			}
 			w.check()
 		}
 	})
 }
 
-func pickCall(w *world) (Call, bool) {
+func pickCall(w *randomRun) (Call, bool) {
 	if len(w.calls) == 0 {
 		return Call{}, false
 	}
@@ -162,9 +162,9 @@
 	return w.calls[ids[rapid.IntRange(0, len(ids)-1).Draw(w.t, "call")]], true
 }
 
-func (w *world) submit() {
-	w.next++
-	j := newTestJob(fmt.Sprint("r", w.next), rapid.IntRange(1, 6).Draw(w.t, "pieces"))
+func (w *randomRun) submit() {
+	w.lastNumber++
+	j := newTestJob(fmt.Sprint("r", w.lastNumber), rapid.IntRange(1, 6).Draw(w.t, "pieces"))
 	j.Rank = rapid.IntRange(0, 2).Draw(w.t, "rank")
 	j.Retry = rapid.Bool().Draw(w.t, "again")
 	j.AllowLate = rapid.Bool().Draw(w.t, "late too")
@@ -175,17 +175,17 @@
 	}
 	v, actions := w.s.Submit(w.now, j)
 	if v.Admitted {
-		w.live[v.ID] = last
+		w.unreleased[v.ID] = last
 	} else if v.RetryAfter <= 0 {
-		w.t.Fatalf("refused without a time to come back")
+		w.t.Fatalf("refused without a retry time")
 	}
-	w.do(actions)
+	w.apply(actions)
 }
 
-// release ends a job: its request has read the results, or its client has gone.
-func (w *world) release() {
+// release ends a job: its request has read the results, or its client has disconnected.
+func (w *randomRun) release() {
 	var id uint64
-	for at := range w.live {
+	for at := range w.unreleased {
 		if id == 0 || at < id {
 			id = at
 		}
@@ -193,84 +193,84 @@
 	if id == 0 {
 		return
 	}
-	delete(w.live, id)
+	delete(w.unreleased, id)
 	w.ended[id] = true
-	w.do(w.s.Release(w.now, id))
+	w.apply(w.s.Release(w.now, id))
 }
 
-// check holds the scheduler's books against what it did.
-func (w *world) check() {
+// check compares the scheduler's counters with its jobs and calls.
+func (w *randomRun) check() {
 	for _, p := range w.s.pools {
-		waiting := make(map[int]float64)
-		pieces := make(map[int]int)
+		waitingSeconds := make(map[int]float64)
+		items := make(map[int]int)
 		for _, j := range w.s.jobs {
 			for _, st := range j.stages {
-				for _, x := range st.pieces {
-					if x.counted && st.pool == p {
-						waiting[j.rank] += st.item
-						pieces[j.rank]++
+				for _, x := range st.items {
+					if x.inLoad && st.pool == p {
+						waitingSeconds[j.rank] += st.itemSeconds
+						items[j.rank]++
 					}
 				}
 			}
 		}
 		for _, l := range p.load {
-			if diff := l.waiting - waiting[l.rank]; diff > 1e-6 || diff < -1e-6 || l.pieces != pieces[l.rank] {
-				w.t.Fatalf("%s holds %d pieces of %v s of rank %d, its jobs %d of %v s", p.name, l.pieces, l.waiting, l.rank, pieces[l.rank], waiting[l.rank])
+			if diff := l.waitingSeconds - waitingSeconds[l.rank]; diff > 1e-6 || diff < -1e-6 || l.items != items[l.rank] {
+				w.t.Fatalf("%s counts %d items of %v s of rank %d, its jobs have %d of %v s", p.name, l.items, l.waitingSeconds, l.rank, items[l.rank], waitingSeconds[l.rank])
 			}
 		}
-		w.checkRoom(p)
+		w.checkMemory(p)
 		for _, r := range p.replicas {
 			held := int64(0)
 			for _, h := range r.results {
 				held += h.bytes
 			}
 			if r.call != nil {
-				held += r.call.bytes
+				held += r.call.resultBytes
 			}
-			if held != r.held {
-				w.t.Fatalf("%s holds %d bytes, its books say %d", r.ID, held, r.held)
+			if held != r.heldBytes {
+				w.t.Fatalf("%s holds %d bytes but counts %d", r.ID, held, r.heldBytes)
 			}
 		}
 	}
 }
 
-// checkRoom holds what a pool knows of the room that jobs want and take against the jobs.
-func (w *world) checkRoom(p *pool) {
-	wanted, begun := make(map[int]int64), int64(0)
+// checkMemory compares the queued and reserved memory of a pool with its jobs.
+func (w *randomRun) checkMemory(p *pool) {
+	queuedBytes, reserved := make(map[int]int64), int64(0)
 	for _, j := range w.s.jobs {
-		for _, n := range j.needs {
+		for _, n := range j.memoryNeeds {
 			switch {
 			case n.pool != p:
-			case j.begun:
-				begun += n.bytes
+			case j.started:
+				reserved += n.bytes
 			default:
-				wanted[j.rank] += n.bytes
+				queuedBytes[j.rank] += n.bytes
 			}
 		}
 	}
-	if p.room.begun != begun {
-		w.t.Fatalf("%s holds %d bytes begun, its jobs %d", p.name, p.room.begun, begun)
+	if p.memory.reserved != reserved {
+		w.t.Fatalf("%s counts %d bytes reserved, its jobs have %d", p.name, p.memory.reserved, reserved)
 	}
 	for _, l := range p.load {
-		if l.room != wanted[l.rank] {
-			w.t.Fatalf("%s holds %d bytes wanted of rank %d, its jobs %d", p.name, l.room, l.rank, wanted[l.rank])
+		if l.queuedBytes != queuedBytes[l.rank] {
+			w.t.Fatalf("%s counts %d bytes queued of rank %d, its jobs have %d", p.name, l.queuedBytes, l.rank, queuedBytes[l.rank])
 		}
 	}
 }
 
-// A random sequence found that the last large piece of a rank took the small
-// ones that still waited out of the books.
-func TestSmallWorkStaysWhenLargeWorkGoes(t *testing.T) {
+// A random sequence showed that removing the last large item of a rank also removed the
+// waiting seconds of small items.
+func TestRemovingLargeItemsKeepsSmallOnes(t *testing.T) {
 	is := is.New(t)
 	var l load
-	l.of(1).add(1)
-	l.of(1).add(0.1)
-	l.of(1).drop(1)
-	pieces, items := l.before(1)
-	is.Equal(pieces, 1)
-	is.True(items > 0.09)
-	l.of(1).drop(0.1)
-	pieces, items = l.before(1)
-	is.Equal(pieces, 0)
-	is.Equal(items, 0.0)
+	l.forRank(1).add(1)
+	l.forRank(1).add(0.1)
+	l.forRank(1).remove(1)
+	items, seconds := l.itemsAhead(1)
+	is.Equal(items, 1)
+	is.True(seconds > 0.09)
+	l.forRank(1).remove(0.1)
+	items, seconds = l.itemsAhead(1)
+	is.Equal(items, 0)
+	is.Equal(seconds, 0.0)
 }
--- a/coordination/pipeline/room.go
+++ b/coordination/pipeline/room.go
@@ -7,209 +7,210 @@
 	"time"
 )
 
-// The results that a request reads lie in their makers' room until it has read
-// them. Where that takes long a pool whose room is full makes room / (call and
-// reading time) and not replicas / call time, and what was begun upstream waits
-// with its results for a place, until it is late and has had work done for nothing.
-// So a job begins only when room for its results is kept, as in backpressure by
-// credits (or CONWIP, drum-buffer-rope): what waits stands in one place, before any
-// work, where ranks order it and a plan sees it.
+// Results that a request reads stay in their producers' memory until the request has read
+// them. If reading takes long, the throughput of a pool with full memory is memory / (call
+// time + reading time) instead of replicas / call time. Jobs that have started upstream would
+// then hold their results while they wait for memory until they are late and their work was
+// wasted. Therefore a job starts only when memory for its results is reserved, as in
+// credit-based backpressure (or CONWIP, drum-buffer-rope). Jobs wait in one place before any
+// work is done, where ranks order them and plans can account for them.
 
 const (
-	holdRate  = 0.1                   // weight of a new time that results took room: the last ten or so count
-	passing   = 0.1                   // of a pool's room, that results leave which requests read: later stages read others there, small as they may be
-	buffer    = 2.0                   // times what is read while a job's first stages run, that is begun for it: no replica waits for pieces
-	deviation = 2.0                   // standard deviations of what more urgent jobs take while one waits
-	waitPart  = 0.4                   // of the time that a job can wait at all, which it may be expected to wait for room: the rest is for what comes and for queues on the way
-	roomStep  = 50 * time.Millisecond // of a plan
+	holdTimeWeight    = 0.1                   // weight of a new sample; about the last ten count
+	intermediatePart  = 0.1                   // share of a pool's memory kept free of results that requests read, for results that later stages read
+	upstreamBuffer    = 2.0                   // multiple of the bytes read while a job's first stages run that may be reserved in addition, so that no replica lacks items
+	arrivalDeviations = 2.0                   // standard deviations of the memory that more urgent jobs take while a job waits
+	memoryWaitPart    = 0.4                   // share of its slack that a job may be expected to wait for memory; the rest is for arrivals and for queues of its stages
+	memoryStep        = 50 * time.Millisecond // time step of a memory forecast
 )
 
-// roomUse is what a pool knows of its room.
-type roomUse struct {
-	hold     time.Duration // usual, from the call that makes results until they are read; 0: not known yet
-	upstream time.Duration // usual, from a job's first call until its pieces are ready here
-	begun    int64         // bytes that jobs take or will, which have begun
-	whole    float64       // bytes at the replicas that serve, as of the last dispatch
+// memoryUse describes the result memory of a pool.
+type memoryUse struct {
+	holdTime     time.Duration // average from the call that makes results until they are read; 0: not known yet
+	upstreamTime time.Duration // average from a job's first call until its items are ready in this pool
+	reserved     int64         // bytes of the results of jobs that have started, whether made yet or not
+	capacity     float64       // bytes at the serving replicas, as of the last dispatch
 }
 
-// roomNeed is the room that a job's results take at a pool until they are read.
-type roomNeed struct {
+// memoryNeed is the memory that a job's results need at a pool until they are read.
+type memoryNeed struct {
 	pool  *pool
 	bytes int64
 }
 
-// roomNeeds returns what a job's request reads.
-func (j *job) roomNeeds() []roomNeed {
-	var out []roomNeed
+// sinkMemoryNeeds returns the memory needs of the results that the request reads.
+func (j *job) sinkMemoryNeeds() []memoryNeed {
+	var out []memoryNeed
 	for _, st := range j.stages {
-		if bytes := int64(len(st.pieces)) * st.def.ResultBytes; bytes > 0 && st.sink() {
-			out = append(out, roomNeed{pool: st.pool, bytes: bytes})
+		if bytes := int64(len(st.items)) * st.def.ResultBytes; bytes > 0 && st.isSink() {
+			out = append(out, memoryNeed{pool: st.pool, bytes: bytes})
 		}
 	}
 	return out
 }
 
-// knowRoom takes in how much room the replicas that serve have.
-func (p *pool) knowRoom(now time.Duration) {
-	p.room.whole = 0
-	for _, r := range p.order {
-		if r.serving(now) {
-			p.room.whole += float64(p.def.Room)
+// updateMemory recalculates the memory of the serving replicas.
+func (p *pool) updateMemory(now time.Duration) {
+	p.memory.capacity = 0
+	for _, r := range p.replicasByID {
+		if r.isServing(now) {
+			p.memory.capacity += float64(p.def.Room)
 		}
 	}
 }
 
-// most is how many bytes of results jobs may have begun: those that the room
-// holds, and those that are on the way while as much is read.
-func (u *roomUse) most() float64 {
-	return u.whole*(1-passing) + u.rate()*u.upstream.Seconds()*buffer
+// limit returns how many bytes started jobs may reserve: what fits into memory, plus what is
+// still upstream while as much is read.
+func (u *memoryUse) limit() float64 {
+	return u.capacity*(1-intermediatePart) + u.freeRate()*u.upstreamTime.Seconds()*upstreamBuffer
 }
 
-// rate is how many bytes a second are read where the room is full, by Little's law.
-func (u *roomUse) rate() float64 { return u.whole / u.hold.Seconds() }
+// freeRate returns the bytes a second that are read while memory is full, by Little's law.
+func (u *memoryUse) freeRate() float64 { return u.capacity / u.holdTime.Seconds() }
 
-// mayBegin reports whether a job's results will find room when they are made.
-// One that is alone begins whatever it takes: nothing is to be waited for.
-func (j *job) mayBegin() bool {
-	if j.begun {
+// mayStart reports whether the job's results will find memory when they are made. A job starts
+// regardless of its size if no memory is reserved, as waiting would gain nothing.
+func (j *job) mayStart() bool {
+	if j.started {
 		return true
 	}
-	for _, n := range j.needs {
-		u := &n.pool.room
-		if u.hold > 0 && u.begun > 0 && float64(u.begun+n.bytes) > u.most() {
+	for _, n := range j.memoryNeeds {
+		u := &n.pool.memory
+		if u.holdTime > 0 && u.reserved > 0 && float64(u.reserved+n.bytes) > u.limit() {
 			return false
 		}
 	}
 	return true
 }
 
-// blocks adds the pools for whose room a job waits to those that more urgent ones
-// wait for: what is behind them may not overtake.
-func (j *job) blocks(blocked map[*pool]bool) map[*pool]bool {
+// addBlockedPools adds the pools for whose memory a job waits, so that less urgent jobs don't
+// overtake it there.
+func (j *job) addBlockedPools(blocked map[*pool]bool) map[*pool]bool {
 	if blocked == nil {
 		blocked = make(map[*pool]bool)
 	}
-	for _, n := range j.needs {
+	for _, n := range j.memoryNeeds {
 		blocked[n.pool] = true
 	}
 	return blocked
 }
 
-func (j *job) blockedBy(blocked map[*pool]bool) bool {
-	return len(blocked) > 0 && !j.begun && slices.ContainsFunc(j.needs, func(n roomNeed) bool { return blocked[n.pool] })
+func (j *job) isBlocked(blocked map[*pool]bool) bool {
+	return len(blocked) > 0 && !j.started && slices.ContainsFunc(j.memoryNeeds, func(n memoryNeed) bool { return blocked[n.pool] })
 }
 
-// wantRoom counts what a job that is admitted will take.
-func (j *job) wantRoom(now time.Duration) {
-	for _, n := range j.needs {
-		n.pool.load.of(j.rank).wantsRoom(now, n.bytes)
+// queueMemory adds the memory needs of an admitted job to the queues of its rank.
+func (j *job) queueMemory(now time.Duration) {
+	for _, n := range j.memoryNeeds {
+		n.pool.load.forRank(j.rank).queueMemory(now, n.bytes)
 	}
 }
 
-// moveWant counts what a job that has not begun will take under another rank.
-func (j *job) moveWant(rank int) {
-	if j.begun {
+// moveQueuedMemory moves the memory needs of a job that has not started to another rank.
+func (j *job) moveQueuedMemory(rank int) {
+	if j.started {
 		return
 	}
-	for _, n := range j.needs {
-		n.pool.load.of(j.rank).room -= n.bytes
-		n.pool.load.of(rank).room += n.bytes
+	for _, n := range j.memoryNeeds {
+		n.pool.load.forRank(j.rank).queuedBytes -= n.bytes
+		n.pool.load.forRank(rank).queuedBytes += n.bytes
 	}
 }
 
-// begin keeps room for a job's results.
-func (j *job) begin(now time.Duration) {
-	if j.begun {
+// start reserves memory for the job's results.
+func (j *job) start(now time.Duration) {
+	if j.started {
 		return
 	}
-	j.begun, j.begunAt = true, now
-	for _, n := range j.needs {
-		n.pool.load.of(j.rank).room -= n.bytes
-		n.pool.room.begun += n.bytes
+	j.started, j.startedAt = true, now
+	for _, n := range j.memoryNeeds {
+		n.pool.load.forRank(j.rank).queuedBytes -= n.bytes
+		n.pool.memory.reserved += n.bytes
 	}
 }
 
-// leaveRoom gives up what a job wants or takes, once.
-func (j *job) leaveRoom() {
-	for _, n := range j.needs {
-		if j.begun {
-			n.pool.room.begun -= n.bytes
+// releaseMemory gives up the queued or reserved memory of a job, once.
+func (j *job) releaseMemory() {
+	for _, n := range j.memoryNeeds {
+		if j.started {
+			n.pool.memory.reserved -= n.bytes
 		} else {
-			n.pool.load.of(j.rank).room -= n.bytes
+			n.pool.load.forRank(j.rank).queuedBytes -= n.bytes
 		}
 	}
-	j.needs = nil
+	j.memoryNeeds = nil
 }
 
-// learnRoom takes in how long the results of a job took room that have been read.
-func (j *job) learnRoom(now time.Duration) {
+// recordHoldTime updates the average hold times with a job whose results have been read.
+func (j *job) recordHoldTime(now time.Duration) {
 	for _, st := range j.stages {
-		if !j.delivered || !st.sink() || len(st.pieces) == 0 {
+		if !j.delivered || !st.isSink() || len(st.items) == 0 {
 			continue
 		}
-		u := &st.pool.room
-		held, before := now-st.calledAt, max(st.readyAt-j.begunAt, 0)
-		if u.hold == 0 {
-			u.hold, u.upstream = max(held, time.Millisecond), before
+		u := &st.pool.memory
+		holdTime, upstreamTime := now-st.startedAt, max(st.readyAt-j.startedAt, 0)
+		if u.holdTime == 0 {
+			u.holdTime, u.upstreamTime = max(holdTime, time.Millisecond), upstreamTime
 			continue
 		}
-		u.hold = max(u.hold+time.Duration(holdRate*float64(held-u.hold)), time.Millisecond)
-		u.upstream += time.Duration(holdRate * float64(before-u.upstream))
+		u.holdTime = max(u.holdTime+time.Duration(holdTimeWeight*float64(holdTime-u.holdTime)), time.Millisecond)
+		u.upstreamTime += time.Duration(holdTimeWeight * float64(upstreamTime-u.upstreamTime))
 	}
 }
 
-// expireRoom gives up the room of jobs whose results their makers have dropped: a
-// request that never says that it has read them must not keep others out.
-func (s *Scheduler) expireRoom(now time.Duration) {
+// expireMemory releases the memory of jobs whose results have expired at their producers. A
+// request that never confirms reading must not keep others out.
+func (s *Scheduler) expireMemory(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if !j.delivered || len(j.needs) == 0 {
+		if !j.delivered || len(j.memoryNeeds) == 0 {
 			continue
 		}
-		holds := time.Duration(0)
-		for _, n := range j.needs {
-			holds = max(holds, n.pool.def.HoldFor)
+		holdFor := time.Duration(0)
+		for _, n := range j.memoryNeeds {
+			holdFor = max(holdFor, n.pool.def.HoldFor)
 		}
-		if now-j.deliveredAt > holds {
-			j.leaveRoom()
+		if now-j.deliveredAt > holdFor {
+			j.releaseMemory()
 		}
 	}
 }
 
-// roomWait is how long a job is expected to wait until it may begin: until what
-// goes before it, and what more urgent jobs will take meanwhile, has found room.
-func (s *Scheduler) roomWait(now time.Duration, j *job) time.Duration {
+// memoryWait returns the expected wait until a job may start: until there is memory for the
+// jobs before it and for more urgent ones that arrive in the meantime.
+func (s *Scheduler) memoryWait(now time.Duration, j *job) time.Duration {
 	wait := time.Duration(0)
-	for _, n := range j.needs {
-		wait = max(wait, n.pool.roomWait(now, j.rank, n.bytes))
+	for _, n := range j.memoryNeeds {
+		wait = max(wait, n.pool.memoryWait(now, j.rank, n.bytes))
 	}
 	return wait
 }
 
-func (p *pool) roomWait(now time.Duration, rank int, bytes int64) time.Duration {
-	u := &p.room
-	if u.hold == 0 || u.whole == 0 {
+func (p *pool) memoryWait(now time.Duration, rank int, bytes int64) time.Duration {
+	u := &p.memory
+	if u.holdTime == 0 || u.capacity == 0 {
 		return 0
 	}
-	ahead, coming := p.load.roomBefore(now, rank)
-	free := u.most() - float64(u.begun)
-	for wait := time.Duration(0); wait < farthest; wait += roomStep {
-		more := coming * wait.Seconds()
-		more += deviation * math.Sqrt(more*float64(bytes)) // as if they came in parts of this size
-		if float64(ahead+bytes)+more <= free+u.rate()*wait.Seconds() {
+	ahead, arrivalRate := p.load.memoryAhead(now, rank)
+	free := u.limit() - float64(u.reserved)
+	for wait := time.Duration(0); wait < planHorizon; wait += memoryStep {
+		arriving := arrivalRate * wait.Seconds()
+		arriving += arrivalDeviations * math.Sqrt(arriving*float64(bytes)) // as if they arrived in units of this size
+		if float64(ahead+bytes)+arriving <= free+u.freeRate()*wait.Seconds() {
 			return wait
 		}
 	}
-	return farthest
+	return planHorizon
 }
 
-// roomOver is by how much a job is expected to wait longer for room than it may,
-// of a time that its stages may take in all; 0 and below: it may.
-func (s *Scheduler) roomOver(now time.Duration, j *job, limit time.Duration) time.Duration {
-	wait := s.roomWait(now, j)
-	if wait == 0 || j.back {
+// excessMemoryWait returns by how much a job's expected wait for memory exceeds what it may
+// be. The limit is the time that the job's stages may take in total. 0 or less: the job may
+// wait.
+func (s *Scheduler) excessMemoryWait(now time.Duration, j *job, limit time.Duration) time.Duration {
+	wait := s.memoryWait(now, j)
+	if wait == 0 || j.admittedLate {
 		return 0
 	}
-	slack := min(limit, j.Objective) - j.own()
-	return wait - time.Duration(waitPart*float64(slack))
+	slack := min(limit, j.Objective) - j.uncontendedTime()
+	return wait - time.Duration(memoryWaitPart*float64(slack))
 }
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -10,193 +10,192 @@
 )
 
 const (
-	// surplusRank is added to the rank of jobs beyond their customer's share: they
-	// go behind all that are within one, and before what is late.
-	surplusRank = 500
-
-	// surplusMargin is the part of the time beside its own that a job beyond its
-	// customer's share may be expected to wait: what is within shares overtakes it
-	// on the way, and what is then given up has cost the pools' time for nothing.
-	surplusMargin = 0.8
-
-	// waitFor is how much of its share a customer that asks for more may have
-	// waiting. What waits was let in before it was seen that it floods, and would
-	// hold the others up for as long as it takes.
-	waitFor = 300 * time.Millisecond
+	// overShareRank is added to the rank of jobs beyond their customer's share. They rank
+	// behind all jobs within shares and before late ones.
+	overShareRank = 500
+
+	// overShareMargin is the share of its slack that a job beyond its customer's share may be
+	// expected to wait. Jobs within shares overtake it while it waits, and if it is then given
+	// up, the pools have worked for nothing.
+	overShareMargin = 0.8
+
+	// throttledQueue is how much work a throttled customer may have waiting, in time at its
+	// share. Waiting work was admitted before the flood was detected and would delay other
+	// customers for as long as it takes.
+	throttledQueue = 300 * time.Millisecond
 )
 
-// stand tells how a job stands within its customer's share, and puts what is
-// beyond it behind.
-func (s *Scheduler) stand(now time.Duration, j *job) shares.Standing {
-	j.Needs = append(j.Needs, s.needs(now, j)...)
+// checkShare determines whether a job is within its customer's share, and demotes it
+// otherwise.
+func (s *Scheduler) checkShare(now time.Duration, j *job) shares.Standing {
+	j.Needs = append(j.Needs, s.poolNeeds(now, j)...)
 	standing := s.shares.Ask(now, j.Customer, j.Rank, j.UsualShare, j.Needs)
 	if !standing.Within {
-		j.surplus = true
-		j.rank += surplusRank
+		j.overShare = true
+		j.rank += overShareRank
 	}
 	return standing
 }
 
-// needs returns what a job would take of the pools, and what these have.
-func (s *Scheduler) needs(now time.Duration, j *job) []shares.Need {
+// poolNeeds returns the work that a job requires of each pool and the pools' capacity.
+func (s *Scheduler) poolNeeds(now time.Duration, j *job) []shares.Need {
 	var out []shares.Need
 	for _, st := range j.stages {
-		if len(st.pieces) > 0 {
-			out = append(out, shares.Need{Resource: st.def.Service, Work: st.work(), Capacity: st.pool.capacity(now, &s.opts)})
+		if len(st.items) > 0 {
+			out = append(out, shares.Need{Resource: st.def.Service, Work: st.totalWork(), Capacity: st.pool.capacity(now, &s.opts)})
 		}
 	}
 	return out
 }
 
-// capacity is what a pool does in a second for those within their shares.
+// capacity returns the work a second that a pool can do for jobs within shares.
 func (p *pool) capacity(now time.Duration, o *Options) float64 {
-	if p.powerTo <= now {
-		p.powerWas, p.powerTo = p.power(now), now+powerFor
+	if p.cachedReplicasUntil <= now {
+		p.cachedReplicas, p.cachedReplicasUntil = p.effectiveReplicas(now), now+replicasCacheTime
 	}
-	return p.powerWas * o.TargetUtilization * p.does
+	return p.cachedReplicas * o.TargetUtilization * p.efficiency
 }
 
-// powerFor is for how long what a pool's replicas amount to is not counted anew:
-// it is asked for each job.
-const powerFor = 20 * time.Millisecond
-
-// heed follows what a pool really does of what its replicas could in full calls:
-// room for results runs short as well, and calls are not always full. While what
-// is within shares piles up, those that ask for more get less; the step is small
-// as a queue tells of it late.
-func (p *pool) heed(now time.Duration, held bool, o *Options) {
-	if !held {
-		p.does = min(p.does+doesStep, 1)
+// replicasCacheTime is how long the number of effective replicas is cached, because it is
+// needed for each job.
+const replicasCacheTime = 20 * time.Millisecond
+
+// adjustEfficiency estimates how much a pool really does compared to full calls, as result
+// memory may run short and calls may not be full. While work within shares piles up, throttled
+// customers get less. The step is small because a queue reacts late.
+func (p *pool) adjustEfficiency(now time.Duration, throttled bool, o *Options) {
+	if !throttled {
+		p.efficiency = min(p.efficiency+efficiencyStep, 1)
 		return
 	}
-	waits := 0.0
+	work := 0.0
 	for _, x := range p.ready {
-		if !x.stage.job.surplus && x.stage.job.rank < lateRank {
-			waits += x.stage.each()
+		if !x.stage.job.overShare && x.stage.job.rank < lateRank {
+			work += x.stage.itemWork()
 		}
 	}
-	switch queue := waits / max(p.capacity(now, o), doesLeast); {
-	case queue > queueMost.Seconds():
-		p.does = max(p.does-doesStep, doesLeast)
-	case queue < queueMost.Seconds()/2:
-		p.does = min(p.does+doesStep, 1)
+	switch queue := work / max(p.capacity(now, o), minEfficiency); {
+	case queue > maxQueue.Seconds():
+		p.efficiency = max(p.efficiency-efficiencyStep, minEfficiency)
+	case queue < maxQueue.Seconds()/2:
+		p.efficiency = min(p.efficiency+efficiencyStep, 1)
 	}
 }
 
 const (
-	queueMost = 300 * time.Millisecond // of work within shares that may wait at a pool
-	doesStep  = 0.02                   // at a tick
-	doesLeast = 0.2                    // of full calls, that a pool is taken to do at least
+	maxQueue       = 300 * time.Millisecond // work within shares that may wait at a pool
+	efficiencyStep = 0.02                   // per tick
+	minEfficiency  = 0.2                    // lower bound, as a share of the throughput with full calls
 )
 
-// work is what a stage's pieces take of a pool: seconds of its replicas in full
-// calls, as calls are when there is too much to do.
-func (st *stage) work() float64 { return float64(len(st.pieces)) * st.each() }
+// totalWork returns the work of a stage's items in replica seconds, assuming full calls, which
+// is what an overloaded pool runs.
+func (st *stage) totalWork() float64 { return float64(len(st.items)) * st.itemWork() }
 
-// each is what one of a stage's pieces takes in a full call.
-func (st *stage) each() float64 {
-	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchOf(st.def.ResultBytes)) + st.pool.item(st.def.ResultBytes)
+// itemWork returns the work of one item of the stage in a full call.
+func (st *stage) itemWork() float64 {
+	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchLimit(st.def.ResultBytes)) + st.pool.itemSeconds(st.def.ResultBytes)
 }
 
-// holdBack puts what waits of customers that ask for more than their share
-// behind, beyond what their share does soon; the least urgent first.
-func (s *Scheduler) holdBack(now time.Duration) {
-	for _, p := range s.order {
-		held := s.shares.Held(now, p.name)
-		p.heed(now, len(held) > 0, &s.opts)
-		waits := p.waitsOf(held)
-		for _, customer := range slices.Sorted(maps.Keys(waits)) {
-			s.holdBackTo(now, p, waits[customer])
+// throttle demotes the waiting jobs of customers that ask for more than their share, beyond
+// what their share gets done soon, the least urgent first.
+func (s *Scheduler) throttle(now time.Duration) {
+	for _, p := range s.poolsByName {
+		throttled := s.shares.Held(now, p.name)
+		p.adjustEfficiency(now, len(throttled) > 0, &s.opts)
+		queues := p.waitingByCustomer(throttled)
+		for _, customer := range slices.Sorted(maps.Keys(queues)) {
+			s.throttleCustomer(now, p, queues[customer])
 		}
 	}
 }
 
-// holdBackTo puts what waits of one customer behind until no more than its most is left.
-func (s *Scheduler) holdBackTo(now time.Duration, p *pool, w *waiting) {
-	slices.SortFunc(w.jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(b.id, a.id)) })
-	for _, j := range w.jobs {
-		if w.work <= w.most {
+// throttleCustomer demotes a customer's waiting jobs until only the allowed work is left.
+func (s *Scheduler) throttleCustomer(now time.Duration, p *pool, q *customerQueue) {
+	slices.SortFunc(q.jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(b.id, a.id)) })
+	for _, j := range q.jobs {
+		if q.work <= q.allowed {
 			return
 		}
-		w.work -= j.workAt(p)
-		s.putBehind(now, j)
+		q.work -= j.waitingWork(p)
+		s.demoteOverShare(now, j)
 	}
 }
 
-// waiting is what a customer that is held to a share has waiting at a pool.
-type waiting struct {
-	work float64 // seconds of the pool's replicas
-	most float64 // of it, that may go on waiting where it is
-	jobs []*job  // that may be put behind
+// customerQueue is the work that a throttled customer has waiting at a pool.
+type customerQueue struct {
+	work    float64 // replica seconds
+	allowed float64 // part of work that keeps its rank
+	jobs    []*job  // jobs that have not started and may be demoted
 }
 
-// waitsOf returns what waits at a pool of those that are held to a share.
-func (p *pool) waitsOf(held map[string]float64) map[string]*waiting {
-	if len(held) == 0 {
+// waitingByCustomer returns the work that waits at a pool for each throttled customer.
+func (p *pool) waitingByCustomer(throttled map[string]float64) map[string]*customerQueue {
+	if len(throttled) == 0 {
 		return nil
 	}
-	out := make(map[string]*waiting)
+	out := make(map[string]*customerQueue)
 	for _, x := range p.ready {
 		j := x.stage.job
-		share, ok := held[j.Customer]
-		if !ok || j.surplus || j.rank >= lateRank {
+		share, ok := throttled[j.Customer]
+		if !ok || j.overShare || j.rank >= lateRank {
 			continue
 		}
-		w := out[j.Customer]
-		if w == nil {
-			w = &waiting{most: share * waitFor.Seconds()}
-			out[j.Customer] = w
+		q := out[j.Customer]
+		if q == nil {
+			q = &customerQueue{allowed: share * throttledQueue.Seconds()}
+			out[j.Customer] = q
 		}
-		w.work += x.stage.each()
-		if !j.begun && !slices.Contains(w.jobs, j) {
-			w.jobs = append(w.jobs, j)
+		q.work += x.stage.itemWork()
+		if !j.started && !slices.Contains(q.jobs, j) {
+			q.jobs = append(q.jobs, j)
 		}
 	}
 	return out
 }
 
-// workAt is what a job has waiting at a pool.
-func (j *job) workAt(p *pool) float64 {
+// waitingWork returns the work of the job's ready items at a pool.
+func (j *job) waitingWork(p *pool) float64 {
 	sum := 0.0
 	for _, st := range j.stages {
 		if st.pool != p {
 			continue
 		}
-		for _, x := range st.pieces {
+		for _, x := range st.items {
 			if x.state == ready {
-				sum += st.each()
+				sum += st.itemWork()
 			}
 		}
 	}
 	return sum
 }
 
-// putBehind puts an admitted job behind all that is within a share, and ends it
-// where that leaves it no time: its caller is told at once.
-func (s *Scheduler) putBehind(now time.Duration, j *job) {
-	j.surplus = true
-	s.rerank(j, surplusRank)
-	expected, limit := s.expect(now, j), j.surplusLimit(j.due-now)
+// demoteOverShare ranks an admitted job behind all jobs within shares. If it then has too
+// little time, it ends at once so that its caller learns early.
+func (s *Scheduler) demoteOverShare(now time.Duration, j *job) {
+	j.overShare = true
+	s.rerank(j, overShareRank)
+	expected, limit := s.forecast(now, j), j.overShareLimit(j.dueAt-now)
 	if expected > limit {
 		s.fail(now, j, ReasonShare, s.retryAfter(Decision{Expected: expected, Limit: limit}))
 	}
 }
 
-// surplusLimit is the time that a job beyond its customer's share may be expected
-// to take, of so much until it is late.
-func (j *job) surplusLimit(objective time.Duration) time.Duration {
-	own := j.own()
-	return own + time.Duration(float64(objective-own)*surplusMargin)
+// overShareLimit returns the time that a job beyond its customer's share may be expected to
+// take, given the time left until it is late.
+func (j *job) overShareLimit(objective time.Duration) time.Duration {
+	uncontended := j.uncontendedTime()
+	return uncontended + time.Duration(float64(objective-uncontended)*overShareMargin)
 }
 
-// WhyShare is why a job ends that its customer's share does not hold.
+// ReasonShare is the reason for ending a job that exceeds its customer's share.
 const ReasonShare = "share"
 
-// Customers returns those that ask for most of each pool, so many of each, and all
-// that are held to a share.
-func (s *Scheduler) TopCustomers(now time.Duration, each int) []shares.Row {
-	return s.shares.Rows(now, each)
+// TopCustomers returns the customers that ask for most of each pool, up to perPool of each,
+// and all throttled ones.
+func (s *Scheduler) TopCustomers(now time.Duration, perPool int) []shares.Row {
+	return s.shares.Rows(now, perPool)
 }
 
-// Held returns who is held to a share of which pool.
+// ThrottledCustomers returns the throttled customers of each pool.
 func (s *Scheduler) ThrottledCustomers(now time.Duration) []shares.Row { return s.shares.HeldRows(now) }
--- a/coordination/pipeline/times.go
+++ b/coordination/pipeline/times.go
@@ -4,56 +4,55 @@
 	"time"
 )
 
-// rests returns for each stage the time from its start to the end of the last
-// stage that waits for it, without queues.
-func (j *job) rests() []time.Duration {
-	rest := make([]time.Duration, len(j.stages))
+// remainingTimes returns for each stage the time from its start to the end of the last stage
+// that depends on it, without queueing.
+func (j *job) remainingTimes() []time.Duration {
+	remaining := make([]time.Duration, len(j.stages))
 	for n := len(j.stages) - 1; n >= 0; n-- {
-		rest[n] += j.stages[n].duration()
+		remaining[n] += j.stages[n].duration()
 		for _, a := range j.stages[n].def.After {
-			rest[a] = max(rest[a], rest[n])
+			remaining[a] = max(remaining[a], remaining[n])
 		}
 	}
-	return rest
+	return remaining
 }
 
-// duration is how long a stage takes once its call begins: pieces of others
-// share the call.
+// duration returns the time that a stage takes once its call starts. Items of other jobs share
+// the call.
 func (st *stage) duration() time.Duration {
-	if len(st.pieces) == 0 {
+	if len(st.items) == 0 {
 		return 0
 	}
-	const sharedPart = 0.6 // of a full call's pieces are before a given one ends, together with its own
-	full := float64(st.pool.batchOf(st.def.ResultBytes))
-	items := max(full*sharedPart, float64(min(len(st.pieces), st.pool.def.Batch)))
-	t := st.pool.def.CallTime.Seconds() + items*st.pool.item(st.def.ResultBytes)
+	const batchPart = 0.6 // share of a full batch that runs before a given item ends, including its own job's items
+	full := float64(st.pool.batchLimit(st.def.ResultBytes))
+	items := max(full*batchPart, float64(min(len(st.items), st.pool.def.Batch)))
+	t := st.pool.def.CallTime.Seconds() + items*st.pool.itemSeconds(st.def.ResultBytes)
 	return time.Duration(t * float64(time.Second))
 }
 
-// early reports whether a piece's result, large and read by nobody but the
-// request itself, would only lie about and take others' room: the rest of the
-// job takes longer still.
-func (x *piece) early() bool {
+// isPremature reports whether an item's large result, read only by the request itself, would
+// just occupy memory, because the rest of the job takes longer.
+func (x *stageItem) isPremature() bool {
 	st := x.stage
-	if st.def.ResultBytes < farBytes || !st.alone() {
+	if st.def.ResultBytes < localityBytes || !st.isIsolated() {
 		return false
 	}
-	return st.job.left() > st.duration()+st.pool.def.CallTime
+	return st.job.remainingTime() > st.duration()+st.pool.def.CallTime
 }
 
-// alone reports whether a stage neither reads other stages' results nor has
-// its own read by them.
-func (st *stage) alone() bool { return st.sink() && len(st.def.After) == 0 }
+// isIsolated reports whether a stage neither reads results of other stages nor is read by
+// them.
+func (st *stage) isIsolated() bool { return st.isSink() && len(st.def.After) == 0 }
 
-// left is the time until the stages that follow each other are done, without queues.
-func (j *job) left() time.Duration {
+// remainingTime returns the time until the job's dependent stages are done, without queueing.
+func (j *job) remainingTime() time.Duration {
 	ends := make([]time.Duration, len(j.stages))
 	last := time.Duration(0)
 	for n, st := range j.stages {
 		for _, a := range st.def.After {
 			ends[n] = max(ends[n], ends[a])
 		}
-		if !st.alone() && !st.done() {
+		if !st.isIsolated() && !st.isDone() {
 			ends[n] += st.duration()
 		}
 		last = max(last, ends[n])
--- a/coordination/pipeline/verdict_test.go
+++ b/coordination/pipeline/verdict_test.go
@@ -7,36 +7,36 @@
 	"github.com/matryer/is"
 )
 
-// A verdict names what its expectation is made of, and of the pools only those
-// that the job asks for: the other one, far behind, has nothing to do with it.
-func TestAVerdictNamesThePoolThatBoundIt(t *testing.T) {
+// A decision names the pool that the job waits for longest. Only pools for which the job has
+// items count, however overloaded others are.
+func TestDecisionNamesTheBottleneck(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	for range 20 {
-		b.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "rank", Items: 8, ResultBytes: 1}}})
+		h.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "rank", Items: 8, ResultBytes: 1}}})
 	}
 	for range 3 {
-		b.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "read", Items: 8, ResultBytes: 1}}})
+		h.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "read", Items: 8, ResultBytes: 1}}})
 	}
 	job := Job{Objective: 500 * ms, Deadline: time.Second, Stages: []Stage{{Service: "read", Items: 1, ResultBytes: 1}, {Service: "rank"}}}
 	is.True(job.Uses("read"))
-	is.True(!job.Uses("rank")) // the stage has no pieces
-	v := b.submit(job)
+	is.True(!job.Uses("rank")) // the stage has no items
+	v := h.submit(job)
 	is.True(!v.Admitted)
 	is.Equal(v.Bottleneck, "read")
-	is.Equal(v.Uncontended, 248*ms) // a call with 0.6 of its four pieces
+	is.Equal(v.Uncontended, 248*ms) // a call with 0.6 of its four items
 	is.True(v.Expected > v.Limit)
-	is.True(v.Uncontended < v.Limit) // alone it would have been in time
-	is.Equal(b.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "rank", Items: 1, ResultBytes: 1}}}).Bottleneck, "rank")
+	is.True(v.Uncontended < v.Limit) // without queueing it would have been in time
+	is.Equal(h.submit(Job{Objective: time.Minute, Deadline: time.Minute, Stages: []Stage{{Service: "rank", Items: 1, ResultBytes: 1}}}).Bottleneck, "rank")
 }
 
-// Who is refused because a pool is not known is not told that it is its customer's share.
-func TestARefusalForAnUnknownPoolIsNoShare(t *testing.T) {
+// A refusal because of an unknown pool is not attributed to the customer's share.
+func TestRefusalForAnUnknownPoolIsWithinShare(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	h := newHarness(t)
 	j := newTestJob("r", 1)
 	j.Stages[0].Service = "unheard-of"
-	v := b.submit(j)
+	v := h.submit(j)
 	is.True(!v.Admitted)
 	is.True(v.Standing.Within)
 }
--- a/coordination/pipeline/weigh.go
+++ b/coordination/pipeline/weigh.go
@@ -1,51 +1,50 @@
 package pipeline
 
-// returns is what became of a rank's jobs that would be late, as a share of
-// those seen lately.
-type returns struct {
-	served float64 // of those that came back after a refusal: expected in time then
-	inTime float64 // of those that stood back: done in time after all
+// lateStats tracks outcomes of a rank's jobs that were expected to be late, as moving
+// averages.
+type lateStats struct {
+	retriesInTime      float64 // retried jobs that were expected in time after their refusal
+	lateAdmittedInTime float64 // jobs admitted late that were done in time after all
 }
 
 const (
-	returnRate  = 0.05 // weight of a new one: the last 20 or so count
-	returnPrior = 0.5  // before anything is seen
+	outcomeWeight = 0.05 // weight of a new outcome; about the last 20 count
+	outcomePrior  = 0.5  // before the first outcome
 )
 
-func (s *Scheduler) returnsOf(rank int) *returns {
-	r := s.returns[rank]
+func (s *Scheduler) lateStatsOf(rank int) *lateStats {
+	r := s.lateStats[rank]
 	if r == nil {
-		r = &returns{served: returnPrior, inTime: returnPrior}
-		s.returns[rank] = r
+		r = &lateStats{retriesInTime: outcomePrior, lateAdmittedInTime: outcomePrior}
+		s.lateStats[rank] = r
 	}
 	return r
 }
 
-// note takes one in.
-func note(share *float64, yes bool) {
-	seen := 0.0
-	if yes {
-		seen = 1
+// recordOutcome adds an outcome to a moving average.
+func recordOutcome(share *float64, success bool) {
+	outcome := 0.0
+	if success {
+		outcome = 1
 	}
-	*share += returnRate * (seen - *share)
+	*share += outcomeWeight * (outcome - *share)
 }
 
-// mayBeLate reports whether a job may be admitted to be late.
-func (s *Scheduler) mayBeLate(j *job) bool {
+// allowsLate reports whether a job may be admitted although it will be late.
+func (s *Scheduler) allowsLate(j *job) bool {
 	return j.AllowLate && s.opts.LateWorth+s.opts.ServedWorth > 0
 }
 
-// lateIsWorthMore weighs an answer that will be late by what is expected, for
-// one that stands back, against a refusal, whose caller comes back and is in
-// time then, or not.
-func (s *Scheduler) lateIsWorthMore(j *job) bool {
-	if !s.mayBeLate(j) {
+// prefersLateAnswer compares the expected worth of admitting a late job with that of a
+// refusal, after which the caller retries and may then be in time.
+func (s *Scheduler) prefersLateAnswer(j *job) bool {
+	if !s.allowsLate(j) {
 		return false
 	}
 	if j.Retry {
-		return true // who is refused now does not come back
+		return true // a retried job that is refused does not come back
 	}
-	r := s.returnsOf(j.Rank)
-	late := r.inTime + (1-r.inTime)*s.opts.LateWorth + s.opts.ServedWorth
-	return late > r.served*(s.opts.RetryWorth+s.opts.ServedWorth)
+	r := s.lateStatsOf(j.Rank)
+	late := r.lateAdmittedInTime + (1-r.lateAdmittedInTime)*s.opts.LateWorth + s.opts.ServedWorth
+	return late > r.retriesInTime*(s.opts.RetryWorth+s.opts.ServedWorth)
 }
