--- a/cmd/check/check.go
+++ b/cmd/check/check.go
@@ -171,7 +171,7 @@
 	onceStage := make(map[string]bool)
 	for _, p := range h.fleet.Pipelines {
 		for _, s := range p.Stages {
-			if s.Once {
+			if s.AtMostOnce {
 				onceStage[s.Name+"/"+s.Operation] = true
 			}
 		}
--- a/cmd/check/check_test.go
+++ b/cmd/check/check_test.go
@@ -15,7 +15,7 @@
 
 var testFleet = &fleet.Fleet{Pipelines: []fleet.Pipeline{
 	{Name: "p", Repeatable: true, Stages: []fleet.Stage{{Name: "a", Operation: "x"}, {Name: "b", Operation: "y"}}},
-	{Name: "q", Stages: []fleet.Stage{{Name: "s", Operation: "store", Once: true}}},
+	{Name: "q", Stages: []fleet.Stage{{Name: "s", Operation: "store", AtMostOnce: true}}},
 }}
 
 // good is a history that keeps every promise.
--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -114,7 +114,7 @@
 		return nil, 0, upstream.ErrToken
 	}
 	s.sent++
-	s.onceSent = s.stage.Once
+	s.onceSent = s.stage.AtMostOnce
 	call := s.call()
 	began := time.Now()
 	ans, err := conn.Do(d, call)
@@ -139,7 +139,7 @@
 // call describes the attempt to the replica.
 func (s *stageRun) call() *upstream.Call {
 	deadline := s.deadline.Add(-s.rest / 2) // later it can't be whole in time, so free the slot
-	if s.stage.Once {
+	if s.stage.AtMostOnce {
 		deadline = s.deadline.Add(onceGrace)
 	}
 	c := &upstream.Call{
@@ -206,11 +206,11 @@
 func (e *Entry) mayRetry(s *stageRun, err error) *final {
 	free := errors.Is(err, errGone) || errors.Is(err, errRefused) || errors.Is(err, upstream.ErrConnect)
 	switch {
-	case s.left() <= 0 || (s.left() < s.rest/2 && !s.stage.Once):
+	case s.left() <= 0 || (s.left() < s.rest/2 && !s.stage.AtMostOnce):
 		return e.end(s.run, 504, "deadline", fmt.Sprintf("stage %s was not whole in time", s.stage.Name))
 	case s.tries >= mostAttempts:
 		return e.refuse(s.run, 502, "upstream_failed", fmt.Sprintf("stage %s: %v after %d tries", s.stage.Name, err, s.tries), 0)
-	case s.stage.Once && !free:
+	case s.stage.AtMostOnce && !free:
 		return e.end(s.run, 502, "upstream_failed", fmt.Sprintf("stage %s: %v", s.stage.Name, err))
 	case s.abandoned():
 		return e.refuse(s.run, 499, "abandoned", "the caller went away", 0)
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		var s succession
-		x, ok := e.heirlooms.Take(from)
+		x, ok := e.heirlooms.GetAndDelete(from)
 		if json.Unmarshal(kv.Value, &s) == nil && ok && s.Heir == e.incarnation {
 			e.adopt(from, x)
 		}
--- a/cmd/entry/owner.go
+++ b/cmd/entry/owner.go
@@ -76,17 +76,17 @@
 			ch <- slotAnswer{queued: true}
 		}
 	case *pb.PermitFrame_Admit:
-		if ch, ok := o.waiting.Take(b.Admit.GetId()); ok {
+		if ch, ok := o.waiting.GetAndDelete(b.Admit.GetId()); ok {
 			ch <- slotAnswer{from: o, Action: scheduler.Action{Ask: b.Admit.GetId(), Admitted: true}}
 		}
 	case *pb.PermitFrame_Grant:
-		ch, ok := o.waiting.Take(b.Grant.GetId())
+		ch, ok := o.waiting.GetAndDelete(b.Grant.GetId())
 		if !ok { // given up meanwhile: the owner hears so from the cancel
 			return
 		}
 		ch <- slotAnswer{from: o, Action: scheduler.Action{Ask: b.Grant.GetId(), Permit: b.Grant.GetPermit(), Replica: b.Grant.GetReplica()}}
 	case *pb.PermitFrame_Refuse:
-		if ch, ok := o.waiting.Take(b.Refuse.GetId()); ok {
+		if ch, ok := o.waiting.GetAndDelete(b.Refuse.GetId()); ok {
 			ch <- slotAnswer{from: o, Action: scheduler.Action{
 				Reason: scheduler.Reason(b.Refuse.GetReason()), RetryAfter: convert.FromMicros(b.Refuse.GetRetryAfterUs()),
 			}}
--- a/cmd/entry/run.go
+++ b/cmd/entry/run.go
@@ -71,7 +71,7 @@
 		return e.refuse(r, 429, "rate_limited", "the customer is over its declared rate", after)
 	}
 	need := e.expectAll(r)
-	if r.view.fleet.Shed > 0 && need > r.left() {
+	if r.view.fleet.ShedSlackFactor > 0 && need > r.left() {
 		return e.refuse(r, 503, "deadline_too_short", fmt.Sprintf("its stages take about %s, %s is left", need.Round(time.Millisecond), r.left().Round(time.Millisecond)), 0)
 	}
 	return e.execute(r)
@@ -127,7 +127,7 @@
 // estimate returns the learnt times of a stage.
 func (e *Entry) estimate(p *fleet.Pipeline, s *fleet.Stage) *stageEstimate {
 	return e.estimates.GetOrPut(stageKey{p.Name, s.Name}, func() *stageEstimate {
-		return &stageEstimate{Stage: estimate.New(s.Expect())}
+		return &stageEstimate{Stage: estimate.New(s.ExpectedTime())}
 	})
 }
 
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -33,7 +33,7 @@
 }
 
 func (v *view) lifetime() time.Duration {
-	return time.Duration(v.fleet.AddressSeconds) * time.Second
+	return time.Duration(v.fleet.AddressTTLSeconds) * time.Second
 }
 
 const (
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -182,7 +182,7 @@
 		a.look = n.brokeOff(&a.replica, a.sent, a.fingerprint)
 	}
 	a.tellRollout(way, suspended, took)
-	if says.Request == ending.Look && a.movable() && len(a.tried) < a.route.Attempts {
+	if says.Request == ending.Look && a.movable() && len(a.tried) < a.route.MaxAttempts {
 		n.awaitLook(ctx, a.look) // else there is nothing to wait for: it has its end at once
 	}
 }
@@ -290,7 +290,7 @@
 
 // patience is how long the attempt waits for its answer to begin; 0: to the end.
 func (a *attempt) patience() time.Duration {
-	if len(a.tried) >= a.route.Attempts || a.route.Objective == 0 {
+	if len(a.tried) >= a.route.MaxAttempts || a.route.Objective == 0 {
 		return 0
 	}
 	n := a.node
@@ -343,7 +343,7 @@
 // mayMend reports whether another replica is tried after a replica's own
 // failure; where it may not, the client gets that answer.
 func (a *attempt) mayMend() bool {
-	return a.route.Kind == catalog.Repeatable && len(a.tried) < a.route.Attempts && a.hasOthers() && a.mayRepeat()
+	return a.route.Kind == catalog.Repeatable && len(a.tried) < a.route.MaxAttempts && a.hasOthers() && a.mayRepeat()
 }
 
 func (a *attempt) hasOthers() bool {
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -25,7 +25,7 @@
 func besideNode(t *testing.T) *Node {
 	n := knowing(t, 0)
 	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
-		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, Born: 7,
+		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 7,
 	})}, 101)
 	n.publish()
 	return n
@@ -72,7 +72,7 @@
 	}
 	is.True(n.replicaTakes("e2"))
 	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
-		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, Born: 8,
+		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 8,
 	})}, 102)
 	n.publish()
 	is.True(n.replicaTakes("e1@8"))
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -226,7 +226,7 @@
 		var asked sync.WaitGroup
 		for _, r := range w.share(c.number) {
 			switch {
-			case !r.Takes():
+			case !r.AcceptsWork():
 			case w.config.Services[r.Service].Pool != nil:
 				asked.Go(func() { c.look(r) })
 			default:
--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -34,7 +34,7 @@
 	}
 	until := row.coldUntil
 	if at, ok := n.emptied.Returned(row.replica.Hall); ok {
-		until = max(until, at+s.WarmUp.For)
+		until = max(until, at+s.WarmUp.Duration)
 	}
 	return until
 }
@@ -42,7 +42,7 @@
 // allowsCold reports whether this instance may send a request to a cold replica of
 // a plain service now, given who takes requests; count counts it.
 func (n *Node) allowsCold(now time.Duration, s *catalog.Service, id string, instances []string, count bool) bool {
-	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.Most(s.WarmUp.PerSecond))
+	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.Most(s.WarmUp.RequestsPerSecond))
 	if quota == 0 {
 		return false
 	}
@@ -70,7 +70,7 @@
 	now := n.now()
 	for _, r := range n.world.Load().services[s.Name] {
 		if r.ID == id {
-			return r.ColdUntil <= now || n.allowsCold(now, s, id, n.taking(), true)
+			return r.WarmingUntil <= now || n.allowsCold(now, s, id, n.taking(), true)
 		}
 	}
 	return true
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -26,7 +26,7 @@
 	question := platform.ParseQuestion(r.URL.Query())
 	c := client{hall: question.Hall, region: cmp.Or(question.Region, n.places.Of(question.Hall)), name: callerOf(r)}
 	if config := n.world.Load().config; config != nil {
-		c.homes = regions.Bind(config.Regions(question.Host))
+		c.homes = regions.Bind(config.AllowedRegions(question.Host))
 	}
 	answer := platform.Addresses{
 		Addresses: addresses(n.alive(), c),
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -65,5 +65,5 @@
 		return false
 	}
 	row, known := n.replicas.lives[id]
-	return !known || row.replica.Takes() && !n.emptied.Emptied(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
+	return !known || row.replica.AcceptsWork() && !n.emptied.Emptied(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
 }
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -55,7 +55,7 @@
 }
 
 // mostKept asks some regions at once, and tells which engine keeps most.
-func (n *Node) mostKept(others []string, service string, shared []catalog.Part) <-chan placement.Kept {
+func (n *Node) mostKept(others []string, service string, shared []catalog.PromptPart) <-chan placement.Kept {
 	answers := make(chan placement.Kept, len(others))
 	for _, region := range others {
 		go func() { answers <- n.keptIn(region, service, shared) }()
@@ -100,7 +100,7 @@
 }
 
 // keptIn asks the owner of a region's cell what engines there keep of a prompt.
-func (n *Node) keptIn(region, service string, shared []catalog.Part) placement.Kept {
+func (n *Node) keptIn(region, service string, shared []catalog.PromptPart) placement.Kept {
 	w := n.world.Load()
 	cell := w.places.Cell(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
 	owners := ownership.Rank(n.alive(), cell, region)
@@ -154,9 +154,9 @@
 	if c == nil {
 		return &pb.KeptReply{}
 	}
-	var parts []catalog.Part
+	var parts []catalog.PromptPart
 	for _, p := range ask.Parts {
-		parts = append(parts, catalog.Part{ID: p.Id, Tokens: int(p.Tokens)})
+		parts = append(parts, catalog.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/node/homes_test.go
+++ b/cmd/node/homes_test.go
@@ -15,7 +15,7 @@
 func TestARequestWithoutAKeyIsBoundByItsRouteAlone(t *testing.T) {
 	is := is.New(t)
 	route := func(anonymous bool) *catalog.Configuration {
-		c := &catalog.Configuration{Routes: []catalog.Route{{Name: "r", Host: "h", Prefix: "/", Anonymous: anonymous, Regions: []string{"north"}}}}
+		c := &catalog.Configuration{Routes: []catalog.Route{{Name: "r", Host: "h", Prefix: "/", Anonymous: anonymous, AllowedRegions: []string{"north"}}}}
 		c.Index()
 		return c
 	}
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -104,7 +104,7 @@
 
 // nameOf returns a listed replica's name by its life, "" where both are the same.
 func (w *world) nameOf(life string) string {
-	name := catalog.NameOf(life)
+	name := catalog.ReplicaName(life)
 	if w.lifeByName[name] != life {
 		return ""
 	}
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -262,7 +262,7 @@
 		Ended:   int(ask.Ended),
 	}
 	for _, p := range ask.Parts {
-		r.Parts = append(r.Parts, catalog.Part{ID: p.Id, Tokens: int(p.Tokens)})
+		r.Parts = append(r.Parts, catalog.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
 	}
 	for _, id := range ask.Avoid {
 		if !knowsLives(ask) {
--- a/cmd/node/owner_test.go
+++ b/cmd/node/owner_test.go
@@ -17,7 +17,7 @@
 		places: regions.New(nil),
 	}
 	for i := range 100 {
-		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", Emptied: i%2 == 0} // the cells stay as they are
+		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", HallDrained: i%2 == 0} // the cells stay as they are
 		w.all = append(w.all, r)
 	}
 	is.Equal(w.cells(""), 4)
--- a/cmd/node/parts.go
+++ b/cmd/node/parts.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		ids[r.Region][r.Service] = append(ids[r.Region][r.Service], r.ID)
-		if s.Pool != nil && !r.Leaving {
+		if s.Pool != nil && !r.Draining {
 			pooled[r.Region][r.Service]++
 		}
 	}
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -64,7 +64,7 @@
 func nodeOfTwo() *Node {
 	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", DatagramPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
 	config := &catalog.Configuration{Version: 1, Services: map[string]*catalog.Service{
-		"pool": {Name: "pool", Pool: &catalog.Pool{Slots: 1, Batch: 4, CallTime: time.Millisecond, ItemTime: time.Millisecond, Room: 1000, HoldFor: time.Second}},
+		"pool": {Name: "pool", Pool: &catalog.Pool{Slots: 1, MaxBatch: 4, BatchTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemory: 1000, ResultTTL: time.Second}},
 		"llm":  {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}},
 	}}
 	config.Index()
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -74,8 +74,8 @@
 	ask.Avoid = s.node.spokenAll(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
-		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.Pieces[i]), Bytes: st.Bytes}
-		for _, a := range st.After {
+		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.Pieces[i]), Bytes: st.ResultBytes}
+		for _, a := range st.DependsOn {
 			work.After = append(work.After, uint32(a))
 		}
 		ask.Stages = append(ask.Stages, work)
@@ -168,13 +168,13 @@
 // able returns the replicas that this instance may choose by itself: not the
 // cold ones beyond its part of what they carry, which for engines is none.
 func (s *serving) able(now time.Duration, all []catalog.Replica) []catalog.Replica {
-	if s.service.WarmUp == nil || !slices.ContainsFunc(all, func(r catalog.Replica) bool { return r.ColdUntil > now }) {
+	if s.service.WarmUp == nil || !slices.ContainsFunc(all, func(r catalog.Replica) bool { return r.WarmingUntil > now }) {
 		return all
 	}
 	instances := s.node.taking()
 	var out []catalog.Replica
 	for _, r := range all {
-		if r.ColdUntil <= now || s.service.Engine == nil && s.node.allowsCold(now, s.service, r.ID, instances, false) {
+		if r.WarmingUntil <= now || s.service.Engine == nil && s.node.allowsCold(now, s.service, r.ID, instances, false) {
 			out = append(out, r)
 		}
 	}
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -107,7 +107,7 @@
 const keptFor = time.Second
 
 // keptParts asks an engine which parts of prompts it keeps.
-func (n *Node) keptParts(r catalog.Replica) ([]catalog.Part, error) {
+func (n *Node) keptParts(r catalog.Replica) ([]catalog.PromptPart, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), keptFor)
 	defer cancel()
 	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -48,9 +48,9 @@
 		customer = s.world.config.Customers[s.req.Key]
 	}
 	if route.Anonymous || customer == nil {
-		return regions.Bind(route.Regions)
+		return regions.Bind(route.AllowedRegions)
 	}
-	return regions.Bind(route.Regions, customer.Regions)
+	return regions.Bind(route.AllowedRegions, customer.AllowedRegions)
 }
 
 // permitted returns the replicas in regions that may serve the request.
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -111,7 +111,7 @@
 		if r.Service != s.service.Name {
 			continue
 		}
-		if !r.Leaving {
+		if !r.Draining {
 			return nil
 		}
 		leaves = true
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -27,7 +27,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Bad || a.says == ending.Nothing || a.says == ending.Answer && a.replica.ColdUntil > n.now() {
+	if !ok || s.Phase >= rollout.Bad || a.says == ending.Nothing || a.says == ending.Answer && a.replica.WarmingUntil > n.now() {
 		return
 	}
 	own := &r.seen(s.Revision).own
@@ -113,7 +113,7 @@
 		leave()
 		return
 	}
-	time.AfterFunc(w.config.Services[service].Pool.HoldFor, leave)
+	time.AfterFunc(w.config.Services[service].Pool.ResultTTL, leave)
 }
 
 // tellRolloutCall counts how a call of pieces went in its pool's roll-out.
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -49,12 +49,12 @@
 			case x.Service != s.Service:
 			case x.Version == s.Target:
 				m.newer[x.ID] = true
-				if x.Takes() {
+				if x.AcceptsWork() {
 					ready = append(ready, x.ID)
 				}
 			case !r.view.Withheld(x.Service, x.Version, false, false):
 				m.older++
-				r.others[s.Service] = r.others[s.Service] || x.Takes()
+				r.others[s.Service] = r.others[s.Service] || x.AcceptsWork()
 			}
 		}
 		m.chosen = s.Chosen(now, r.canary, ready)
@@ -63,7 +63,7 @@
 	}
 	for i := range w.all {
 		x := &w.all[i]
-		x.Withheld = r.view.Withheld(x.Service, x.Version, r.others[x.Service], r.moved[x.Service]) || r.poolHeld(w, x)
+		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.others[x.Service], r.moved[x.Service]) || r.poolHeld(w, x)
 	}
 }
 
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -113,7 +113,7 @@
 		if service == nil || service.Pool == nil || m == nil {
 			continue
 		}
-		open := r.ledger.May(m.order, "", m.share, service.Pool.Batch)
+		open := r.ledger.May(m.order, "", m.share, service.Pool.MaxBatch)
 		changed = changed || open != r.open[s.Service]
 		r.open[s.Service] = open
 	}
@@ -210,10 +210,10 @@
 	f.Configured = w.config != nil && w.config.Services[s.Service] != nil
 	for _, x := range w.all {
 		switch {
-		case x.Service != s.Service || x.Leaving || x.Emptied:
+		case x.Service != s.Service || x.Draining || x.HallDrained:
 		case x.Version != s.Target:
 			f.OldReady++
-		case x.ColdUntil <= now:
+		case x.WarmingUntil <= now:
 			f.NewReady++
 		}
 	}
--- a/cmd/node/rollout_test.go
+++ b/cmd/node/rollout_test.go
@@ -34,7 +34,7 @@
 		w := worldOf("v1", "v1", "v2")
 		r.part(4, w)
 		for _, x := range w.all {
-			is.Equal(x.Takes(), x.Version == "v1")
+			is.Equal(x.AcceptsWork(), x.Version == "v1")
 		}
 		for range 10 {
 			is.True(r.mayNewer(w.moves["s"], "a", 1))
@@ -50,7 +50,7 @@
 	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, For: time.Minute}}, 3)
 	r.view.Say(1, 3, rollout.Open)
 	w := worldOf("v1", "v2", "v2")
-	w.all[0].Emptied = true
+	w.all[0].HallDrained = true
 	r.part(4, w)
 	sent := 0
 	for range 100 {
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -135,7 +135,7 @@
 	if !n.takes(route.Kind == catalog.Stream) {
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
-	s.service = world.config.Services[route.Pick(platform.Hash(req.ID))]
+	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
 	if !world.listed {
 		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: errNoReplicas.Error()}
 	}
@@ -324,5 +324,5 @@
 		return true // the answer was given up for another attempt, which was paid for
 	}
 	repeatable := s.route.Kind == catalog.Repeatable || (s.route.Kind == catalog.Stream && s.route.Resumable)
-	return repeatable && len(s.tried) < s.route.Attempts && s.mayRepeat()
+	return repeatable && len(s.tried) < s.route.MaxAttempts && s.mayRepeat()
 }
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -143,10 +143,10 @@
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
 	for _, r := range w.all {
-		if r.Born != 0 {
+		if r.StartMillis != 0 {
 			s.Lives++
 		}
-		if r.ColdUntil > n.now() {
+		if r.WarmingUntil > n.now() {
 			s.Cold = append(s.Cold, r.ID)
 		}
 	}
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -258,5 +258,5 @@
 	if c == nil || c.Services[service] == nil || c.Services[service].Pool == nil {
 		return 0
 	}
-	return c.Services[service].Pool.HoldFor
+	return c.Services[service].Pool.ResultTTL
 }
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -73,7 +73,7 @@
 }
 
 func (a *attempt) mayMoveOn() bool {
-	return a.route.Resumable && len(a.tried) < a.route.Attempts
+	return a.route.Resumable && len(a.tried) < a.route.MaxAttempts
 }
 
 // streamEvent is one event of a stream with the blank line that ends it.
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -78,7 +78,7 @@
 			}
 			return
 		}
-		row := replicaRow{value: value, replica: r, coldUntil: now + r.Warming}
+		row := replicaRow{value: value, replica: r, coldUntil: now + r.WarmupLeft}
 		rows[id], lives[r.ID] = row, row
 	})
 	for life, row := range s.lives {
@@ -89,7 +89,7 @@
 		case listed:
 		case again:
 			out.over = append(out.over, row.replica)
-		case !leaves && !row.replica.Leaving && !left(life):
+		case !leaves && !row.replica.Draining && !left(life):
 			out.gone = append(out.gone, row.replica)
 		}
 	}
@@ -102,10 +102,10 @@
 	var out []catalog.Replica
 	cold := make(map[string]time.Duration)
 	for _, r := range all {
-		if r.ColdUntil <= now {
+		if r.WarmingUntil <= now {
 			continue
 		}
-		cold[r.ID] = r.ColdUntil
+		cold[r.ID] = r.WarmingUntil
 		if s.saidCold[r.ID] <= now {
 			out = append(out, r)
 		}
@@ -142,7 +142,7 @@
 			event.NodeEntryBroken.Log(n.log, "name", id)
 		}
 		for _, r := range cold {
-			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.ColdUntil-now)
+			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
 		n.owner.refresh()
 	}
@@ -158,22 +158,22 @@
 	for id, row := range n.replicas.lives {
 		r := row.replica
 		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
-			r.Leaving = true
+			r.Draining = true
 		}
 		r.Region = n.places.Of(r.Hall)
-		r.Emptied = n.emptied.Emptied(r.Hall)
-		r.ColdUntil = n.coldUntil(w.config, &row)
+		r.HallDrained = n.emptied.Emptied(r.Hall)
+		r.WarmingUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
-		if r.Born != 0 {
+		if r.StartMillis != 0 {
 			w.lifeByName[r.Name] = r.ID
 		}
-		if !r.Leaving {
+		if !r.Draining {
 			w.sizes[r.Service]++
 		}
 	}
 	n.rollouts.part(n.now(), w)
 	for _, r := range w.all {
-		if r.Takes() {
+		if r.AcceptsWork() {
 			w.services[r.Service] = append(w.services[r.Service], r)
 		}
 	}
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -65,14 +65,14 @@
 				slots[r.ID] = s.Slots
 			}
 		}
-		fresh := func() *service { return newService(policy, f.Shed) }
+		fresh := func() *service { return newService(policy, f.ShedSlackFactor) }
 		svc := h.services.GetOrPut(s.Name, fresh)
 		if svc.policy != policy {
 			svc = fresh()
 			h.services.Put(s.Name, svc)
 		}
 		h.with(s.Name, func(sc *scheduler.Scheduler, now time.Duration) []scheduler.Action {
-			sc.Configure(scheduler.Shed(f.Shed), scheduler.Share(share))
+			sc.Configure(scheduler.Shed(f.ShedSlackFactor), scheduler.Share(share))
 			return sc.SetReplicas(now, slots)
 		})
 	}
--- a/coordination/choice/choice.go
+++ b/coordination/choice/choice.go
@@ -151,7 +151,7 @@
 	case regions.Far:
 		e += otherRegion
 	}
-	if r.Warming > 0 {
+	if r.WarmupLeft > 0 {
 		e *= 2
 	}
 	return e
@@ -174,7 +174,7 @@
 // hash of its longest shared run of parts, so that all instances name the same
 // one and those that share parts meet; an overloaded home passes the request
 // on, and the next one fetches what it lacks.
-func (t *Table) Engines(now time.Duration, shared []catalog.Part, own string, candidates []catalog.Replica) Engine {
+func (t *Table) Engines(now time.Duration, shared []catalog.PromptPart, own string, candidates []catalog.Replica) Engine {
 	key := own
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
@@ -203,7 +203,7 @@
 	return Engine{Replica: chosen, Fetch: fetchFrom(shared, chosen, ranked[0], candidates)}
 }
 
-func fetchFrom(shared []catalog.Part, chosen, home catalog.Replica, candidates []catalog.Replica) string {
+func fetchFrom(shared []catalog.PromptPart, chosen, home catalog.Replica, candidates []catalog.Replica) string {
 	if len(shared) == 0 {
 		return ""
 	}
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -61,7 +61,7 @@
 	fill := p.fill(now, &s.opts)
 	for i, r := range idle {
 		if i == len(idle)-1 {
-			fill = max(fill, s.opts.LastFill*float64(p.def.Batch))
+			fill = max(fill, s.opts.LastFill*float64(p.def.MaxBatch))
 		}
 		if !p.mayCall(now, fill, &s.opts) {
 			return
@@ -106,7 +106,7 @@
 			out[r.Hall] = h
 		}
 		h.free = min(h.free, free)
-		h.holds += p.def.Batch
+		h.holds += p.def.MaxBatch
 	}
 	return out
 }
@@ -117,9 +117,9 @@
 // hold; large ones that are not needed soon wait, and jobs that have not begun,
 // until there is room for their results.
 func (p *pool) pickBatch(now time.Duration, r *replica, o *Options) []*piece {
-	room := p.def.Room - r.taken(now, p.def.HoldFor)
+	room := p.def.ResultMemory - r.taken(now, p.def.ResultTTL)
 	halls := p.halls(now)
-	leave := time.Duration(o.LeaveHall * float64(p.def.CallTime))
+	leave := time.Duration(o.LeaveHall * float64(p.def.BatchTime))
 	var batch []*piece
 	with := company{most: o.SuspectsTogether}
 	var blocked map[*pool]bool // by more urgent jobs
@@ -130,7 +130,7 @@
 			rest = append(rest, x)
 			continue
 		}
-		if len(batch) < p.def.Batch && x.stage.def.Bytes <= room && !x.early() && x.may(r, halls[x.hall], leave) && with.admits(x.stage.job) {
+		if len(batch) < p.def.MaxBatch && x.stage.def.Bytes <= room && !x.early() && x.may(r, halls[x.hall], leave) && with.admits(x.stage.job) {
 			with.join(x.stage.job)
 			x.stage.job.begin(now)
 			room -= x.stage.def.Bytes
@@ -169,7 +169,7 @@
 		c.bytes += x.stage.def.Bytes
 		items = append(items, x.item(now))
 	}
-	if p.most > 0 && now < r.ColdUntil {
+	if p.most > 0 && now < r.WarmingUntil {
 		p.sent.Sent(now, r.ID)
 	}
 	if r.turnGap > 0 {
@@ -231,7 +231,7 @@
 	j := x.stage.job
 	wanted := s.jobs[j.id] == j && x.state != done && !x.stage.freed
 	if res.Handle != "" {
-		c.replica.results[res.Handle] = &holding{bytes: x.stage.def.Bytes, until: now + c.pool.def.HoldFor}
+		c.replica.results[res.Handle] = &holding{bytes: x.stage.def.Bytes, until: now + c.pool.def.ResultTTL}
 		c.replica.held += x.stage.def.Bytes
 		if !wanted {
 			s.freeResult(c.replica, res.Handle)
@@ -253,7 +253,7 @@
 	case InputGone:
 		s.remake(now, x)
 	case NoRoom:
-		c.replica.full(now, c.pool.def.HoldFor, x.stage.def.Bytes)
+		c.replica.full(now, c.pool.def.ResultTTL, x.stage.def.Bytes)
 		x.tries--
 		s.requeue(now, x)
 	default:
--- a/coordination/pipeline/company_test.go
+++ b/coordination/pipeline/company_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	const jobs, guilty, replicas = 20, 7, 6
 	s := New()
-	pool := &catalog.Pool{Slots: 1, Batch: 40, CallTime: 100 * time.Millisecond, ItemTime: time.Millisecond, Room: 1 << 30, HoldFor: time.Minute}
+	pool := &catalog.Pool{Slots: 1, MaxBatch: 40, BatchTime: 100 * time.Millisecond, ItemTime: time.Millisecond, ResultMemory: 1 << 30, ResultTTL: time.Minute}
 	var all []catalog.Replica
 	for n := range replicas {
 		all = append(all, catalog.Replica{ID: string(rune('a' + n)), Service: "pool", Address: string(rune('a' + n))})
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -149,7 +149,7 @@
 
 func floodServices() map[string]*catalog.Service {
 	pool := func(batch int, item time.Duration, room int64) *catalog.Service {
-		return &catalog.Service{Pool: &catalog.Pool{Slots: 1, Queue: 2, Batch: batch, CallTime: callTime, ItemTime: item, Room: room, HoldFor: 4 * time.Second}}
+		return &catalog.Service{Pool: &catalog.Pool{Slots: 1, QueueLimit: 2, MaxBatch: batch, BatchTime: callTime, ItemTime: item, ResultMemory: room, ResultTTL: 4 * time.Second}}
 	}
 	return map[string]*catalog.Service{"read": pool(8, 20*ms, 18_000_000), "rank": pool(32, 5*ms, 4_000_000), "score": pool(46, 4*ms, 600_000)}
 }
@@ -280,7 +280,7 @@
 // callFor is how long a call takes, a tenth more or less.
 func (f *floodSim) callFor(c Call) time.Duration {
 	def := floodServices()[c.Service].Pool
-	took := def.CallTime + time.Duration(len(c.Items))*def.ItemTime
+	took := def.BatchTime + time.Duration(len(c.Items))*def.ItemTime
 	return time.Duration(float64(took) * (0.9 + 0.2*f.random.Float64()))
 }
 
--- a/coordination/pipeline/patience.go
+++ b/coordination/pipeline/patience.go
@@ -22,7 +22,7 @@
 	if float64(len(p.ready)) >= fill || len(p.order) < fewReplicas {
 		return true
 	}
-	pressing := now + time.Duration(o.PressSlack*float64(p.def.CallTime))
+	pressing := now + time.Duration(o.PressSlack*float64(p.def.BatchTime))
 	return slices.ContainsFunc(p.ready, func(x *piece) bool {
 		return x.stage.latest < pressing && x.stage.job.rank < lateRank // what is late already does not press
 	})
@@ -32,13 +32,13 @@
 // share of the replicas idle: n pieces a call, of arrivals a second and item
 // seconds each, keep arrivals * (call/n + item) replicas at work.
 func (p *pool) fill(now time.Duration, o *Options) float64 {
-	most := float64(p.def.Batch)
+	most := float64(p.def.MaxBatch)
 	arrivals, items := p.load.overtaking(now, math.MaxInt)
 	spare := p.power(now)*o.AtWork - items
 	if spare <= 0 {
 		return most
 	}
-	return min(arrivals*p.def.CallTime.Seconds()/spare, most)
+	return min(arrivals*p.def.BatchTime.Seconds()/spare, most)
 }
 
 // power is how many replicas of speed 1 a pool's replicas amount to.
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -192,7 +192,7 @@
 		p.def = *service.Pool
 		p.most = 0
 		if service.WarmUp != nil {
-			p.most = s.opts.Cold.Most(service.WarmUp.PerSecond)
+			p.most = s.opts.Cold.Most(service.WarmUp.RequestsPerSecond)
 		}
 	}
 	slices.SortFunc(s.order, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
@@ -239,10 +239,10 @@
 		if r == nil {
 			continue
 		}
-		r.unknown = max(p.def.Room-free-r.held, 0)
+		r.unknown = max(p.def.ResultMemory-free-r.held, 0)
 		r.shownAt = now
 		if atWork && r.call == nil {
-			r.pausedTo = max(r.pausedTo, now+p.def.CallTime)
+			r.pausedTo = max(r.pausedTo, now+p.def.BatchTime)
 		}
 	}
 }
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -19,7 +19,7 @@
 func services() map[string]*catalog.Service {
 	pool := func(batch int, room int64) *catalog.Service {
 		return &catalog.Service{Pool: &catalog.Pool{
-			Slots: 1, Queue: 2, Batch: batch, CallTime: 200 * ms, ItemTime: 20 * ms, Room: room, HoldFor: 4 * time.Second,
+			Slots: 1, QueueLimit: 2, MaxBatch: batch, BatchTime: 200 * ms, ItemTime: 20 * ms, ResultMemory: room, ResultTTL: 4 * time.Second,
 		}}
 	}
 	return map[string]*catalog.Service{"read": pool(4, 4_000_000), "rank": pool(8, 8_000_000), "plain": {}}
@@ -689,7 +689,7 @@
 	is := is.New(t)
 	b := newBench(t)
 	p := b.s.pools["read"]
-	p.def.CallTime = 2 * time.Second
+	p.def.BatchTime = 2 * time.Second
 	r := p.order[0]
 	c := &call{pool: p, replica: r, pieces: []*piece{{stage: &stage{def: Stage{Bytes: 1}}}}}
 	p.learn(r, c, 5*ms, false) // what failed at once tells little
--- a/coordination/pipeline/places_test.go
+++ b/coordination/pipeline/places_test.go
@@ -29,7 +29,7 @@
 	b.submit(newTestJob("first", 8)) // more than a call holds: both replicas work
 	is.Equal(b.working("read"), 2)
 	full := b.submit(newTestJob("before", 4)).Expected
-	b.do(b.s.SetPools(b.now, services(), halls(func(r *catalog.Replica) { r.Emptied = true })))
+	b.do(b.s.SetPools(b.now, services(), halls(func(r *catalog.Replica) { r.HallDrained = true })))
 	is.True(b.submit(newTestJob("during", 4)).Expected > full)
 	b.answer("read-b", Answered)
 	_, busy := b.calls["read-b"]
@@ -45,8 +45,8 @@
 	is := is.New(t)
 	b := newBench(t, Cold(warmup.Limit{Overrun: 1.5, Slack: 5}))
 	cold := services()
-	cold["read"].WarmUp = &catalog.WarmUp{For: time.Minute, PerSecond: 2}
-	b.do(b.s.SetPools(0, cold, halls(func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })))
+	cold["read"].WarmUp = &catalog.WarmUp{Duration: time.Minute, RequestsPerSecond: 2}
+	b.do(b.s.SetPools(0, cold, halls(func(r *catalog.Replica) { r.WarmingUntil = 10 * time.Second })))
 	calls := 0
 	for range 59 { // just under three seconds
 		b.submit(newTestJob("job", 8)) // for both
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -77,7 +77,7 @@
 		}
 		pl.ahead -= others
 		left -= own
-		took := pl.pool.def.CallTime.Seconds() + others*pl.item + own*item
+		took := pl.pool.def.BatchTime.Seconds() + others*pl.item + own*item
 		done := at + time.Duration(took*speed*float64(time.Second))
 		pl.keep(max(done, at+pl.replicas[0].gap))
 		if own > 0 {
@@ -136,9 +136,9 @@
 		if len(pl.replicas) == 0 {
 			return noReplica
 		}
-		n := min(pl.ahead, float64(p.def.Batch))
+		n := min(pl.ahead, float64(p.def.MaxBatch))
 		pl.ahead -= n
-		took := (p.def.CallTime.Seconds() + n*pl.item) * pl.replicas[0].speed
+		took := (p.def.BatchTime.Seconds() + n*pl.item) * pl.replicas[0].speed
 		pl.keep(pl.replicas[0].free + max(time.Duration(took*float64(time.Second)), pl.replicas[0].gap))
 	}
 	if len(pl.replicas) == 0 {
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -65,11 +65,11 @@
 func (p *pool) put(r catalog.Replica) {
 	old := p.replicas[r.ID]
 	if old == nil {
-		p.replicas[r.ID] = &replica{Replica: r, leaving: r.Leaving, results: make(map[string]*holding), speed: 1}
+		p.replicas[r.ID] = &replica{Replica: r, leaving: r.Draining, results: make(map[string]*holding), speed: 1}
 		return
 	}
 	old.Replica = r
-	old.leaving = old.leaving || r.Leaving // leaving wins within a replica's life
+	old.leaving = old.leaving || r.Draining // leaving wins within a replica's life
 	old.gone = false
 }
 
@@ -91,7 +91,7 @@
 }
 
 // takes reports whether a replica may get new work at all.
-func (r *replica) takes() bool { return !r.leaving && !r.gone && !r.Emptied && !r.Withheld }
+func (r *replica) takes() bool { return !r.leaving && !r.gone && !r.HallDrained && !r.HeldByRollout }
 
 func (r *replica) usable(now time.Duration) bool {
 	return r.call == nil && r.takes() && now >= r.pausedTo && now >= r.restTo && now >= r.turnFrom
@@ -99,7 +99,7 @@
 
 // warm reports whether a replica is, or may get one more call while it is cold.
 func (p *pool) warm(now time.Duration, r *replica) bool {
-	return p.most == 0 || now >= r.ColdUntil || p.sent.Free(now, r.ID, p.most) <= now
+	return p.most == 0 || now >= r.WarmingUntil || p.sent.Free(now, r.ID, p.most) <= now
 }
 
 // soon is how long a replica may be left alone and still count as capacity: it
@@ -172,7 +172,7 @@
 
 // learn takes in how long a call took, and whether all of its pieces were made.
 func (p *pool) learn(r *replica, c *call, took time.Duration, whole bool) {
-	fixed := p.def.CallTime.Seconds()
+	fixed := p.def.BatchTime.Seconds()
 	counts := make(map[int64]float64)
 	for _, x := range c.pieces {
 		counts[x.stage.def.Bytes] += p.def.ItemTime.Seconds()
@@ -200,9 +200,9 @@
 
 // batchOf is how many pieces with results of that size a call can hold.
 func (p *pool) batchOf(bytes int64) int {
-	n := p.def.Batch
-	if bytes > 0 && p.def.Room > 0 {
-		n = min(n, int(p.def.Room/bytes))
+	n := p.def.MaxBatch
+	if bytes > 0 && p.def.ResultMemory > 0 {
+		n = min(n, int(p.def.ResultMemory/bytes))
 	}
 	return max(n, 1)
 }
@@ -212,7 +212,7 @@
 
 // callTime is what a call with these pieces should take at a replica of speed 1.
 func (p *pool) callTime(pieces []*piece) time.Duration {
-	t := p.def.CallTime.Seconds()
+	t := p.def.BatchTime.Seconds()
 	for _, x := range pieces {
 		t += p.item(x.stage.def.Bytes)
 	}
--- a/coordination/pipeline/random_test.go
+++ b/coordination/pipeline/random_test.go
@@ -65,7 +65,7 @@
 	if id, busy := w.atWork[c.Replica]; busy {
 		w.t.Fatalf("%s gets call %d while %d is at work", c.Replica, c.ID, id)
 	}
-	if len(c.Items) == 0 || len(c.Items) > w.s.pools[c.Service].def.Batch {
+	if len(c.Items) == 0 || len(c.Items) > w.s.pools[c.Service].def.MaxBatch {
 		w.t.Fatalf("a call of %d pieces", len(c.Items))
 	}
 	seen := make(map[string]bool)
--- a/coordination/pipeline/room.go
+++ b/coordination/pipeline/room.go
@@ -54,7 +54,7 @@
 	p.room.whole = 0
 	for _, r := range p.order {
 		if r.serving(now) {
-			p.room.whole += float64(p.def.Room)
+			p.room.whole += float64(p.def.ResultMemory)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 		}
 		holds := time.Duration(0)
 		for _, n := range j.needs {
-			holds = max(holds, n.pool.def.HoldFor)
+			holds = max(holds, n.pool.def.ResultTTL)
 		}
 		if now-j.deliveredAt > holds {
 			j.leaveRoom()
--- a/coordination/pipeline/room_test.go
+++ b/coordination/pipeline/room_test.go
@@ -129,7 +129,7 @@
 func TestWhoNeverReadsKeepsOthersOutForAWhileOnly(t *testing.T) {
 	is := is.New(t)
 	b := full(t)
-	b.tick(services()["read"].Pool.HoldFor + time.Second)
+	b.tick(services()["read"].Pool.ResultTTL + time.Second)
 	is.Equal(b.s.pools["read"].room.begun, int64(0))
 	is.True(b.submit(newTestJob("next", 4)).Admitted)
 	is.True(b.atWork("read") != "")
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -95,7 +95,7 @@
 
 // each is what one of a stage's pieces takes in a full call.
 func (st *stage) each() float64 {
-	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchOf(st.def.Bytes)) + st.pool.item(st.def.Bytes)
+	return st.pool.def.BatchTime.Seconds()/float64(st.pool.batchOf(st.def.Bytes)) + st.pool.item(st.def.Bytes)
 }
 
 // holdBack puts what waits of customers that ask for more than their share
--- a/coordination/pipeline/times.go
+++ b/coordination/pipeline/times.go
@@ -25,8 +25,8 @@
 	}
 	const sharedPart = 0.6 // of a full call's pieces are before a given one ends, together with its own
 	full := float64(st.pool.batchOf(st.def.Bytes))
-	items := max(full*sharedPart, float64(min(len(st.pieces), st.pool.def.Batch)))
-	t := st.pool.def.CallTime.Seconds() + items*st.pool.item(st.def.Bytes)
+	items := max(full*sharedPart, float64(min(len(st.pieces), st.pool.def.MaxBatch)))
+	t := st.pool.def.BatchTime.Seconds() + items*st.pool.item(st.def.Bytes)
 	return time.Duration(t * float64(time.Second))
 }
 
@@ -38,7 +38,7 @@
 	if st.def.Bytes < farBytes || !st.alone() {
 		return false
 	}
-	return st.job.left() > st.duration()+st.pool.def.CallTime
+	return st.job.left() > st.duration()+st.pool.def.BatchTime
 }
 
 // alone reports whether a stage neither reads other stages' results nor has
--- a/coordination/placement/kept.go
+++ b/coordination/placement/kept.go
@@ -18,7 +18,7 @@
 }
 
 // chain returns a key for each part that names it and all before it.
-func chain(parts []catalog.Part) []uint64 {
+func chain(parts []catalog.PromptPart) []uint64 {
 	d := xxhash.New()
 	keys := make([]uint64, 0, len(parts))
 	for _, p := range parts {
@@ -29,7 +29,7 @@
 }
 
 // keeps returns how many tokens of a prompt an engine keeps from its start.
-func (e *engine) keeps(now time.Duration, o *Options, parts []catalog.Part, keys []uint64) int {
+func (e *engine) keeps(now time.Duration, o *Options, parts []catalog.PromptPart, keys []uint64) int {
 	n := 0
 	for i, k := range keys {
 		if !e.holds(now, o, parts[i], k) {
@@ -42,7 +42,7 @@
 
 // holds reports whether an engine keeps a part: it ran a request with it
 // lately, or said so itself.
-func (e *engine) holds(now time.Duration, o *Options, p catalog.Part, key uint64) bool {
+func (e *engine) holds(now time.Duration, o *Options, p catalog.PromptPart, key uint64) bool {
 	if kept := e.kept[key]; kept != nil {
 		return now-kept.used <= o.KeptFor
 	}
@@ -51,10 +51,10 @@
 
 // Kept returns which engine of a service keeps most of a prompt; a leaving one
 // may go before it is asked.
-func (t *Table) Kept(now time.Duration, service string, parts []catalog.Part) (most Kept) {
+func (t *Table) Kept(now time.Duration, service string, parts []catalog.PromptPart) (most Kept) {
 	keys := chain(parts)
 	for _, e := range t.order[service] {
-		if e.Leaving {
+		if e.Draining {
 			continue
 		}
 		if n := e.keeps(now, &t.opts, parts, keys); n > most.Tokens {
@@ -66,7 +66,7 @@
 
 // Told takes in which parts an engine says that it keeps: what requests of an
 // earlier owner left there.
-func (t *Table) Told(now time.Duration, replica string, parts []catalog.Part) {
+func (t *Table) Told(now time.Duration, replica string, parts []catalog.PromptPart) {
 	e := t.engines[replica]
 	if e == nil {
 		return
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -28,13 +28,13 @@
 type Request struct {
 	ID      uint64 // unique in the table while the request runs
 	Service string
-	Parts   []catalog.Part   // of the prompt, the last one its own
-	Out     int              // tokens that it generates, about
-	Slack   time.Duration    // until its first event is late
-	Near    map[string]int64 // by hall: bytes of results that it reads
-	Avoid   map[string]bool  // engines not to be taken
-	Far     Kept             // what engines of other regions keep of it
-	Ended   int              // replicas that ended under it; 0: it is no suspect
+	Parts   []catalog.PromptPart // of the prompt, the last one its own
+	Out     int                  // tokens that it generates, about
+	Slack   time.Duration        // until its first event is late
+	Near    map[string]int64     // by hall: bytes of results that it reads
+	Avoid   map[string]bool      // engines not to be taken
+	Far     Kept                 // what engines of other regions keep of it
+	Ended   int                  // replicas that ended under it; 0: it is no suspect
 }
 
 // Kept is how much of a prompt an engine keeps, and where.
@@ -113,12 +113,12 @@
 			e = &engine{kept: make(map[uint64]*part)}
 			t.engines[r.ID] = e
 		}
-		r.Leaving = r.Leaving || e.Leaving
+		r.Draining = r.Draining || e.Draining
 		e.Replica = r
 		e.slots = s.Engine.Slots
 		e.most = 0
 		if s.WarmUp != nil {
-			e.most = t.cold.Most(s.WarmUp.PerSecond)
+			e.most = t.cold.Most(s.WarmUp.RequestsPerSecond)
 		}
 		e.memory = int(s.Engine.MemoryTokens)
 		e.speed = t.speed(r.Service)
@@ -176,7 +176,7 @@
 // still be fetched.
 func (t *Table) emptiedHolder(now time.Duration, r *Request, keys []uint64) (holder *engine, most int) {
 	for _, e := range t.order[r.Service] {
-		if !e.Emptied || e.Leaving {
+		if !e.HallDrained || e.Draining {
 			continue
 		}
 		if n := e.keeps(now, &t.opts, r.Parts, keys); n > most {
@@ -193,7 +193,7 @@
 	out := make([]*engine, 0, len(all))
 	for i := range all {
 		e := all[(uint64(i)+r.ID*spread)%uint64(len(all))]
-		if e.Takes() && !r.Avoid[e.ID] && t.warm(now, e) && t.hasTurn(now, e) {
+		if e.AcceptsWork() && !r.Avoid[e.ID] && t.warm(now, e) && t.hasTurn(now, e) {
 			out = append(out, e)
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 	first := true
 	for _, e := range t.order[r.Service] {
-		if !e.Takes() || r.Avoid[e.ID] {
+		if !e.AcceptsWork() || r.Avoid[e.ID] {
 			continue
 		}
 		s = s.Add(first, t.turns.Free(now, e.ID), t.turns.Gap(e.ID))
@@ -260,7 +260,7 @@
 
 // warm reports whether an engine is, or may get one more request while it is cold.
 func (t *Table) warm(now time.Duration, e *engine) bool {
-	return e.most == 0 || now >= e.ColdUntil || t.sent.Free(now, e.ID, e.most) <= now
+	return e.most == 0 || now >= e.WarmingUntil || t.sent.Free(now, e.ID, e.most) <= now
 }
 
 // spread takes requests that follow each other far apart.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -26,9 +26,9 @@
 func request(id uint64, tokens, out int, shared ...string) *Request {
 	r := &Request{ID: id, Service: "llm", Out: out, Slack: time.Second}
 	for _, s := range shared {
-		r.Parts = append(r.Parts, catalog.Part{ID: s, Tokens: 2000})
+		r.Parts = append(r.Parts, catalog.PromptPart{ID: s, Tokens: 2000})
 	}
-	r.Parts = append(r.Parts, catalog.Part{ID: fmt.Sprint("own", id), Tokens: tokens})
+	r.Parts = append(r.Parts, catalog.PromptPart{ID: fmt.Sprint("own", id), Tokens: tokens})
 	return r
 }
 
@@ -113,7 +113,7 @@
 func TestALeavingEngineGetsNothing(t *testing.T) {
 	is := is.New(t)
 	table := newTable(1)
-	table.engines["e0"].Leaving = true
+	table.engines["e0"].Draining = true
 	_, ok := table.Place(0, request(1, 10, 10))
 	is.True(!ok)
 }
@@ -151,7 +151,7 @@
 func TestWhatAnEngineSaysThatItKeepsIsNotReadAgain(t *testing.T) {
 	is := is.New(t)
 	table := newTable(3)
-	kept := []catalog.Part{{ID: "system", Tokens: 2000}, {ID: "case", Tokens: 2000}}
+	kept := []catalog.PromptPart{{ID: "system", Tokens: 2000}, {ID: "case", Tokens: 2000}}
 	table.Told(time.Second, "e1", kept)
 	c, ok := table.Place(time.Second, request(1, 100, 20, "system", "case"))
 	is.True(ok)
@@ -160,8 +160,8 @@
 
 	e := table.engines["e1"]
 	o := &table.opts
-	parts := func(ids ...string) []catalog.Part { return request(2, 100, 20, ids...).Parts }
-	keeps := func(now time.Duration, p []catalog.Part) int { return e.keeps(now, o, p, chain(p)) }
+	parts := func(ids ...string) []catalog.PromptPart { return request(2, 100, 20, ids...).Parts }
+	keeps := func(now time.Duration, p []catalog.PromptPart) int { return e.keeps(now, o, p, chain(p)) }
 	is.Equal(keeps(time.Second, parts("system", "case")), 4000)
 	is.Equal(keeps(time.Second, parts("other", "case")), 0) // what goes before is not there
 	is.Equal(keeps(time.Second+o.ToldFor+1, parts("system", "case")), 0)
--- a/coordination/placement/places_test.go
+++ b/coordination/placement/places_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	table := newTable(2)
 	table.Begin(0, request(1, 100, 10, "manual"), at("e1"))
-	withHall(table, nil, func(r *catalog.Replica) { r.Emptied = true })
+	withHall(table, nil, func(r *catalog.Replica) { r.HallDrained = true })
 	for id := range uint64(10) {
 		c, ok := table.Place(time.Second, request(id+2, 100, 10, "manual"))
 		is.True(ok)
@@ -33,7 +33,7 @@
 	table.Begin(time.Second, request(20, 100, 10, "manual"), at("e0"))
 	c, _ := table.Place(time.Second, request(21, 100, 10, "manual"))
 	is.Equal(c.Fetch, "") // it has come by now
-	withHall(table, nil, func(r *catalog.Replica) { r.Emptied, r.Leaving = true, true })
+	withHall(table, nil, func(r *catalog.Replica) { r.HallDrained, r.Draining = true, true })
 	c, _ = table.Place(time.Second, request(22, 100, 10, "manual"))
 	is.Equal(c.Replica.ID, "e0")
 }
@@ -42,7 +42,7 @@
 func TestAColdEngineGetsFewRequests(t *testing.T) {
 	is := is.New(t)
 	table := New(Standard(), warmup.Limit{Overrun: 1.5, Slack: 5})
-	withHall(table, &catalog.WarmUp{For: time.Minute, PerSecond: 3}, func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })
+	withHall(table, &catalog.WarmUp{Duration: time.Minute, RequestsPerSecond: 3}, func(r *catalog.Replica) { r.WarmingUntil = 10 * time.Second })
 	at := map[string]int{}
 	for i := range uint64(99) {
 		r := request(i+1, 10, 1)
@@ -63,7 +63,7 @@
 	table := New(Standard(), warmup.Limit{})
 	services := map[string]*catalog.Service{"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}}}
 	table.SetEngines(services, []catalog.Replica{{ID: "e", Service: "llm"}})
-	r := &Request{ID: 1, Service: "llm", Parts: []catalog.Part{{ID: "a", Tokens: 10}}}
+	r := &Request{ID: 1, Service: "llm", Parts: []catalog.PromptPart{{ID: "a", Tokens: 10}}}
 	choice, ok := table.Place(0, r)
 	is.True(ok)
 	table.Begin(0, r, choice)
--- a/coordination/placement/random_test.go
+++ b/coordination/placement/random_test.go
@@ -35,7 +35,7 @@
 				next++
 				r := &Request{ID: next, Service: "llm", Out: 50, Slack: time.Second, Avoid: map[string]bool{}}
 				for range rapid.IntRange(1, 3).Draw(t, "parts") {
-					r.Parts = append(r.Parts, catalog.Part{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "part")), Tokens: 300})
+					r.Parts = append(r.Parts, catalog.PromptPart{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "part")), Tokens: 300})
 				}
 				if rapid.Bool().Draw(t, "avoid") {
 					r.Avoid["e0"] = true
@@ -44,7 +44,7 @@
 				if !ok {
 					continue
 				}
-				if r.Avoid[choice.Replica.ID] || table.engines[choice.Replica.ID].Leaving {
+				if r.Avoid[choice.Replica.ID] || table.engines[choice.Replica.ID].Draining {
 					t.Fatalf("%s is taken", choice.Replica.ID)
 				}
 				if choice.Fetch == choice.Replica.Address {
@@ -64,7 +64,7 @@
 			case step == 4:
 				list := engines(rapid.IntRange(0, 4).Draw(t, "listed"))
 				for i := range list {
-					list[i].Leaving = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
+					list[i].Draining = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
 				}
 				table.SetEngines(services, list)
 			}
--- a/coordination/placement/runs.go
+++ b/coordination/placement/runs.go
@@ -29,7 +29,7 @@
 	e.evict(int(float64(e.memory) * o.KeptShare))
 	n := &run{
 		engine: e, began: now, moves: e.moveTime(c.Moves), reads: c.Reads + e.unread(now), out: r.Out,
-		cold: now < e.ColdUntil, ended: r.Ended,
+		cold: now < e.WarmingUntil, ended: r.Ended,
 	}
 	e.count(n.ended, 1)
 	reads := e.readTime(c.Reads)
--- a/coordination/placement/speeds.go
+++ b/coordination/placement/speeds.go
@@ -72,7 +72,7 @@
 		return unstatedMove
 	}
 	const bitsPerByte, nanosPerMicro = 8, 1e3 // a Mbit/s is a bit in a microsecond
-	return time.Duration(float64(e.TokenBytes) * bitsPerByte / e.LinkMbps * nanosPerMicro)
+	return time.Duration(float64(e.BytesPerToken) * bitsPerByte / e.LinkMbps * nanosPerMicro)
 }
 
 // unstatedMove is the time to move a token where the configuration states no
--- a/coordination/placement/speeds_test.go
+++ b/coordination/placement/speeds_test.go
@@ -59,7 +59,7 @@
 // the configuration states take.
 func TestAMoveTakesWhatTheConfigurationStates(t *testing.T) {
 	is := is.New(t)
-	e := &catalog.Engine{Slots: 64, MemoryTokens: 100_000, TokenBytes: 35_136, LinkMbps: 550_000}
+	e := &catalog.Engine{Slots: 64, MemoryTokens: 100_000, BytesPerToken: 35_136, LinkMbps: 550_000}
 	is.Equal(perMoved(e), 511*time.Nanosecond)
 	table := New(Standard(), warmup.Limit{})
 	table.SetEngines(map[string]*catalog.Service{"llm": {Engine: e}}, []catalog.Replica{{ID: "e0", Service: "llm"}})
--- a/coordination/planner/capacity.go
+++ b/coordination/planner/capacity.go
@@ -44,7 +44,7 @@
 		for _, p := range f.Pipelines {
 			for i := range p.Stages {
 				if p.Stages[i].Service == s.Name {
-					n.Load += p.Rate * p.Stages[i].Expect().Seconds()
+					n.Load += p.Rate * p.Stages[i].ExpectedTime().Seconds()
 				}
 			}
 		}
@@ -63,7 +63,7 @@
 	for i := range p.Stages {
 		st := &p.Stages[i]
 		svc, _ := f.Service(st.Service) // checked when the declaration was read
-		t := st.Expect().Seconds()
+		t := st.ExpectedTime().Seconds()
 		o.Cost += t * svc.Cost
 		wait, ok := meanWait(loads[st.Service], have[st.Service].slots, t)
 		if !ok {
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -89,7 +89,7 @@
 func (p *Plan) addPipeline(f *fleet.Fleet, pl *fleet.Pipeline, capacity map[string]capacity) {
 	var total time.Duration
 	for i := range pl.Stages {
-		total += pl.Stages[i].Expect()
+		total += pl.Stages[i].ExpectedTime()
 	}
 	if total > pl.Deadline() {
 		p.Warnings = append(p.Warnings, fmt.Sprintf("pipeline %s: its stages' expected times add up to %s, over its deadline of %s", pl.Name, total, pl.Deadline()))
@@ -98,13 +98,13 @@
 		st := &pl.Stages[i]
 		svc, _ := f.Service(st.Service) // checked when the declaration was read
 		c := capacity[st.Service]
-		share := float64(st.Expect()) / float64(max(total, 1))
+		share := float64(st.ExpectedTime()) / float64(max(total, 1))
 		p.Steps = append(p.Steps, Step{
 			Pipeline: pl.Name, Stage: st.Name, Service: st.Service,
 			Halls: c.halls, Slots: c.slots,
-			PerSec: math.Round(10*float64(c.slots)/st.Expect().Seconds()) / 10,
+			PerSec: math.Round(10*float64(c.slots)/st.ExpectedTime().Seconds()) / 10,
 			Budget: time.Duration(share * float64(pl.Deadline())),
-			Cost:   st.Expect().Seconds() * svc.Cost,
+			Cost:   st.ExpectedTime().Seconds() * svc.Cost,
 		})
 	}
 }
--- a/coordination/planner/planner_test.go
+++ b/coordination/planner/planner_test.go
@@ -15,7 +15,7 @@
 		Name: "x", AttainmentWeight: weight,
 		Services: []fleet.Service{{Name: "gen", Kind: fleet.Engine, Slots: 4, Cost: 10}},
 		Pipelines: []fleet.Pipeline{{Name: "p", DeadlineMS: 400, Rate: rate, Repeatable: true,
-			Stages: []fleet.Stage{{Name: "g", Service: "gen", Operation: "generate", ExpectMS: 100}}}},
+			Stages: []fleet.Stage{{Name: "g", Service: "gen", Operation: "generate", ExpectedMS: 100}}}},
 	}
 }
 
--- a/coordination/review/review.go
+++ b/coordination/review/review.go
@@ -152,10 +152,10 @@
 
 func onceAttempts(c *catalog.Configuration) []Finding {
 	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
-		if r.Kind != catalog.Once || r.Attempts <= 1 {
+		if r.Kind != catalog.AtMostOnce || r.MaxAttempts <= 1 {
 			return nil
 		}
-		return []Finding{find(place, "it may run once, yet states %d replicas: only those that say that they did not run it are followed by another", r.Attempts)}
+		return []Finding{find(place, "it may run once, yet states %d replicas: only those that say that they did not run it are followed by another", r.MaxAttempts)}
 	})
 }
 
@@ -166,7 +166,7 @@
 			return nil
 		case r.Kind != catalog.Stream:
 			return []Finding{find(place, "it is resumable but no stream")}
-		case r.Attempts < 2:
+		case r.MaxAttempts < 2:
 			return []Finding{find(place, "it is resumable but may be sent to one replica only")}
 		}
 		return nil
@@ -178,8 +178,8 @@
 		var out []Finding
 		for n, s := range r.Stages {
 			service := c.Services[s.Service]
-			if service != nil && service.Pool != nil && service.Pool.Room > 0 && s.Bytes > service.Pool.Room {
-				out = append(out, find(place, "a result of stage %d takes %d bytes, a replica of %q has room for %d", n, s.Bytes, s.Service, service.Pool.Room))
+			if service != nil && service.Pool != nil && service.Pool.ResultMemory > 0 && s.ResultBytes > service.Pool.ResultMemory {
+				out = append(out, find(place, "a result of stage %d takes %d bytes, a replica of %q has room for %d", n, s.ResultBytes, s.Service, service.Pool.ResultMemory))
 			}
 		}
 		return out
--- a/coordination/review/review_test.go
+++ b/coordination/review/review_test.go
@@ -15,12 +15,12 @@
 	return &catalog.Configuration{
 		Version: 1,
 		Services: map[string]*catalog.Service{
-			"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 8}}, "read": {Name: "read", Pool: &catalog.Pool{Batch: 4, Room: 1000}}, "desk": {Name: "desk"},
+			"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 8}}, "read": {Name: "read", Pool: &catalog.Pool{MaxBatch: 4, ResultMemory: 1000}}, "desk": {Name: "desk"},
 		},
 		Routes: []catalog.Route{
 			{Name: "chat", Host: "h", Prefix: "/chat/", Kind: catalog.Stream, Timeout: time.Minute, Objective: time.Second, GapObjective: time.Second,
-				Attempts: 2, Resumable: true, Targets: []catalog.Target{{Service: "llm", Weight: 1}}, Stages: []catalog.Stage{{Service: "read", Bytes: 100}}},
-			{Name: "desk", Host: "h", Prefix: "/desk/", Kind: catalog.Once, Attempts: 1, Targets: []catalog.Target{{Service: "desk", Weight: 1}}},
+				MaxAttempts: 2, Resumable: true, Targets: []catalog.Target{{Service: "llm", Weight: 1}}, Stages: []catalog.Stage{{Service: "read", ResultBytes: 100}}},
+			{Name: "desk", Host: "h", Prefix: "/desk/", Kind: catalog.AtMostOnce, MaxAttempts: 1, Targets: []catalog.Target{{Service: "desk", Weight: 1}}},
 		},
 	}
 }
@@ -38,9 +38,9 @@
 		"prefix-twice":   func(c *catalog.Configuration) { c.Routes[1].Prefix = "/chat/" },
 		"split-weight":   func(c *catalog.Configuration) { c.Routes[1].Targets[0].Weight = 0 },
 		"time-order":     func(c *catalog.Configuration) { c.Routes[0].Objective = time.Hour },
-		"once-attempts":  func(c *catalog.Configuration) { c.Routes[1].Attempts = 3 },
-		"resumable-kind": func(c *catalog.Configuration) { c.Routes[0].Attempts = 1 },
-		"stage-room":     func(c *catalog.Configuration) { c.Routes[0].Stages[0].Bytes = 2000 },
+		"once-attempts":  func(c *catalog.Configuration) { c.Routes[1].MaxAttempts = 3 },
+		"resumable-kind": func(c *catalog.Configuration) { c.Routes[0].MaxAttempts = 1 },
+		"stage-room":     func(c *catalog.Configuration) { c.Routes[0].Stages[0].ResultBytes = 2000 },
 		"stream-engine": func(c *catalog.Configuration) {
 			c.Routes[0].Targets[0].Service = "desk"
 			c.Routes[1].Targets[0].Service = "llm"
--- a/coordination/rollout/ends.go
+++ b/coordination/rollout/ends.go
@@ -47,7 +47,7 @@
 		case k.Replica != "":
 			good += t.from(0) - before.from(0)
 			if ended {
-				e.join(catalog.NameOf(k.Replica))
+				e.join(catalog.ReplicaName(k.Replica))
 			}
 		case ended:
 			e.oldAt, e.oldEnded = e.watched, true
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -173,7 +173,7 @@
 // replica returns what was seen of a replica on a route, in all its lives: one that
 // is ill alone stays one.
 func (j *Judge) replica(k Row) *replica {
-	k.Replica = catalog.NameOf(k.Replica)
+	k.Replica = catalog.ReplicaName(k.Replica)
 	r := j.replicas[k]
 	if r == nil {
 		r = &replica{}
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -22,7 +22,7 @@
 	Deadline  time.Duration // that the client waits; 0: not said
 	Pieces    []int         // for each stage of the route
 	PieceKey  string
-	Prompt    []catalog.Part
+	Prompt    []catalog.PromptPart
 	TokensIn  int
 	TokensOut int // most that it generates
 	Model     string
@@ -31,7 +31,7 @@
 }
 
 // Shared returns the parts of the prompt before the last, which is the request's own.
-func (r *Request) Shared() []catalog.Part {
+func (r *Request) Shared() []catalog.PromptPart {
 	if len(r.Prompt) == 0 {
 		return nil
 	}
--- a/protocol/settings/declaration.go
+++ b/protocol/settings/declaration.go
@@ -31,8 +31,8 @@
 		d.Add("halls", "wants at least one hall")
 	}
 	d.between("attainment_weight", f.AttainmentWeight, 0, 1)
-	d.between("address_lifetime_seconds", float64(f.AddressSeconds), minLifetime, maxLifetime)
-	d.between("shed", f.Shed, 0, 10)
+	d.between("address_lifetime_seconds", float64(f.AddressTTLSeconds), minLifetime, maxLifetime)
+	d.between("shed", f.ShedSlackFactor, 0, 10)
 	d.oneOf("policy", f.Policy, scheduler.Policies...)
 	d.services(&f)
 	d.pipelines(&f)
@@ -76,15 +76,15 @@
 		d.class(key+".priority", p.Priority)
 		d.between(key+".rate", p.Rate, 0, 1e9)
 		d.between(key+".stage", float64(len(p.Stages)), 1, maxStages)
-		if p.Repeatable == p.HasOnce() {
-			d.Add(key+".repeatable", "is %t, but it has a stage with once = true: %t", p.Repeatable, p.HasOnce())
+		if p.Repeatable == p.HasAtMostOnceStage() {
+			d.Add(key+".repeatable", "is %t, but it has a stage with once = true: %t", p.Repeatable, p.HasAtMostOnceStage())
 		}
 		stages := d.unique(key + ".stage")
 		for j, s := range p.Stages {
 			at := elem(key+".stage", j)
 			stages.add(j, s.Name)
 			d.need(at+".operation", s.Operation)
-			d.between(at+".expect_ms", float64(s.ExpectMS), 1, maxDeadlineMS)
+			d.between(at+".expect_ms", float64(s.ExpectedMS), 1, maxDeadlineMS)
 			if _, ok := f.Service(s.Service); !ok {
 				d.undeclared(at+".service", s.Service, services)
 			}
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -14,7 +14,7 @@
 
 // The kinds of routes.
 const (
-	Once       Kind = iota // at most one run for each request
+	AtMostOnce Kind = iota // at most one run for each request
 	Repeatable             // may run more than once
 	Stream                 // answered by a series of events
 )
@@ -39,27 +39,27 @@
 
 // Customer is who a request is served for.
 type Customer struct {
-	Name     string
-	Priority int      // 0 first
-	Regions  []string // the only ones that may serve and keep its requests; none: all
+	Name           string
+	Priority       int      // 0 first
+	AllowedRegions []string // the only ones that may serve and keep its requests; none: all
 }
 
 // Route tells where the requests of one host and path go and how long they may take.
 type Route struct {
-	Name         string
-	Host         string
-	Prefix       string // begins and ends with a slash
-	Kind         Kind
-	Timeout      time.Duration // longest time to an answer; 0: none
-	Objective    time.Duration // within which an answer earns its whole worth
-	GapObjective time.Duration // longest pause between events
-	Priority     int           // 0 first
-	Targets      []Target
-	Attempts     int // most replicas that one request may be sent to
-	Stages       []Stage
-	Anonymous    bool
-	Resumable    bool
-	Regions      []string // the only ones that may serve and keep its requests; none: all
+	Name           string
+	Host           string
+	Prefix         string // begins and ends with a slash
+	Kind           Kind
+	Timeout        time.Duration // longest time to an answer; 0: none
+	Objective      time.Duration // within which an answer earns its whole worth
+	GapObjective   time.Duration // longest pause between events
+	Priority       int           // 0 first
+	Targets        []Target
+	MaxAttempts    int // most replicas that one request may be sent to
+	Stages         []Stage
+	Anonymous      bool
+	Resumable      bool
+	AllowedRegions []string // the only ones that may serve and keep its requests; none: all
 }
 
 // Target is a service that gets a share of a route's requests.
@@ -70,9 +70,9 @@
 
 // Stage is work at a pool before a request can run.
 type Stage struct {
-	Service string
-	After   []int // the stages whose results it needs
-	Bytes   int64 // approximate size of one result
+	Service     string
+	DependsOn   []int // the stages whose results it needs
+	ResultBytes int64 // approximate size of one result
 }
 
 // Service is a named set of replicas.
@@ -87,28 +87,28 @@
 
 // WarmUp tells what a cold replica of a service carries.
 type WarmUp struct {
-	For       time.Duration // that a replica stays cold
-	PerSecond float64       // requests that it carries meanwhile; it collapses well above
+	Duration          time.Duration // that a replica stays cold
+	RequestsPerSecond float64       // requests that it carries meanwhile; it collapses well above
 }
 
 // Engine tells what one replica of a generating service holds.
 type Engine struct {
-	Slots        int
-	MemoryTokens int64
-	TokenBytes   int64   // of memory that a token of a prompt takes
-	LinkMbps     float64 // over which engines move it; 0: not stated
+	Slots         int
+	MemoryTokens  int64
+	BytesPerToken int64   // of memory that a token of a prompt takes
+	LinkMbps      float64 // over which engines move it; 0: not stated
 }
 
 // Pool tells what one replica of a stage service does.
 type Pool struct {
-	Slots    int           // calls at work at once
-	Queue    int           // calls that may wait
-	Batch    int           // most pieces in a call
-	CallTime time.Duration // of a call, whatever it holds
-	ItemTime time.Duration // of each piece, about
-	Room     int64         // bytes for results
-	HoldFor  time.Duration // how long a result is kept
-	LinkMbps float64
+	Slots        int           // calls at work at once
+	QueueLimit   int           // calls that may wait
+	MaxBatch     int           // most pieces in a call
+	BatchTime    time.Duration // of a call, whatever it holds
+	ItemTime     time.Duration // of each piece, about
+	ResultMemory int64         // bytes for results
+	ResultTTL    time.Duration // how long a result is kept
+	LinkMbps     float64
 }
 
 // Index prepares Match; call it once, before the configuration is shared.
@@ -135,19 +135,19 @@
 
 // Regions returns the regions that may serve some route of a host; nil where
 // one of its routes, or a host that is not known, may be served anywhere.
-func (c *Configuration) Regions(host string) []string {
+func (c *Configuration) AllowedRegions(host string) []string {
 	var out []string
 	for _, r := range c.hosts[host] {
-		if len(r.Regions) == 0 {
+		if len(r.AllowedRegions) == 0 {
 			return nil
 		}
-		out = append(out, r.Regions...)
+		out = append(out, r.AllowedRegions...)
 	}
 	return out
 }
 
 // Pick returns the service for a request by the random number n.
-func (r *Route) Pick(n uint64) string {
+func (r *Route) PickService(n uint64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -169,7 +169,7 @@
 func (r *Route) Sinks() []int {
 	read := make(map[int]bool)
 	for _, s := range r.Stages {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			read[a] = true
 		}
 	}
@@ -186,27 +186,27 @@
 // under the name that it had; it then holds and knows nothing of before. So all
 // that is believed of a replica is kept under its life's ID, and goes with it.
 type Replica struct {
-	ID      string // of this life: LifeID
-	Name    string // under which the replica stands in the store and answers
-	Born    int64  // Unix millisecond of its start; 0: it does not say
-	Service string
-	Hall    string
-	Address string // IP:port
-	Slots   int
-	Version string // of its software; "" where it tells none
-	Leaving bool
-	Warming time.Duration // how much longer it is slow, when it was last told
+	ID          string // of this life: LifeID
+	Name        string // under which the replica stands in the store and answers
+	StartMillis int64  // Unix millisecond of its start; 0: it does not say
+	Service     string
+	Hall        string
+	Address     string // IP:port
+	Slots       int
+	Version     string // of its software; "" where it tells none
+	Draining    bool
+	WarmupLeft  time.Duration // how much longer it is slow, when it was last told
 
 	// What the process knows besides.
-	Region    string        // of its hall; "" where nobody can place the hall
-	Emptied   bool          // its hall is being emptied: it gets nothing new
-	Withheld  bool          // a roll-out gives it nothing
-	ColdUntil time.Duration // by the process's clock; until then it carries little
+	Region        string        // of its hall; "" where nobody can place the hall
+	HallDrained   bool          // its hall is being emptied: it gets nothing new
+	HeldByRollout bool          // a roll-out gives it nothing
+	WarmingUntil  time.Duration // by the process's clock; until then it carries little
 }
 
 // LifeID names one life of a replica: that of its name which began at a Unix
 // millisecond, 0 where that is not said.
-func LifeID(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
@@ -214,7 +214,7 @@
 }
 
 // NameOf is the name in what may be a life's ID; names may hold the sign too.
-func NameOf(id string) string {
+func ReplicaName(id string) string {
 	if at := strings.LastIndexByte(id, '@'); at >= 0 {
 		return id[:at]
 	}
@@ -222,10 +222,10 @@
 }
 
 // Takes reports whether the replica may get new work.
-func (r *Replica) Takes() bool { return !r.Leaving && !r.Emptied && !r.Withheld }
+func (r *Replica) AcceptsWork() bool { return !r.Draining && !r.HallDrained && !r.HeldByRollout }
 
 // Part is a piece of a prompt that requests may share.
-type Part struct {
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -32,16 +32,16 @@
 
 // Fleet is one whole declaration.
 type Fleet struct {
-	Name             string     `toml:"name"`
-	Region           string     `toml:"region"`
-	Halls            []string   `toml:"halls"`
-	AttainmentWeight float64    `toml:"attainment_weight"`        // 0..1; the rest weighs cost by stage
-	AddressSeconds   int        `toml:"address_lifetime_seconds"` // how long callers may keep an address answer
-	Policy           string     `toml:"policy"`                   // replica choice: see package scheduler
-	Shed             float64    `toml:"shed"`                     // drop a queued request once its slack is under this many expected stage times
-	Services         []Service  `toml:"service"`
-	Pipelines        []Pipeline `toml:"pipeline"`
-	Customers        []Customer `toml:"customer"`
+	Name              string     `toml:"name"`
+	Region            string     `toml:"region"`
+	Halls             []string   `toml:"halls"`
+	AttainmentWeight  float64    `toml:"attainment_weight"`                              // 0..1; the rest weighs cost by stage
+	AddressTTLSeconds int        `toml:"address_lifetime_seconds" json:"AddressSeconds"` // how long callers may keep an address answer
+	Policy            string     `toml:"policy"`                                         // replica choice: see package scheduler
+	ShedSlackFactor   float64    `toml:"shed" json:"Shed"`                               // drop a queued request once its slack is under this many expected stage times
+	Services          []Service  `toml:"service"`
+	Pipelines         []Pipeline `toml:"pipeline"`
+	Customers         []Customer `toml:"customer"`
 }
 
 // Service is an upstream: a set of replicas with the same job.
@@ -65,11 +65,11 @@
 
 // Stage is one step of a pipeline.
 type Stage struct {
-	Name      string `toml:"name"`
-	Service   string `toml:"service"`
-	Operation string `toml:"operation"`
-	ExpectMS  int    `toml:"expect_ms"` // first guess of its time, until it is measured
-	Once      bool   `toml:"once"`      // has an effect that must not happen twice: never sent again
+	Name       string `toml:"name"`
+	Service    string `toml:"service"`
+	Operation  string `toml:"operation"`
+	ExpectedMS int    `toml:"expect_ms" json:"ExpectMS"` // first guess of its time, until it is measured
+	AtMostOnce bool   `toml:"once" json:"Once"`          // has an effect that must not happen twice: never sent again
 }
 
 // Customer is who a request is served and limited for.
@@ -118,11 +118,11 @@
 }
 
 // Expect returns the declared first guess of the stage's time.
-func (s *Stage) Expect() time.Duration {
-	return time.Duration(s.ExpectMS) * time.Millisecond
+func (s *Stage) ExpectedTime() time.Duration {
+	return time.Duration(s.ExpectedMS) * time.Millisecond
 }
 
 // HasOnce reports whether a stage of the pipeline must not run twice.
-func (p *Pipeline) HasOnce() bool {
-	return slices.ContainsFunc(p.Stages, func(s Stage) bool { return s.Once })
+func (p *Pipeline) HasAtMostOnceStage() bool {
+	return slices.ContainsFunc(p.Stages, func(s Stage) bool { return s.AtMostOnce })
 }
--- a/state/table/table.go
+++ b/state/table/table.go
@@ -59,7 +59,7 @@
 }
 
 // Take returns the row of k and drops it.
-func (t *Table[K, V]) Take(k K) (V, bool) {
+func (t *Table[K, V]) GetAndDelete(k K) (V, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v, ok := t.rows[k]
