--- a/cmd/coord/beats.go
+++ b/cmd/coord/beats.go
@@ -68,7 +68,7 @@
 func (c *Coord) beatAll() {
 	c.membersMu.RLock()
 	partners := make([]membership.Member, 0, 16)
-	for _, name := range c.view.Partners() {
+	for _, name := range c.view.HeartbeatTargets() {
 		if m, ok := c.view.Get(name); ok {
 			partners = append(partners, m)
 		}
@@ -79,7 +79,7 @@
 	var heard atomic.Int32
 	for _, m := range partners {
 		wg.Go(func() {
-			if !c.beatTo(m.CoordLink, beat) {
+			if !c.beatTo(m.CoordAddress, beat) {
 				c.silent(m.Name)
 				return
 			}
@@ -157,7 +157,7 @@
 	c.mergeLeaving(b.GetLeaving(), "peer")
 	rev, _ := c.config()
 	if b.GetRevision() > rev.Revision {
-		go c.pullConfig(from.CoordLink, b.GetRevision())
+		go c.pullConfig(from.CoordAddress, b.GetRevision())
 	}
 	c.membersMu.RLock()
 	defer c.membersMu.RUnlock()
@@ -210,7 +210,7 @@
 
 func (c *Coord) silent(name string) {
 	c.membersMu.Lock()
-	m, suspect := c.view.Silent(c.now(), name)
+	m, suspect := c.view.MarkSuspect(c.now(), name)
 	if suspect {
 		c.news[name] = newsRounds
 	}
@@ -239,11 +239,11 @@
 // while no other member is known.
 func (c *Coord) tryLost() {
 	c.membersMu.RLock()
-	lost, ok := c.view.Lost(rand.Uint64())
+	lost, ok := c.view.RandomDead(rand.Uint64())
 	alone := len(c.view.Live()) == 1
 	c.membersMu.RUnlock()
 	if ok {
-		c.beatTo(lost.CoordLink, c.makeBeat())
+		c.beatTo(lost.CoordAddress, c.makeBeat())
 	}
 	if alone {
 		c.askSeeds()
--- a/cmd/coord/coord.go
+++ b/cmd/coord/coord.go
@@ -105,7 +105,7 @@
 		kick:     make(chan struct{}, 1),
 	}
 	c.view = membership.New(membership.Member{
-		Name: s.Name, Hall: s.Hall, CoordLink: s.Coord.Known,
+		Name: s.Name, Hall: s.Hall, CoordAddress: s.Coord.Known,
 		// A start later than the last one gives a higher incarnation. Only
 		// soft state rests on this clock.
 		Incarnation: process.Incarnation(time.Now()),
--- a/cmd/coord/list.go
+++ b/cmd/coord/list.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		var v pb.View
-		if c.links.Call(m.CoordLink, frame.Watch, &pb.Watch{}, &v, beatTimeout) != nil {
+		if c.links.Call(m.CoordAddress, frame.Watch, &pb.Watch{}, &v, beatTimeout) != nil {
 			continue
 		}
 		if list := v.GetReplicas().GetReplicas(); len(list) > 0 {
@@ -96,7 +96,7 @@
 	if !ok {
 		return
 	}
-	s, err := c.links.Open(m.CoordLink, frame.Watch, &pb.Watch{})
+	s, err := c.links.Open(m.CoordAddress, frame.Watch, &pb.Watch{})
 	if err != nil {
 		return
 	}
--- a/cmd/coord/serve.go
+++ b/cmd/coord/serve.go
@@ -56,14 +56,14 @@
 	me := c.view.Self()
 	c.membersMu.RUnlock()
 	same := me.EntryIncarnation == w.GetEntryIncarnation() && me.Leaving == w.GetLeaving() &&
-		me.EntryHTTP == w.GetEntryHttp() &&
-		slices.Equal(me.Succeeds, w.GetSucceeds())
+		me.EntryHTTPAddress == w.GetEntryHttp() &&
+		slices.Equal(me.AdoptedIncarnations, w.GetSucceeds())
 	if same {
 		return
 	}
 	c.updateSelf(func(m *membership.Member) {
 		m.EntryIncarnation = w.GetEntryIncarnation()
-		m.EntryHTTP, m.EntryLink = w.GetEntryHttp(), w.GetEntryLink()
-		m.Succeeds, m.Leaving = w.GetSucceeds(), w.GetLeaving()
+		m.EntryHTTPAddress, m.EntryPeerAddress = w.GetEntryHttp(), w.GetEntryLink()
+		m.AdoptedIncarnations, m.Leaving = w.GetSucceeds(), w.GetLeaving()
 	})
 }
--- a/cmd/coord/status.go
+++ b/cmd/coord/status.go
@@ -29,7 +29,7 @@
 	for i, m := range members {
 		s.Instances = append(s.Instances, api.InstanceStatus{
 			Name: m.Name, Hall: m.Hall, State: stateName(m.State), Leaving: m.Leaving,
-			Incarnation: strconv.FormatUint(m.Incarnation, 16), Entry: m.EntryHTTP, Revision: revisions[i],
+			Incarnation: strconv.FormatUint(m.Incarnation, 16), Entry: m.EntryHTTPAddress, Revision: revisions[i],
 		})
 	}
 	for _, r := range c.allReplicas() {
@@ -49,7 +49,7 @@
 		}
 		g.Go(func() error {
 			var r pb.Config
-			if c.links.Call(m.CoordLink, frame.PullConfig, &pb.PullConfig{Have: math.MaxUint64}, &r, askTimeout) == nil {
+			if c.links.Call(m.CoordAddress, frame.PullConfig, &pb.PullConfig{Have: math.MaxUint64}, &r, askTimeout) == nil {
 				out[i] = r.GetRevision()
 			}
 			return nil
@@ -70,7 +70,7 @@
 	c.membersMu.RLock()
 	m, ok := c.view.Get(name)
 	c.membersMu.RUnlock()
-	return ok && c.links.Call(m.CoordLink, frame.Drain, &pb.Noted{}, &pb.Noted{}, askTimeout) == nil
+	return ok && c.links.Call(m.CoordAddress, frame.Drain, &pb.Noted{}, &pb.Noted{}, askTimeout) == nil
 }
 
 // dump is the coord's state on request, without secrets.
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -48,7 +48,7 @@
 func (e *Entry) handOver() {
 	e.ledgerMu.Lock()
 	now := e.now()
-	line, entries := e.ledger.Line(now), e.ledger.Export(now)
+	line, entries := e.ledger.Lineage(now), e.ledger.Export(now)
 	e.ledgerMu.Unlock()
 	heir, err := e.heir()
 	if err == nil {
@@ -103,7 +103,7 @@
 		})
 	}
 	var r pb.HandoverReply
-	if err := e.links.Call(heir.EntryLink, frame.Handover, h, &r, handoverTimeout); err != nil {
+	if err := e.links.Call(heir.EntryPeerAddress, frame.Handover, h, &r, handoverTimeout); err != nil {
 		return err
 	}
 	if !r.GetReady() {
@@ -180,7 +180,7 @@
 		x.entries[i].Age += waited
 	}
 	e.ledger.Adopt(x.line, x.entries, e.now())
-	e.succeeds = e.ledger.Succeeds()
+	e.succeeds = e.ledger.AdoptedIncarnations()
 	e.ledgerMu.Unlock()
 	event.Adopted.Log(e.log, "from", from, "entries", len(x.entries))
 	e.tellCoord()
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -79,7 +79,7 @@
 	case ledger.Join:
 		e.count.joined.Inc(1)
 		return e.awaitNumbered(n, rec)
-	case ledger.HandedOn:
+	case ledger.HandedOver:
 		if hops > 0 {
 			return reply{moved: true}
 		}
@@ -178,7 +178,7 @@
 // nothing was started and an heir is to be expected.
 func (e *Entry) forwardOnce(n *numbered) (a reply, wait bool) {
 	home, ok := e.view.Load().memberOf(n.number.Incarnation)
-	if !ok || home.Name == e.set.Name || home.EntryLink == "" {
+	if !ok || home.Name == e.set.Name || home.EntryPeerAddress == "" {
 		return e.homeLost(n), false
 	}
 	req := &pb.Run{
@@ -186,7 +186,7 @@
 		LeftUs: convert.Micros(n.left()), Hops: 1,
 	}
 	var r pb.RunReply
-	err := e.links.Call(home.EntryLink, frame.Run, req, &r, n.left()+forwardGrace)
+	err := e.links.Call(home.EntryPeerAddress, frame.Run, req, &r, n.left()+forwardGrace)
 	switch {
 	case err == nil && r.GetMoved():
 		return reply{}, true
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -210,7 +210,7 @@
 	for _, m := range v.members {
 		if m.State == membership.Alive && !m.Leaving {
 			names = append(names, m.Name)
-			links[m.Name] = m.CoordLink
+			links[m.Name] = m.CoordAddress
 		}
 	}
 	v.live = max(len(names), 1)
@@ -228,7 +228,7 @@
 // numbers: its heir if there is one, since the home may still be listed.
 func (v *view) memberOf(incarnation uint64) (membership.Member, bool) {
 	for _, m := range v.members {
-		if slices.Contains(m.Succeeds, incarnation) {
+		if slices.Contains(m.AdoptedIncarnations, incarnation) {
 			return m, true
 		}
 	}
--- a/cmd/node/alike_test.go
+++ b/cmd/node/alike_test.go
@@ -21,7 +21,7 @@
 	is.Equal((&gossip.Instance{Name: "n1", Incarnation: 1234567}).Key(), uint32(4105655056))
 	var alive []gossip.Instance
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
-		alive = append(alive, gossip.Instance{Name: name, Incarnation: 1, Count: 100, Share: 400})
+		alive = append(alive, gossip.Instance{Name: name, Incarnation: 1, HeartbeatCount: 100, CPUShare: 400})
 	}
 	var order []string
 	for _, i := range ownership.Rank(alive, 3, "") {
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -20,8 +20,8 @@
 	n := New(&platform.Settings{Name: "n", Hall: "hall-0", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
 	for i := range instances - 1 {
 		n.members.Merge(n.now(), gossip.Instance{
-			Name: fmt.Sprintf("edge-hall-%d-%d", i%9, i), Hall: fmt.Sprintf("hall-%d", i%9), Incarnation: uint64(time.Now().UnixNano()), Count: 100,
-			Front: fmt.Sprintf("10.%d.0.%d:8625", i%9, i), Link: fmt.Sprintf("10.%d.0.%d:7740", i%9, i), Datagram: fmt.Sprintf("10.%d.0.%d:7741", i%9, i), Share: 400,
+			Name: fmt.Sprintf("edge-hall-%d-%d", i%9, i), Hall: fmt.Sprintf("hall-%d", i%9), Incarnation: uint64(time.Now().UnixNano()), HeartbeatCount: 100,
+			ClientAddress: fmt.Sprintf("10.%d.0.%d:8625", i%9, i), PeerAddress: fmt.Sprintf("10.%d.0.%d:7740", i%9, i), HeartbeatAddress: fmt.Sprintf("10.%d.0.%d:7741", i%9, i), CPUShare: 400,
 		})
 	}
 	rows := make(map[string][]byte, replicas)
@@ -38,10 +38,10 @@
 // heartbeatOf is a heartbeat that tells nothing of replicas.
 func heartbeatOf(m gossip.Message) *pb.Heartbeat {
 	h := &pb.Heartbeat{}
-	for _, i := range m.News {
+	for _, i := range m.Entries {
 		h.News = append(h.News, newsOf(i))
 	}
-	for _, beat := range m.Beats {
+	for _, beat := range m.Heartbeats {
 		h.Keys = append(h.Keys, beat.Key)
 		h.Counts = append(h.Counts, beat.Count)
 	}
@@ -78,7 +78,7 @@
 			for b.Loop() {
 				at++
 				value := replicaEntry(b, &catalog.Replica{Service: "s1", Address: "10.1.64.1:8080", Hall: "hall-1", Version: "v1", Slots: int(at%7 + 1)})
-				n.replicas.log.Take(changes.Answer{At: at, Changed: at, Entries: []changes.Entry{{ID: "i-00000001", Value: value, Revision: at}}})
+				n.replicas.log.ApplyUpdate(changes.Update{Revision: at, LastChange: at, Entries: []changes.Entry{{ID: "i-00000001", Value: value, Revision: at}}})
 				n.publish()
 			}
 		})
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -128,7 +128,7 @@
 		server, err := link.Listen(at, func(k frame.Kind, _ []byte, _ net.Conn) { asked <- k }, &n.traffic)
 		is.NoErr(err)
 		defer server.Stop()
-		n.members.Merge(n.now(), gossip.Instance{Name: fmt.Sprint("old", i), Incarnation: 1, Count: 1, Link: at})
+		n.members.Merge(n.now(), gossip.Instance{Name: fmt.Sprint("old", i), Incarnation: 1, HeartbeatCount: 1, PeerAddress: at})
 	}
 	for f := range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/cmd/node/config_test.go
+++ b/cmd/node/config_test.go
@@ -50,5 +50,5 @@
 	n.offer([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
 	n.offer([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
 	is.Equal(n.version(), uint64(7))
-	is.Equal(n.members.Self().Configured, uint64(7))
+	is.Equal(n.members.Self().ConfigVersion, uint64(7))
 }
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -92,7 +92,7 @@
 			list = list[:platform.MaxAddresses-len(out)]
 		}
 		for _, i := range list {
-			out = append(out, i.Front)
+			out = append(out, i.ClientAddress)
 		}
 	}
 	return out
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -114,7 +114,7 @@
 	n.counters.keptAsks.Inc(1)
 	n.counters.farBytes.kept.Inc(int64(proto.Size(ask)))
 	reply := &pb.KeptReply{}
-	err := n.links.Call(owners[0].Link, frame.Kept, ask, reply, farFor)
+	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, farFor)
 	n.noteHeard(region, err == nil)
 	if err != nil {
 		n.logAside("kept prompts of "+region, owners[0].Name, err)
--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -188,7 +188,7 @@
 // others last.
 func (n *Node) sees(store bool) {
 	n.gossipMu.Lock()
-	n.members.SetBlind(!store)
+	n.members.SetStoreUnreachable(!store)
 	n.gossipMu.Unlock()
 }
 
@@ -196,7 +196,7 @@
 func (n *Node) blind() bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
-	return n.members.Self().Blind
+	return n.members.Self().StoreUnreachable
 }
 
 // leavesFirstRead reports whether this instance, which has just started and
@@ -213,7 +213,7 @@
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
-	return now >= meetFor || n.members.Still(now) || now >= aloneFor && len(n.members.Alive(now)) == 1
+	return now >= meetFor || n.members.Settled(now) || now >= aloneFor && len(n.members.Alive(now)) == 1
 }
 
 // takeRole finds out whether this instance is one of those that follow the
@@ -227,7 +227,7 @@
 		return
 	}
 	n.gossipMu.Lock()
-	n.members.SetReads(reads)
+	n.members.SetReader(reads)
 	n.gossipMu.Unlock()
 	event.NodeReads.Log(n.log, "reads", reads)
 }
--- a/cmd/node/front_test.go
+++ b/cmd/node/front_test.go
@@ -21,7 +21,7 @@
 	for i := range instances {
 		for _, hall := range []string{"a", "b"} {
 			name := fmt.Sprintf("%s-%03d", hall, i)
-			alive = append(alive, gossip.Instance{Name: name, Hall: hall, Front: name, Leaving: i == 7})
+			alive = append(alive, gossip.Instance{Name: name, Hall: hall, ClientAddress: name, Leaving: i == 7})
 		}
 	}
 	told := make(map[string]int)
@@ -56,7 +56,7 @@
 	for _, region := range []string{"n", "s", "w"} {
 		for i := range 15 {
 			name := fmt.Sprintf("%s%02d", region, i)
-			alive = append(alive, gossip.Instance{Name: name, Front: name, Region: region, Hall: fmt.Sprint(region, i%2)})
+			alive = append(alive, gossip.Instance{Name: name, ClientAddress: name, Region: region, Hall: fmt.Sprint(region, i%2)})
 		}
 	}
 	c := client{hall: "n0", region: "n", name: "x"}
@@ -76,7 +76,7 @@
 // others when their own region is short.
 func TestFarAddressesAreThoseOfHomes(t *testing.T) {
 	is := is.New(t)
-	alive := []gossip.Instance{{Name: "n", Front: "n", Region: "n"}, {Name: "s", Front: "s", Region: "s"}, {Name: "w", Front: "w", Region: "w"}}
+	alive := []gossip.Instance{{Name: "n", ClientAddress: "n", Region: "n"}, {Name: "s", ClientAddress: "s", Region: "s"}, {Name: "w", ClientAddress: "w", Region: "w"}}
 	c := client{region: "n", name: "x", hall: "n0", homes: regions.Bind([]string{"s"})}
 	is.Equal(addresses(alive, c), []string{"n", "s"})
 	c.homes = regions.Allowed{} // one of the host's routes may be served anywhere
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -12,13 +12,13 @@
 )
 
 // thisLevel is what this build understands.
-const thisLevel = level.This
+const thisLevel = level.Current
 
 // fleetLevel is what all instances understand, and what single ones were found
 // not to.
 type fleetLevel struct {
 	mu      sync.Mutex
-	fleet   level.Fleet
+	fleet   level.Tracker
 	noTurns map[string]uint64 // by name of instances: the life that ended a question for a turn
 }
 
@@ -27,7 +27,7 @@
 func (l *fleetLevel) heard(now time.Duration, all []uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fleet.Heard(now, all)
+	return l.fleet.Observe(now, all)
 }
 
 func (l *fleetLevel) inForce() uint32 {
@@ -92,7 +92,7 @@
 	switch {
 	case !isName:
 		return id, true
-	case len(h.News) > 0 && h.News[0].Level >= level.Lives:
+	case len(h.News) > 0 && h.News[0].Level >= level.ReplicaIncarnations:
 		return "", false
 	}
 	return life, true
@@ -126,7 +126,7 @@
 // somebody may know these alone.
 func (n *Node) spokenAll(lives []string) []string {
 	w := n.world.Load()
-	if len(lives) == 0 || len(w.lifeByName) == 0 || n.level.inForce() >= level.Lives {
+	if len(lives) == 0 || len(w.lifeByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
 		return lives
 	}
 	out := lives
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -129,7 +129,7 @@
 	if !ok || keeper.Name == n.settings.Name {
 		return
 	}
-	n.introduce([]string{keeper.Datagram})
+	n.introduce([]string{keeper.HeartbeatAddress})
 }
 
 // sweepLimits takes in what time and views have changed of limits.
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -73,11 +73,11 @@
 	}
 	now := n.now()
 	n.gossipMu.Lock()
-	m := n.members.Tell(now)
+	m := n.members.BuildMessage(now)
 	var to []string
 	for _, i := range n.members.Alive(now) {
 		if i.Hall == n.settings.Hall && i.Name != n.settings.Name {
-			to = append(to, i.Datagram)
+			to = append(to, i.HeartbeatAddress)
 		}
 	}
 	n.gossipMu.Unlock()
@@ -101,7 +101,7 @@
 	n.gossipMu.Lock()
 	self := n.members.Self()
 	n.gossipMu.Unlock()
-	n.send(to, gossip.Message{News: []gossip.Instance{self}}, nil, nil)
+	n.send(to, gossip.Message{Entries: []gossip.Instance{self}}, nil, nil)
 }
 
 func (n *Node) send(to []string, m gossip.Message, speeds []*pb.EngineSpeed, cases []*pb.QuarantineCase) {
@@ -113,10 +113,10 @@
 		Leaving: leaving, LeavingStated: uint32(said), Sick: n.sick(), Changed: n.listChanged(), Evacuations: n.emptiedNews(),
 		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
 	}
-	for _, i := range m.News {
+	for _, i := range m.Entries {
 		h.News = append(h.News, newsOf(i))
 	}
-	for _, b := range m.Beats {
+	for _, b := range m.Heartbeats {
 		h.Keys = append(h.Keys, b.Key)
 		h.Counts = append(h.Counts, b.Count)
 	}
@@ -192,11 +192,11 @@
 		}
 	}
 	for i := range min(len(h.Keys), len(h.Counts)) {
-		n.members.MergeBeat(now, gossip.Beat{Key: h.Keys[i], Count: h.Counts[i]})
+		n.members.MergeHeartbeat(now, gossip.Heartbeat{Key: h.Keys[i], Count: h.Counts[i]})
 	}
 	var known gossip.Message
 	if len(fresh) > 0 {
-		known = n.members.Tell(now)
+		known = n.members.BuildMessage(now)
 	}
 	after := n.members.Self().Incarnation
 	n.gossipMu.Unlock()
@@ -234,11 +234,11 @@
 	}
 	sender := instanceOf(h.News[0])
 	n.gossipMu.Lock()
-	last, ok := n.members.Outlived(&sender)
+	last, ok := n.members.NewerEntry(&sender)
 	self := n.members.Self()
 	n.gossipMu.Unlock()
 	if ok {
-		n.send([]string{sender.Datagram}, gossip.Message{News: []gossip.Instance{self, last}}, nil, nil)
+		n.send([]string{sender.HeartbeatAddress}, gossip.Message{Entries: []gossip.Instance{self, last}}, nil, nil)
 	}
 }
 
@@ -273,17 +273,17 @@
 
 func newsOf(i gossip.Instance) *pb.InstanceNews {
 	return &pb.InstanceNews{
-		Name: i.Name, Hall: i.Hall, Incarnation: i.Incarnation, Count: i.Count, Leaving: i.Leaving,
-		Front: i.Front, Link: i.Link, Datagram: i.Datagram, Configured: i.Configured, Owns: i.Owns, Share: i.Share,
-		Reads: i.Reads, Blind: i.Blind, Region: i.Region, Level: i.Level, AgeMs: uint32(i.Age.Milliseconds()),
+		Name: i.Name, Hall: i.Hall, Incarnation: i.Incarnation, Count: i.HeartbeatCount, Leaving: i.Leaving,
+		Front: i.ClientAddress, Link: i.PeerAddress, Datagram: i.HeartbeatAddress, Configured: i.ConfigVersion, Owns: i.OwnedCells, Share: i.CPUShare,
+		Reads: i.IsReader, Blind: i.StoreUnreachable, Region: i.Region, Level: i.Level, AgeMs: uint32(i.HeartbeatAge.Milliseconds()),
 	}
 }
 
 func instanceOf(p *pb.InstanceNews) gossip.Instance {
 	return gossip.Instance{
-		Name: p.Name, Hall: p.Hall, Incarnation: p.Incarnation, Count: p.Count, Leaving: p.Leaving,
-		Front: p.Front, Link: p.Link, Datagram: p.Datagram, Configured: p.Configured, Owns: p.Owns, Share: p.Share,
-		Reads: p.Reads, Blind: p.Blind, Region: p.Region, Level: p.Level, Age: time.Duration(p.AgeMs) * time.Millisecond,
+		Name: p.Name, Hall: p.Hall, Incarnation: p.Incarnation, HeartbeatCount: p.Count, Leaving: p.Leaving,
+		ClientAddress: p.Front, PeerAddress: p.Link, HeartbeatAddress: p.Datagram, ConfigVersion: p.Configured, OwnedCells: p.Owns, CPUShare: p.Share,
+		IsReader: p.Reads, StoreUnreachable: p.Blind, Region: p.Region, Level: p.Level, HeartbeatAge: time.Duration(p.AgeMs) * time.Millisecond,
 	}
 }
 
@@ -298,7 +298,7 @@
 func (n *Node) size() int {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
-	return n.members.Size(n.now())
+	return n.members.AliveCount(n.now())
 }
 
 // serveLink answers peers.
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -142,16 +142,16 @@
 	n.counters = newCounters(n.registry)
 	n.home = n.places.Of(s.Hall)
 	n.members = gossip.New(gossip.Instance{
-		Name:        s.Name,
-		Hall:        s.Hall,
-		Region:      n.home,
-		Incarnation: process.Incarnation(time.Now()),
-		Front:       s.Front,
-		Link:        s.Link,
-		Level:       level.This,
-		Share:       uint32(s.ProcessorShare * 1000),
-		Datagram:    net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
-	}, gossip.Standard())
+		Name:             s.Name,
+		Hall:             s.Hall,
+		Region:           n.home,
+		Incarnation:      process.Incarnation(time.Now()),
+		ClientAddress:    s.Front,
+		PeerAddress:      s.Link,
+		Level:            level.Current,
+		CPUShare:         uint32(s.ProcessorShare * 1000),
+		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
+	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
 	n.clock.OnWake(n.woke)
 	n.world.Store(&world{places: n.places, services: make(map[string][]catalog.Replica)})
@@ -166,7 +166,7 @@
 
 // Start listens and begins to follow the store and the peers.
 func (n *Node) Start() error {
-	socket, err := datagram.Listen(n.members.Self().Datagram)
+	socket, err := datagram.Listen(n.members.Self().HeartbeatAddress)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -101,8 +101,8 @@
 	}
 	slices.Sort(cells)
 	n.gossipMu.Lock()
-	changed := !slices.Equal(cells, n.members.Self().Owns)
-	n.members.SetOwns(cells)
+	changed := !slices.Equal(cells, n.members.Self().OwnedCells)
+	n.members.SetOwnedCells(cells)
 	n.gossipMu.Unlock()
 	if changed {
 		n.tell()
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -167,7 +167,7 @@
 		free, _ := n.givePace(r)
 		return free, nil
 	}
-	reply, err := n.askKeeper(ctx, keeper.Link, r.ID)
+	reply, err := n.askKeeper(ctx, keeper.PeerAddress, r.ID)
 	switch {
 	case err != nil:
 		return 0, err
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -229,7 +229,7 @@
 func (n *Node) noteFar(alive []gossip.Instance) {
 	far := make(map[string]bool)
 	for _, i := range alive {
-		if host, _, err := net.SplitHostPort(i.Datagram); err == nil && i.Region != n.home {
+		if host, _, err := net.SplitHostPort(i.HeartbeatAddress); err == nil && i.Region != n.home {
 			far[host] = true
 		}
 	}
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -65,7 +65,7 @@
 		go n.pullConfig(from.Link, have)
 	}
 	n.followMu.Lock()
-	behind, have := n.replicas.log.Behind(h.Changed), n.replicas.log.At()
+	behind, have := n.replicas.log.IsBehind(h.Changed), n.replicas.log.Revision()
 	n.followMu.Unlock()
 	if behind && n.listPull.due(now, n.patience(from, have > 0)) {
 		go n.pullReplicas(from.Link, have)
@@ -168,14 +168,14 @@
 		return
 	}
 	defer n.listPull.done()
-	told := changes.Answer{Whole: answer.Whole, Gapped: answer.Gapped, At: answer.At, Changed: answer.Changed}
+	told := changes.Update{Full: answer.Whole, HasGap: answer.Gapped, Revision: answer.At, LastChange: answer.Changed}
 	for _, e := range answer.Entries {
-		told.Entries = append(told.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Gone: e.Gone})
+		told.Entries = append(told.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Deleted: e.Gone})
 	}
 	n.followMu.Lock()
-	n.replicas.log.Take(told)
+	n.replicas.log.ApplyUpdate(told)
 	n.followMu.Unlock()
-	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.At)
+	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.Revision)
 	n.publish()
 	if have == 0 {
 		n.tell() // others may have started with this one
@@ -190,7 +190,7 @@
 		return &pb.ReplicaChanges{}
 	}
 	n.followMu.Lock()
-	changed := n.replicas.log.Changed()
+	changed := n.replicas.log.LastChange()
 	n.followMu.Unlock()
 	answer, size := n.telling.made(ask.Have, changed)
 	if answer == nil {
@@ -208,11 +208,11 @@
 // size in bytes; a long answer is compressed.
 func (n *Node) makeAnswer(have uint64) (*pb.ReplicaChanges, int) {
 	n.followMu.Lock()
-	a := n.replicas.log.After(have)
+	a := n.replicas.log.UpdateSince(have)
 	n.followMu.Unlock()
-	out := &pb.ReplicaChanges{Whole: a.Whole, Gapped: a.Gapped, At: a.At, Changed: a.Changed}
+	out := &pb.ReplicaChanges{Whole: a.Full, Gapped: a.HasGap, At: a.Revision, Changed: a.LastChange}
 	for _, e := range a.Entries {
-		out.Entries = append(out.Entries, &pb.ReplicaEntry{Id: e.ID, Value: e.Value, Revision: e.Revision, Gone: e.Gone})
+		out.Entries = append(out.Entries, &pb.ReplicaEntry{Id: e.ID, Value: e.Value, Revision: e.Revision, Gone: e.Deleted})
 	}
 	size := proto.Size(out)
 	if size < packFrom {
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -106,7 +106,7 @@
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	for _, i := range entries {
-		i.Count = 0
+		i.HeartbeatCount = 0
 		n.members.Merge(n.now(), i)
 	}
 	return nil
@@ -137,7 +137,7 @@
 	var out []string
 	for _, i := range entries {
 		if i.Name != n.settings.Name {
-			out = append(out, i.Datagram)
+			out = append(out, i.HeartbeatAddress)
 		}
 	}
 	return out
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -146,7 +146,7 @@
 		}
 		for _, i := range ranked {
 			if i.Name != n.settings.Name {
-				n.socket.Send(i.Datagram, b)
+				n.socket.Send(i.HeartbeatAddress, b)
 			}
 		}
 	}
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -159,7 +159,7 @@
 		}
 		event.NodeOwnerLost.Log(n.log, "owner", to.Name, "request", ask.RequestId, "error", err)
 		n.gossipMu.Lock()
-		n.members.Lost(n.now(), to.Name)
+		n.members.MarkUnreachable(n.now(), to.Name)
 		n.gossipMu.Unlock()
 		ask.Again = true // its pieces were admitted once
 	}
@@ -179,7 +179,7 @@
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
-	return ownership.Clear(n.members.Alive(now), cell, region, n.members.Still(now))
+	return ownership.CanDecide(n.members.Alive(now), cell, region, n.members.Settled(now))
 }
 
 // nextOwner returns the next instance in line that may own a cell. An owner
@@ -207,7 +207,7 @@
 	if to.Region != n.home {
 		n.counters.farBytes.stages.Inc(int64(proto.Size(w.ask)))
 	}
-	stream, err := n.links.Open(to.Link, frame.Stages, w.ask)
+	stream, err := n.links.Open(to.PeerAddress, frame.Stages, w.ask)
 	if err != nil {
 		return nil, err
 	}
@@ -296,5 +296,5 @@
 func (n *Node) heardOf(i gossip.Instance) bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
-	return n.members.Hears(n.now(), i.Name, i.Incarnation)
+	return n.members.IsAlive(n.now(), i.Name, i.Incarnation)
 }
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -136,7 +136,7 @@
 	s.Limited = n.limitedStates(w)
 	s.Leaving = append(s.Leaving, n.recentlyLeaving(mostLeavingTold)...)
 	s.FleetLevel = n.level.inForce()
-	s.Waiting = level.Waiting(s.FleetLevel)
+	s.Waiting = level.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
 	s.Emptied = n.emptied.Halls()
 	n.followMu.Unlock()
--- a/cmd/node/telling_test.go
+++ b/cmd/node/telling_test.go
@@ -55,7 +55,7 @@
 	is.Equal(len(opened.Entries), 3000)
 	n.telling.left = 0 // as if it had waited
 	is.True(asked(t, n, 0) == first)
-	n.replicas.log.Apply([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
+	n.replicas.log.ApplyChanges([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
 	n.telling.left = 0
 	opened, err = openChanges(asked(t, n, 0))
 	is.NoErr(err)
@@ -100,7 +100,7 @@
 		for count := uint64(1); n.now() < time.Second; count++ {
 			n.gossipMu.Lock()
 			for _, name := range []string{"r1", "r2", "r3"} { // as many as one hall has
-				n.members.Merge(n.now(), gossip.Instance{Name: name, Hall: "h", Incarnation: 1, Count: 100 + count, Reads: true})
+				n.members.Merge(n.now(), gossip.Instance{Name: name, Hall: "h", Incarnation: 1, HeartbeatCount: 100 + count, IsReader: true})
 			}
 			n.gossipMu.Unlock()
 			time.Sleep(20 * time.Millisecond)
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -97,7 +97,7 @@
 	n.followMu.Unlock()
 	published()
 	n.gossipMu.Lock()
-	n.members.SetConfigured(c.Version)
+	n.members.SetConfigVersion(c.Version)
 	n.gossipMu.Unlock()
 	event.NodeConfigAdopted.Log(n.log, "version", c.Version, "from", from, "routes", len(c.Routes))
 	n.tell()
@@ -112,7 +112,7 @@
 		items, at, err := n.store.Replicas()
 		return func() {
 			n.followMu.Lock()
-			first := !n.replicas.log.Known()
+			first := !n.replicas.log.IsLoaded()
 			n.replicas.log.Replace(items, at)
 			n.followMu.Unlock()
 			event.NodeReplicas.Log(n.log, "from", fromStore, "at", at, "known", len(items))
@@ -133,10 +133,10 @@
 func (n *Node) takeReplicas(ctx context.Context, items []platform.Item, at uint64) {
 	entries := make([]changes.Entry, 0, len(items))
 	for _, i := range items {
-		entries = append(entries, changes.Entry{ID: i.ReplicaID(), Value: i.Value, Revision: i.Revision, Gone: i.Gone})
+		entries = append(entries, changes.Entry{ID: i.ReplicaID(), Value: i.Value, Revision: i.Revision, Deleted: i.Gone})
 	}
 	n.followMu.Lock()
-	news := n.replicas.log.Apply(entries, at)
+	news := n.replicas.log.ApplyChanges(entries, at)
 	n.followMu.Unlock()
 	if news > 0 {
 		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", news, "at", at)
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -109,7 +109,7 @@
 // openTrial opens a stream to an arbiter, which may be this instance.
 func (n *Node) openTrial(arbiter gossip.Instance, ask *pb.TrialAsk) (net.Conn, error) {
 	if arbiter.Name != n.settings.Name {
-		return n.links.Open(arbiter.Link, frame.Trial, ask)
+		return n.links.Open(arbiter.PeerAddress, frame.Trial, ask)
 	}
 	near, far := net.Pipe()
 	first, err := proto.Marshal(ask)
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -152,7 +152,7 @@
 // and the roll-outs. It needs followMu.
 func (n *Node) makeWorld() *world {
 	w := &world{
-		config: n.config, listed: n.replicas.log.Known(), places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int),
+		config: n.config, listed: n.replicas.log.IsLoaded(), places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int),
 		lifeByName: make(map[string]string),
 	}
 	for id, row := range n.replicas.lives {
@@ -184,21 +184,21 @@
 func (n *Node) listKnown() bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.Known()
+	return n.replicas.log.IsLoaded()
 }
 
 // listAt is the store's revision up to which the replicas' changes are known.
 func (n *Node) listAt() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.At()
+	return n.replicas.log.Revision()
 }
 
 // listChanged is the store's revision of the newest change of the replicas known.
 func (n *Node) listChanged() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.Changed()
+	return n.replicas.log.LastChange()
 }
 
 // signHolds is how long a sign of leaving is kept, a connection closed with a
--- a/coordination/addresses/addresses.go
+++ b/coordination/addresses/addresses.go
@@ -21,7 +21,7 @@
 func Choose(members []membership.Member, hall, seed string, most int) []Address {
 	fit := make([]membership.Member, 0, len(members))
 	for _, m := range members {
-		if m.State != membership.Dead && !m.Leaving && m.EntryHTTP != "" {
+		if m.State != membership.Dead && !m.Leaving && m.EntryHTTPAddress != "" {
 			fit = append(fit, m)
 		}
 	}
@@ -34,7 +34,7 @@
 	})
 	out := make([]Address, 0, min(most, len(fit)))
 	for _, m := range fit[:min(most, len(fit))] {
-		out = append(out, Address{Instance: m.Name, Address: m.EntryHTTP, Hall: m.Hall})
+		out = append(out, Address{Instance: m.Name, Address: m.EntryHTTPAddress, Hall: m.Hall})
 	}
 	return out
 }
--- a/coordination/changes/changes.go
+++ b/coordination/changes/changes.go
@@ -15,7 +15,7 @@
 	ID       string
 	Value    []byte
 	Revision uint64
-	Gone     bool
+	Deleted  bool
 }
 
 // Log is a topic's content and its latest changes. It is not safe for
@@ -50,17 +50,17 @@
 }
 
 // Known reports whether the topic was ever read.
-func (l *Log) Known() bool { return l.at > 0 }
+func (l *Log) IsLoaded() bool { return l.at > 0 }
 
 // Changed is the revision of the newest change that the log knows of; 0 when it
 // knows nothing, unchanged when nothing has changed since it was first read.
-func (l *Log) Changed() uint64 { return l.changed }
+func (l *Log) LastChange() uint64 { return l.changed }
 
 // At is the revision up to which the log knows all.
-func (l *Log) At() uint64 { return l.at }
+func (l *Log) Revision() uint64 { return l.at }
 
 // Behind reports whether somebody who knows of a change at that revision knows more.
-func (l *Log) Behind(changed uint64) bool { return changed > l.at }
+func (l *Log) IsBehind(changed uint64) bool { return changed > l.at }
 
 // Each calls f with every key and value.
 func (l *Log) Each(f func(id string, value []byte)) {
@@ -80,7 +80,7 @@
 	}
 	before := l.at
 	differences := l.differences(values, at)
-	known := l.Known()
+	known := l.IsLoaded()
 	l.values, l.at = values, at
 	if !known {
 		l.changed = unchanged
@@ -117,7 +117,7 @@
 	}
 	for id := range l.values {
 		if _, ok := values[id]; !ok {
-			out = append(out, Entry{ID: id, Revision: at, Gone: true})
+			out = append(out, Entry{ID: id, Revision: at, Deleted: true})
 		}
 	}
 	return out
@@ -125,14 +125,14 @@
 
 // Apply takes in changes, in their order, after which all up to a revision is
 // known. It returns how many were news.
-func (l *Log) Apply(entries []Entry, at uint64) int {
+func (l *Log) ApplyChanges(entries []Entry, at uint64) int {
 	news := 0
 	for _, e := range entries {
 		if e.Revision <= l.at {
 			continue
 		}
 		news++
-		if e.Gone {
+		if e.Deleted {
 			delete(l.values, e.ID)
 		} else {
 			l.values[e.ID] = e.Value
@@ -154,27 +154,27 @@
 }
 
 // Answer is what an instance that is behind is told.
-type Answer struct {
-	Whole   bool // the entries are all there are
-	Gapped  bool // else: what came and went meanwhile is not among them
-	Entries []Entry
-	At      uint64
-	Changed uint64
+type Update struct {
+	Full       bool // the entries are all there are
+	HasGap     bool // else: what came and went meanwhile is not among them
+	Entries    []Entry
+	Revision   uint64
+	LastChange uint64
 }
 
 // After returns what an instance lacks that knows all up to a revision.
-func (l *Log) After(have uint64) Answer {
-	a := Answer{At: l.at, Changed: l.changed}
+func (l *Log) UpdateSince(have uint64) Update {
+	a := Update{Revision: l.at, LastChange: l.changed}
 	if have >= l.since && have > 0 && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < have && have < g.to }) {
 		for _, e := range l.latest {
 			if e.Revision > have {
 				a.Entries = append(a.Entries, e)
 			}
 		}
-		a.Gapped = slices.ContainsFunc(l.gaps, func(g gap) bool { return g.to > have })
+		a.HasGap = slices.ContainsFunc(l.gaps, func(g gap) bool { return g.to > have })
 		return a
 	}
-	a.Whole = true
+	a.Full = true
 	for id, value := range l.values {
 		a.Entries = append(a.Entries, Entry{ID: id, Value: value, Revision: l.at})
 	}
@@ -182,21 +182,21 @@
 }
 
 // Take takes in what another instance answered.
-func (l *Log) Take(a Answer) {
-	if a.At < l.at {
+func (l *Log) ApplyUpdate(a Update) {
+	if a.Revision < l.at {
 		return
 	}
-	if !a.Whole {
-		if a.Gapped {
-			l.miss(gap{l.at, a.At})
+	if !a.Full {
+		if a.HasGap {
+			l.miss(gap{l.at, a.Revision})
 		}
-		l.Apply(a.Entries, a.At)
+		l.ApplyChanges(a.Entries, a.Revision)
 		return
 	}
 	values := make(map[string][]byte, len(a.Entries))
 	for _, e := range a.Entries {
 		values[e.ID] = e.Value
 	}
-	l.Replace(values, a.At)
-	l.changed = max(l.changed, a.Changed)
+	l.Replace(values, a.Revision)
+	l.changed = max(l.changed, a.LastChange)
 }
--- a/coordination/changes/changes_test.go
+++ b/coordination/changes/changes_test.go
@@ -25,8 +25,8 @@
 
 func (s *store) change(id string, value []byte) {
 	s.revision++
-	e := Entry{ID: id, Value: value, Revision: s.revision, Gone: value == nil}
-	if e.Gone {
+	e := Entry{ID: id, Value: value, Revision: s.revision, Deleted: value == nil}
+	if e.Deleted {
 		if _, ok := s.values[id]; !ok {
 			return
 		}
@@ -75,21 +75,21 @@
 				at := uint64(rapid.IntRange(1, int(s.revision)).Draw(t, "at"))
 				l.Replace(maps.Clone(past[at]), at)
 			case 5: // a watch
-				if l.Known() {
-					l.Apply(s.after(l.At()), s.revision)
+				if l.IsLoaded() {
+					l.ApplyChanges(s.after(l.Revision()), s.revision)
 				}
 			case 6, 7: // a pull from a peer, whose answer may be lost
-				answer := from.After(l.At())
-				if from.Known() && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
-					l.Take(answer)
-					if l.Behind(from.Changed()) {
-						t.Fatalf("behind %d at %d after a pull", from.Changed(), l.At())
+				answer := from.UpdateSince(l.Revision())
+				if from.IsLoaded() && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
+					l.ApplyUpdate(answer)
+					if l.IsBehind(from.LastChange()) {
+						t.Fatalf("behind %d at %d after a pull", from.LastChange(), l.Revision())
 					}
 				}
 			}
 			for i, l := range logs {
-				if want := past[l.At()]; l.Known() && !maps.EqualFunc(l.values, want, bytes.Equal) {
-					t.Fatalf("instance %d at %d holds %v, the store held %v", i, l.At(), content(l), want)
+				if want := past[l.Revision()]; l.IsLoaded() && !maps.EqualFunc(l.values, want, bytes.Equal) {
+					t.Fatalf("instance %d at %d holds %v, the store held %v", i, l.Revision(), content(l), want)
 				}
 			}
 		}
@@ -101,17 +101,17 @@
 	sameHead := func(a, b []byte) bool { return a[0] == b[0] }
 	l := New(sameHead)
 	l.Replace(map[string][]byte{"a": []byte("x1")}, 10)
-	is.Equal(l.Changed(), uint64(unchanged))   // the first read is no change
-	is.True(New(sameHead).Behind(l.Changed())) // but news to who knows nothing
+	is.Equal(l.LastChange(), uint64(unchanged))     // the first read is no change
+	is.True(New(sameHead).IsBehind(l.LastChange())) // but news to who knows nothing
 	l.Replace(map[string][]byte{"a": []byte("x2")}, 20)
-	is.Equal(l.Changed(), uint64(unchanged)) // it says the same
+	is.Equal(l.LastChange(), uint64(unchanged)) // it says the same
 	l.Replace(map[string][]byte{"a": []byte("y3")}, 30)
-	is.Equal(l.Changed(), uint64(30))
+	is.Equal(l.LastChange(), uint64(30))
 	other := New(sameHead)
 	other.Replace(map[string][]byte{"a": []byte("x1")}, 15)
-	is.True(other.Behind(l.Changed()))
-	answer := l.After(other.At())
-	is.True(answer.Whole) // what came and went between two reads is not known
+	is.True(other.IsBehind(l.LastChange()))
+	answer := l.UpdateSince(other.Revision())
+	is.True(answer.Full) // what came and went between two reads is not known
 	is.Equal(len(answer.Entries), 1)
 }
 
@@ -120,10 +120,10 @@
 	l := New(bytes.Equal)
 	l.Replace(map[string][]byte{}, 1)
 	for i := range 2 * mostLatest {
-		l.Apply([]Entry{{ID: "a", Value: []byte{byte(i)}, Revision: uint64(i + 2)}}, uint64(i+2))
+		l.ApplyChanges([]Entry{{ID: "a", Value: []byte{byte(i)}, Revision: uint64(i + 2)}}, uint64(i+2))
 	}
-	is.True(l.After(3).Whole)
-	is.True(!l.After(l.At() - 10).Whole)
-	is.Equal(len(l.After(l.At()-10).Entries), 10)
-	is.True(l.After(0).Whole)
+	is.True(l.UpdateSince(3).Full)
+	is.True(!l.UpdateSince(l.Revision() - 10).Full)
+	is.Equal(len(l.UpdateSince(l.Revision()-10).Entries), 10)
+	is.True(l.UpdateSince(0).Full)
 }
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -20,23 +20,23 @@
 
 // Instance is what one instance tells of itself.
 type Instance struct {
-	Name        string
-	Hall        string
-	Region      string   // of the hall; "" where it is not known
-	Incarnation uint64   // rises with every start
-	Count       uint64   // heartbeats of this incarnation
-	Leaving     bool     // a planned stop began
-	Front       string   // IP:port for clients
-	Link        string   // IP:port for links of peers
-	Datagram    string   // IP:port for heartbeats
-	Configured  uint64   // version of the configuration in force there
-	Owns        []uint32 // cells whose pools it owns
-	Share       uint32   // of a processor, in thousandths
-	Reads       bool     // it follows the store for others
-	Blind       bool     // it did not reach the store when it last tried
-	Level       uint32   // of its build, that others must know to be understood; 0: it tells none
-
-	Age time.Duration // in a message: since its counter rose, as far as the sender knows
+	Name             string
+	Hall             string
+	Region           string   // of the hall; "" where it is not known
+	Incarnation      uint64   // rises with every start
+	HeartbeatCount   uint64   `json:"Count"` // heartbeats of this incarnation
+	Leaving          bool     // a planned stop began
+	ClientAddress    string   `json:"Front"`      // IP:port for clients
+	PeerAddress      string   `json:"Link"`       // IP:port for links of peers
+	HeartbeatAddress string   `json:"Datagram"`   // IP:port for heartbeats
+	ConfigVersion    uint64   `json:"Configured"` // version of the configuration in force there
+	OwnedCells       []uint32 `json:"Owns"`       // cells whose pools it owns
+	CPUShare         uint32   `json:"Share"`      // of a processor, in thousandths
+	IsReader         bool     `json:"Reads"`      // it follows the store for others
+	StoreUnreachable bool     `json:"Blind"`      // it did not reach the store when it last tried
+	Level            uint32   // of its build, that others must know to be understood; 0: it tells none
+
+	HeartbeatAge time.Duration `json:"Age"` // in a message: since its counter rose, as far as the sender knows
 }
 
 const (
@@ -45,19 +45,19 @@
 )
 
 // ShareRanks is the number of ranks that ByShare tells apart.
-const ShareRanks = shareSteps + 1
+const CPURankCount = shareSteps + 1
 
 // Settled reports whether an instance runs for long enough to be relied on.
-func (i *Instance) Settled() bool { return i.Count >= settledBeats }
+func (i *Instance) Settled() bool { return i.HeartbeatCount >= settledBeats }
 
 // ByShare returns the rank of each instance by its share of a processor: 0 for
 // those with about the most of all given.
-func ByShare(all []Instance) func(Instance) int {
+func CPURank(all []Instance) func(Instance) int {
 	most := uint32(1)
 	for _, i := range all {
-		most = max(most, i.Share)
+		most = max(most, i.CPUShare)
 	}
-	return func(i Instance) int { return shareSteps - int(i.Share*shareSteps/most) }
+	return func(i Instance) int { return shareSteps - int(i.CPUShare*shareSteps/most) }
 }
 
 // View is not safe for concurrent use.
@@ -81,23 +81,23 @@
 
 // Options are the view's constants.
 type Options struct {
-	Silent time.Duration // after which an instance is taken for dead, in a small fleet
-	Each   time.Duration // longer for each instance beyond Small: news of it comes rarer
-	Small  int
-	Forget time.Duration // after which a dead one is forgotten
-	Fanout int           // instances told in a round
-	Across float64       // messages that all instances of a region send to others in a round, about
-	FarFor time.Duration // longer than Silent and Each say, for instances of other regions
-	Sample int           // entries told in full in a message, beside the sender's own
-	Beats  int           // counters in a message
-	Seeds  time.Duration // between messages to the seeds
-	Still  time.Duration // without a new incarnation, after which the view is taken for whole
+	FailureTimeout      time.Duration // after which an instance is taken for dead, in a small fleet
+	TimeoutPerInstance  time.Duration // longer for each instance beyond Small: news of it comes rarer
+	SmallFleetSize      int
+	ForgetAfter         time.Duration // after which a dead one is forgotten
+	Fanout              int           // instances told in a round
+	CrossRegionMessages float64       // messages that all instances of a region send to others in a round, about
+	RemoteTimeoutExtra  time.Duration // longer than Silent and Each say, for instances of other regions
+	FullEntries         int           // entries told in full in a message, beside the sender's own
+	MaxHeartbeats       int           // counters in a message
+	SeedInterval        time.Duration // between messages to the seeds
+	SettleTime          time.Duration // without a new incarnation, after which the view is taken for whole
 }
 
 // Standard returns the constants for heartbeats sent each 200 ms.
-func Standard() Options {
-	return Options{Silent: 1100 * time.Millisecond, Each: 15 * time.Millisecond, Small: 30, Forget: 5 * time.Minute, Fanout: 4, Sample: 10, Beats: 64, Seeds: 2 * time.Second,
-		Still: 60 * time.Millisecond, Across: 3, FarFor: time.Second}
+func DefaultOptions() Options {
+	return Options{FailureTimeout: 1100 * time.Millisecond, TimeoutPerInstance: 15 * time.Millisecond, SmallFleetSize: 30, ForgetAfter: 5 * time.Minute, Fanout: 4, FullEntries: 10, MaxHeartbeats: 64, SeedInterval: 2 * time.Second,
+		SettleTime: 60 * time.Millisecond, CrossRegionMessages: 3, RemoteTimeoutExtra: time.Second}
 }
 
 // turns is among how many the instances' first turns are spread: if all told
@@ -117,16 +117,18 @@
 
 // SetConfigured notes the version of the configuration in force, which never
 // falls: of two that come into force at once, the older may be told last.
-func (v *View) SetConfigured(version uint64) { v.self.Configured = max(v.self.Configured, version) }
+func (v *View) SetConfigVersion(version uint64) {
+	v.self.ConfigVersion = max(v.self.ConfigVersion, version)
+}
 
 // SetReads notes whether this instance follows the store for others.
-func (v *View) SetReads(reads bool) { v.self.Reads = reads }
+func (v *View) SetReader(reads bool) { v.self.IsReader = reads }
 
 // SetBlind notes whether this instance reached the store when it last tried.
-func (v *View) SetBlind(blind bool) { v.self.Blind = blind }
+func (v *View) SetStoreUnreachable(blind bool) { v.self.StoreUnreachable = blind }
 
 // SetOwns notes the cells that this instance owns.
-func (v *View) SetOwns(cells []uint32) { v.self.Owns = cells }
+func (v *View) SetOwnedCells(cells []uint32) { v.self.OwnedCells = cells }
 
 // Merge takes in what somebody tells of an instance, and reports whether it is
 // the first word of that incarnation.
@@ -135,8 +137,8 @@
 		v.outlive(&i)
 		return false
 	}
-	heard := now - i.Age
-	i.Age = 0
+	heard := now - i.HeartbeatAge
+	i.HeartbeatAge = 0
 	r := v.rows[i.Name]
 	if r == nil {
 		r = &row{Instance: i, heard: heard, key: i.Key()}
@@ -144,7 +146,7 @@
 		v.fresh = now
 		return true
 	}
-	if i.Incarnation < r.Incarnation || (i.Incarnation == r.Incarnation && i.Count <= r.Count) {
+	if i.Incarnation < r.Incarnation || (i.Incarnation == r.Incarnation && i.HeartbeatCount <= r.HeartbeatCount) {
 		return false
 	}
 	isNew := i.Incarnation > r.Incarnation
@@ -169,7 +171,7 @@
 // higher than the last one's would not be heard of until the clock has caught up,
 // so this life takes the next one (as SWIM's members refute what is told of them).
 func (v *View) outlive(i *Instance) {
-	later := i.Incarnation > v.self.Incarnation || i.Incarnation == v.self.Incarnation && i.Count > v.self.Count
+	later := i.Incarnation > v.self.Incarnation || i.Incarnation == v.self.Incarnation && i.HeartbeatCount > v.self.HeartbeatCount
 	if later && i.Incarnation < math.MaxUint64 {
 		v.self.Incarnation = i.Incarnation + 1
 	}
@@ -177,9 +179,9 @@
 
 // Outlived returns what is known of the last life of an instance that tells of
 // itself as of an earlier one: it must hear of that to be heard of itself.
-func (v *View) Outlived(i *Instance) (last Instance, ok bool) {
+func (v *View) NewerEntry(i *Instance) (last Instance, ok bool) {
 	r := v.rows[i.Name]
-	if r == nil || i.Incarnation > r.Incarnation || i.Incarnation == r.Incarnation && i.Count >= r.Count {
+	if r == nil || i.Incarnation > r.Incarnation || i.Incarnation == r.Incarnation && i.HeartbeatCount >= r.HeartbeatCount {
 		return Instance{}, false
 	}
 	return r.Instance, true
@@ -196,26 +198,26 @@
 // it, all entries of a fleet would be told in full again.
 func (r *row) sameInfo(i *Instance) bool {
 	return r.Incarnation == i.Incarnation && r.Leaving == i.Leaving &&
-		r.Reads == i.Reads && r.Blind == i.Blind && slices.Equal(r.Owns, i.Owns)
+		r.IsReader == i.IsReader && r.StoreUnreachable == i.StoreUnreachable && slices.Equal(r.OwnedCells, i.OwnedCells)
 }
 
 // Lost notes that a connection to an instance failed: it is not heard of until
 // its counter rises again.
-func (v *View) Lost(now time.Duration, name string) {
+func (v *View) MarkUnreachable(now time.Duration, name string) {
 	if r := v.rows[name]; r != nil {
-		r.heard = min(r.heard, now-v.silent()-v.opts.FarFor)
+		r.heard = min(r.heard, now-v.silent()-v.opts.RemoteTimeoutExtra)
 	}
 }
 
 // Message is what an instance tells others: itself, some instances in full,
 // and the counters of more.
 type Message struct {
-	News  []Instance // the sender first
-	Beats []Beat
+	Entries    []Instance // the sender first
+	Heartbeats []Heartbeat
 }
 
 // Beat is an instance's counter; the key names one incarnation of it.
-type Beat struct {
+type Heartbeat struct {
 	Key   uint32
 	Count uint64
 }
@@ -227,8 +229,8 @@
 
 // Tell returns a message: in full those whose entries changed lately and one
 // in its turn, the counters of those heard of last and of others in turn.
-func (v *View) Tell(now time.Duration) Message {
-	m := Message{News: []Instance{v.self}}
+func (v *View) BuildMessage(now time.Duration) Message {
+	m := Message{Entries: []Instance{v.self}}
 	known := len(v.order)
 	if known == 0 {
 		return m
@@ -239,9 +241,9 @@
 	rows := make([]*row, 0, known)
 	for i := range known {
 		r := v.order[(v.turn+i)%known]
-		if r.told < tellTimes && len(m.News) <= v.opts.Sample {
+		if r.told < tellTimes && len(m.Entries) <= v.opts.FullEntries {
 			r.told++
-			m.News = append(m.News, r.entry(now))
+			m.Entries = append(m.Entries, r.entry(now))
 			continue
 		}
 		if v.alive(now, r) {
@@ -249,13 +251,13 @@
 		}
 	}
 	slices.SortStableFunc(rows, func(a, b *row) int { return cmp.Compare(b.heard, a.heard) })
-	newest := min(v.opts.Beats/2, len(rows))
+	newest := min(v.opts.MaxHeartbeats/2, len(rows))
 	for i, r := range rows {
 		rest := len(rows) - newest
-		if i >= newest && (i+v.turn*newest)%rest >= v.opts.Beats-newest {
+		if i >= newest && (i+v.turn*newest)%rest >= v.opts.MaxHeartbeats-newest {
 			continue // its turn comes
 		}
-		m.Beats = append(m.Beats, Beat{Key: r.key, Count: r.Count})
+		m.Heartbeats = append(m.Heartbeats, Heartbeat{Key: r.key, Count: r.HeartbeatCount})
 	}
 	return m
 }
@@ -264,7 +266,7 @@
 // of again by whoever has an older count of it, and through that one by others.
 func (r *row) entry(now time.Duration) Instance {
 	i := r.Instance
-	i.Age = max(now-r.heard, 0)
+	i.HeartbeatAge = max(now-r.heard, 0)
 	return i
 }
 
@@ -272,27 +274,27 @@
 const tellTimes = 4
 
 // MergeBeat takes in a counter that somebody tells.
-func (v *View) MergeBeat(now time.Duration, b Beat) {
+func (v *View) MergeHeartbeat(now time.Duration, b Heartbeat) {
 	r := v.byKey[b.Key]
-	if r != nil && b.Count > r.Count {
-		r.Count, r.heard = b.Count, now
+	if r != nil && b.Count > r.HeartbeatCount {
+		r.HeartbeatCount, r.heard = b.Count, now
 	}
 }
 
 func (v *View) alive(now time.Duration, r *row) bool {
 	silent := v.silent()
 	if v.isFar(r) {
-		silent += v.opts.FarFor
+		silent += v.opts.RemoteTimeoutExtra
 	}
 	return now-r.heard < silent
 }
 
 func (v *View) silent() time.Duration {
-	return v.opts.Silent + time.Duration(max(len(v.rows)-v.opts.Small, 0))*v.opts.Each
+	return v.opts.FailureTimeout + time.Duration(max(len(v.rows)-v.opts.SmallFleetSize, 0))*v.opts.TimeoutPerInstance
 }
 
 func (v *View) forget(now time.Duration) {
-	old := func(r *row) bool { return now-r.heard > v.opts.Forget }
+	old := func(r *row) bool { return now-r.heard > v.opts.ForgetAfter }
 	for _, r := range v.order {
 		if old(r) {
 			delete(v.rows, r.Name)
@@ -321,7 +323,7 @@
 }
 
 // Size returns the number of instances heard of lately, oneself included.
-func (v *View) Size(now time.Duration) int {
+func (v *View) AliveCount(now time.Duration) int {
 	n := 1
 	for _, r := range v.order {
 		if v.alive(now, r) {
@@ -332,7 +334,7 @@
 }
 
 // Hears reports whether an incarnation of an instance is heard of.
-func (v *View) Hears(now time.Duration, name string, incarnation uint64) bool {
+func (v *View) IsAlive(now time.Duration, name string, incarnation uint64) bool {
 	if name == v.self.Name {
 		return incarnation == v.self.Incarnation
 	}
@@ -342,9 +344,9 @@
 
 // Still reports whether others are heard of and nobody new has been for a
 // while: after a start of all, the view is then as good as it gets soon.
-func (v *View) Still(now time.Duration) bool {
-	return v.Size(now) > 1 && now-v.fresh >= v.opts.Still
+func (v *View) Settled(now time.Duration) bool {
+	return v.AliveCount(now) > 1 && now-v.fresh >= v.opts.SettleTime
 }
 
 // Known returns the number of instances that are not forgotten, oneself included.
-func (v *View) Known() int { return len(v.rows) + 1 }
+func (v *View) KnownCount() int { return len(v.rows) + 1 }
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -27,10 +27,10 @@
 	f := &fleet{views: make(map[string]*View), cut: make(map[string]bool), random: rand.New(rand.NewPCG(seed, 2))}
 	for i := range n {
 		name := fmt.Sprintf("i%03d", i)
-		f.views[name] = New(Instance{Name: name, Incarnation: 1, Datagram: name}, Standard())
+		f.views[name] = New(Instance{Name: name, Incarnation: 1, HeartbeatAddress: name}, DefaultOptions())
 	}
 	for _, v := range f.views {
-		v.Merge(0, Instance{Name: "i000", Incarnation: 1, Datagram: "i000"}) // the seed
+		v.Merge(0, Instance{Name: "i000", Incarnation: 1, HeartbeatAddress: "i000"}) // the seed
 	}
 	return f
 }
@@ -45,14 +45,14 @@
 				if f.cut[name] != f.cut[peer] || f.views[peer] == nil {
 					continue
 				}
-				if last, ok := f.views[peer].Outlived(&m.News[0]); ok {
+				if last, ok := f.views[peer].NewerEntry(&m.Entries[0]); ok {
 					v.Merge(f.now, last)
 				}
-				for _, i := range m.News {
+				for _, i := range m.Entries {
 					f.views[peer].Merge(f.now, i)
 				}
-				for _, b := range m.Beats {
-					f.views[peer].MergeBeat(f.now, b)
+				for _, b := range m.Heartbeats {
+					f.views[peer].MergeHeartbeat(f.now, b)
 				}
 			}
 		}
@@ -73,8 +73,8 @@
 	f := newSeededFleet(n, seed)
 	f.run(20 * time.Second) // the store's entries make it faster
 	for name, v := range f.views {
-		if v.Known() != n {
-			t.Fatalf("%d instances, seed %d: %s knows %d", n, seed, name, v.Known())
+		if v.KnownCount() != n {
+			t.Fatalf("%d instances, seed %d: %s knows %d", n, seed, name, v.KnownCount())
 		}
 		if alive := len(v.Alive(f.now)); alive < n*97/100 {
 			t.Fatalf("%d instances, seed %d: %s hears of %d", n, seed, name, alive)
@@ -88,15 +88,15 @@
 	const n = 40
 	told := make(map[string]bool)
 	for i := range n {
-		v := New(Instance{Name: fmt.Sprintf("i%03d", i), Incarnation: 1}, Standard())
+		v := New(Instance{Name: fmt.Sprintf("i%03d", i), Incarnation: 1}, DefaultOptions())
 		for j := range n {
 			v.Merge(0, Instance{Name: fmt.Sprintf("i%03d", j), Incarnation: 1})
 		}
 		for range n * tellTimes { // until nothing is new
-			v.Tell(0)
+			v.BuildMessage(0)
 		}
-		m := v.Tell(0)
-		told[m.News[len(m.News)-1].Name] = true
+		m := v.BuildMessage(0)
+		told[m.Entries[len(m.Entries)-1].Name] = true
 	}
 	if len(told) < n/4 {
 		t.Errorf("%d instances tell only %d in a round", n, len(told))
@@ -109,7 +109,7 @@
 	f := newFleet(n)
 	for _, v := range f.views {
 		for name := range f.views {
-			v.Merge(0, Instance{Name: name, Incarnation: 1, Datagram: name})
+			v.Merge(0, Instance{Name: name, Incarnation: 1, HeartbeatAddress: name})
 		}
 	}
 	f.run(8 * time.Second)
@@ -130,7 +130,7 @@
 		n := 0
 		for range 5 {
 			for _, name := range slices.Sorted(maps.Keys(f.views)) {
-				n += len(f.views[name].Tell(f.now).News)
+				n += len(f.views[name].BuildMessage(f.now).Entries)
 			}
 			f.run(round)
 		}
@@ -138,14 +138,14 @@
 	}
 	calm := entries()
 	for _, v := range f.views {
-		v.SetConfigured(7)
+		v.SetConfigVersion(7)
 	}
 	f.run(2 * round)
 	if changed := entries(); changed > calm+calm/10 {
 		t.Errorf("%d entries in full after a configuration, %d before", changed, calm)
 	}
 	for _, v := range f.views {
-		v.SetOwns([]uint32{3})
+		v.SetOwnedCells([]uint32{3})
 	}
 	f.run(2 * round)
 	if changed := entries(); changed < 2*calm {
@@ -161,11 +161,11 @@
 	hallOf := make(map[string]string, n)
 	for i, name := range slices.Sorted(maps.Keys(f.views)) {
 		hallOf[name] = fmt.Sprint("h", i%halls)
-		f.views[name] = New(Instance{Name: name, Hall: hallOf[name], Incarnation: 1, Datagram: name}, Standard())
+		f.views[name] = New(Instance{Name: name, Hall: hallOf[name], Incarnation: 1, HeartbeatAddress: name}, DefaultOptions())
 	}
 	for _, v := range f.views {
 		for name := range f.views {
-			v.Merge(0, Instance{Name: name, Hall: hallOf[name], Incarnation: 1, Datagram: name})
+			v.Merge(0, Instance{Name: name, Hall: hallOf[name], Incarnation: 1, HeartbeatAddress: name})
 		}
 	}
 	f.run(8 * time.Second)
@@ -186,7 +186,7 @@
 		t.Fatalf("%d of %d messages leave their hall", far, all)
 	}
 	f.cut["i007"] = true
-	f.run(Standard().Silent + time.Duration(n-Standard().Small)*Standard().Each + 4*time.Second)
+	f.run(DefaultOptions().FailureTimeout + time.Duration(n-DefaultOptions().SmallFleetSize)*DefaultOptions().TimeoutPerInstance + 4*time.Second)
 	for name, v := range f.views {
 		if name != "i007" && slices.ContainsFunc(v.Alive(f.now), func(i Instance) bool { return i.Name == "i007" }) {
 			t.Fatalf("%s still hears of i007", name)
@@ -204,9 +204,9 @@
 		budget    = 21_000
 	)
 	for name, v := range f.views {
-		m := v.Tell(f.now)
-		if bytes := (entry*len(m.News) + beat*len(m.Beats)) * perSecond; bytes > budget {
-			t.Fatalf("%s: %d bytes a second, %d entries", name, bytes, len(m.News))
+		m := v.BuildMessage(f.now)
+		if bytes := (entry*len(m.Entries) + beat*len(m.Heartbeats)) * perSecond; bytes > budget {
+			t.Fatalf("%s: %d bytes a second, %d entries", name, bytes, len(m.Entries))
 		}
 	}
 }
@@ -226,40 +226,40 @@
 
 func TestLeavingWinsWithinAnIncarnation(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "self"}, Standard())
-	v.Merge(0, Instance{Name: "a", Incarnation: 1, Count: 5, Leaving: true})
-	v.Merge(0, Instance{Name: "a", Incarnation: 1, Count: 6})
+	v := New(Instance{Name: "self"}, DefaultOptions())
+	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 5, Leaving: true})
+	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 6})
 	is.True(v.Alive(0)[0].Leaving)
-	is.True(v.Merge(0, Instance{Name: "a", Incarnation: 2, Count: 1})) // the first word of a new one
+	is.True(v.Merge(0, Instance{Name: "a", Incarnation: 2, HeartbeatCount: 1})) // the first word of a new one
 	is.True(!v.Alive(0)[0].Leaving)
-	is.True(!v.Merge(0, Instance{Name: "a", Incarnation: 1, Count: 9}))
+	is.True(!v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 9}))
 }
 
 func TestALostInstanceIsNotHeardOfUntilItSpeaks(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "self"}, Standard())
-	v.Merge(0, Instance{Name: "a", Incarnation: 1, Count: 5})
-	v.Lost(0, "a")
+	v := New(Instance{Name: "self"}, DefaultOptions())
+	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 5})
+	v.MarkUnreachable(0, "a")
 	is.Equal(len(v.Alive(0)), 1)
-	v.Merge(0, Instance{Name: "a", Incarnation: 1, Count: 6})
+	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 6})
 	is.Equal(len(v.Alive(0)), 2)
 }
 
 // The seeds may start later: an instance that hears of nobody tells them again and again.
 func TestSeedsAreToldUntilSomebodyIsHeardOf(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "a", Incarnation: 1}, Standard())
+	v := New(Instance{Name: "a", Incarnation: 1}, DefaultOptions())
 	round := 200 * time.Millisecond
 	now := time.Duration(0)
 	for range 5 {
 		is.True(v.SeedsDue(now))
 		now += round
 	}
-	v.Merge(now, Instance{Name: "b", Incarnation: 1, Count: 1})
+	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 1})
 	told := 0
 	for range 20 {
 		now += round
-		v.MergeBeat(now, Beat{Key: v.rows["b"].key, Count: uint64(now)})
+		v.MergeHeartbeat(now, Heartbeat{Key: v.rows["b"].key, Count: uint64(now)})
 		if v.SeedsDue(now) {
 			told++
 		}
@@ -269,38 +269,38 @@
 
 func TestTheVersionToldNeverFalls(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "a"}, Standard())
-	v.SetConfigured(7)
-	v.SetConfigured(5)
-	is.Equal(v.Self().Configured, uint64(7))
+	v := New(Instance{Name: "a"}, DefaultOptions())
+	v.SetConfigVersion(7)
+	v.SetConfigVersion(5)
+	is.Equal(v.Self().ConfigVersion, uint64(7))
 }
 
 // After a start of all nobody has settled; what a view is good for then shows
 // in that nobody new is heard of.
 func TestAViewIsStillOnceNobodyNewIsHeardOf(t *testing.T) {
 	is := is.New(t)
-	o := Standard()
+	o := DefaultOptions()
 	v := New(Instance{Name: "a", Incarnation: 1}, o)
-	is.True(!v.Still(time.Second)) // it hears of nobody
-	v.Merge(time.Second, Instance{Name: "b", Incarnation: 1, Count: 1})
-	is.True(!v.Still(time.Second + o.Still - 1))
-	v.Merge(time.Second+o.Still-1, Instance{Name: "c", Incarnation: 1, Count: 1})
-	is.True(!v.Still(time.Second + o.Still)) // c is new
-	v.Merge(time.Second+o.Still, Instance{Name: "c", Incarnation: 1, Count: 2})
-	is.True(v.Still(time.Second + 2*o.Still - 1)) // known ones may go on speaking
-	v.Merge(time.Second+2*o.Still, Instance{Name: "b", Incarnation: 2, Count: 1})
-	is.True(!v.Still(time.Second + 2*o.Still)) // another life of b
+	is.True(!v.Settled(time.Second)) // it hears of nobody
+	v.Merge(time.Second, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 1})
+	is.True(!v.Settled(time.Second + o.SettleTime - 1))
+	v.Merge(time.Second+o.SettleTime-1, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 1})
+	is.True(!v.Settled(time.Second + o.SettleTime)) // c is new
+	v.Merge(time.Second+o.SettleTime, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 2})
+	is.True(v.Settled(time.Second + 2*o.SettleTime - 1)) // known ones may go on speaking
+	v.Merge(time.Second+2*o.SettleTime, Instance{Name: "b", Incarnation: 2, HeartbeatCount: 1})
+	is.True(!v.Settled(time.Second + 2*o.SettleTime)) // another life of b
 }
 
 // The view was sorted for each question, several times a request: 390 entries each.
 func TestQuestionsOfOneViewAgree(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "m", Incarnation: 7}, Standard())
+	v := New(Instance{Name: "m", Incarnation: 7}, DefaultOptions())
 	for _, name := range []string{"z", "a", "n", "l", "m2"} {
-		v.Merge(0, Instance{Name: name, Incarnation: 1, Count: 1})
+		v.Merge(0, Instance{Name: name, Incarnation: 1, HeartbeatCount: 1})
 	}
-	v.Merge(2*time.Second, Instance{Name: "z", Incarnation: 2, Count: 1})
-	v.Merge(2*time.Second, Instance{Name: "a", Incarnation: 1, Count: 2})
+	v.Merge(2*time.Second, Instance{Name: "z", Incarnation: 2, HeartbeatCount: 1})
+	v.Merge(2*time.Second, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 2})
 	names := func(now time.Duration) string {
 		out := ""
 		for _, i := range v.Alive(now) {
@@ -310,20 +310,20 @@
 	}
 	is.Equal(names(0), "a l m m2 n z ")
 	is.Equal(names(2*time.Second), "a m z ") // the others are silent
-	is.Equal(v.Size(2*time.Second), 3)
-	is.True(!v.Hears(2*time.Second, "z", 1)) // an earlier life
-	is.True(v.Hears(2*time.Second, "z", 2))
-	is.True(!v.Hears(2*time.Second, "l", 1))
-	is.True(v.Hears(2*time.Second, "m", 7))
-	v.Round(2*time.Second+Standard().Forget, rand.New(rand.NewPCG(1, 1)))
-	is.Equal(v.Known(), 3) // those silent since are forgotten, the two heard of later not yet
+	is.Equal(v.AliveCount(2*time.Second), 3)
+	is.True(!v.IsAlive(2*time.Second, "z", 1)) // an earlier life
+	is.True(v.IsAlive(2*time.Second, "z", 2))
+	is.True(!v.IsAlive(2*time.Second, "l", 1))
+	is.True(v.IsAlive(2*time.Second, "m", 7))
+	v.Round(2*time.Second+DefaultOptions().ForgetAfter, rand.New(rand.NewPCG(1, 1)))
+	is.Equal(v.KnownCount(), 3) // those silent since are forgotten, the two heard of later not yet
 	is.Equal(names(2*time.Second), "a m z ")
 }
 
 func BenchmarkAlive(b *testing.B) {
-	v := New(Instance{Name: "i000"}, Standard())
+	v := New(Instance{Name: "i000"}, DefaultOptions())
 	for i := 1; i < 390; i++ {
-		v.Merge(0, Instance{Name: fmt.Sprintf("i%03d", i), Incarnation: 1, Count: 1})
+		v.Merge(0, Instance{Name: fmt.Sprintf("i%03d", i), Incarnation: 1, HeartbeatCount: 1})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -335,16 +335,16 @@
 // though its count is higher than the one known; a later rise is.
 func TestAnOldWordIsNoSignOfLife(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "a"}, Standard())
-	v.Merge(0, Instance{Name: "b", Incarnation: 1, Count: 5})
+	v := New(Instance{Name: "a"}, DefaultOptions())
+	v.Merge(0, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 5})
 	now := 10 * time.Second
-	v.Merge(now, Instance{Name: "b", Incarnation: 1, Count: 6, Age: 9 * time.Second})
-	is.True(!v.Hears(now, "b", 1))
-	v.Merge(now, Instance{Name: "c", Incarnation: 1, Count: 6, Age: 9 * time.Second}) // the first word of it
-	is.True(!v.Hears(now, "c", 1))
-	for _, i := range v.Tell(now).News[1:] {
-		is.True(i.Age >= 9*time.Second) // and it is told as old as it is
+	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 6, HeartbeatAge: 9 * time.Second})
+	is.True(!v.IsAlive(now, "b", 1))
+	v.Merge(now, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 6, HeartbeatAge: 9 * time.Second}) // the first word of it
+	is.True(!v.IsAlive(now, "c", 1))
+	for _, i := range v.BuildMessage(now).Entries[1:] {
+		is.True(i.HeartbeatAge >= 9*time.Second) // and it is told as old as it is
 	}
-	v.Merge(now, Instance{Name: "b", Incarnation: 1, Count: 7})
-	is.True(v.Hears(now, "b", 1))
+	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 7})
+	is.True(v.IsAlive(now, "b", 1))
 }
--- a/coordination/gossip/regions_test.go
+++ b/coordination/gossip/regions_test.go
@@ -37,12 +37,12 @@
 	for r := range regions {
 		for i := range each {
 			name := fmt.Sprintf("r%d-%02d", r, i)
-			all = append(all, Instance{Name: name, Region: fmt.Sprint("r", r), Hall: fmt.Sprintf("r%d-%d", r, i%2), Incarnation: 1, Datagram: name})
+			all = append(all, Instance{Name: name, Region: fmt.Sprint("r", r), Hall: fmt.Sprintf("r%d-%d", r, i%2), Incarnation: 1, HeartbeatAddress: name})
 			p.where[name] = fmt.Sprint("r", r)
 		}
 	}
 	for _, self := range all {
-		v := New(self, Standard())
+		v := New(self, DefaultOptions())
 		for _, other := range all { // as the store's entries tell
 			v.Merge(0, other)
 		}
@@ -92,11 +92,11 @@
 	if p.lost[l.to] {
 		return
 	}
-	for _, i := range l.m.News {
+	for _, i := range l.m.Entries {
 		p.views[l.to].Merge(p.now(), i)
 	}
-	for _, b := range l.m.Beats {
-		p.views[l.to].MergeBeat(p.now(), b)
+	for _, b := range l.m.Heartbeats {
+		p.views[l.to].MergeHeartbeat(p.now(), b)
 	}
 }
 
@@ -139,7 +139,7 @@
 			p.run(2 * time.Second)
 			p.check(t, "all well", func(string, string) int { return each })
 		}
-		if perRound := float64(p.crossed-before) / 50; perRound > 3*Standard().Across*1.3 {
+		if perRound := float64(p.crossed-before) / 50; perRound > 3*DefaultOptions().CrossRegionMessages*1.3 {
 			t.Fatalf("%.1f messages cross in a round", perRound)
 		}
 		p.cut["r0"] = true
--- a/coordination/gossip/starts_test.go
+++ b/coordination/gossip/starts_test.go
@@ -11,15 +11,15 @@
 // startAgain replaces an instance by one of the same name that has just started,
 // whose clock's incarnation is that.
 func (f *fleet) startAgain(name string, incarnation uint64) {
-	f.views[name] = New(Instance{Name: name, Incarnation: incarnation, Datagram: name}, Standard())
-	f.views[name].Merge(f.now, Instance{Name: "i000", Incarnation: 1, Datagram: "i000"})
+	f.views[name] = New(Instance{Name: name, Incarnation: incarnation, HeartbeatAddress: name}, DefaultOptions())
+	f.views[name].Merge(f.now, Instance{Name: "i000", Incarnation: 1, HeartbeatAddress: "i000"})
 }
 
 // heard is how many of the others hear of an instance as it is now.
 func (f *fleet) heard(name string) int {
 	n := 0
 	for other, v := range f.views {
-		if other != name && v.Hears(f.now, name, f.views[name].Self().Incarnation) {
+		if other != name && v.IsAlive(f.now, name, f.views[name].Self().Incarnation) {
 			n++
 		}
 	}
@@ -66,7 +66,7 @@
 // Who is told nonsense of itself goes on as it is.
 func TestNobodyCanGoBeyondTheLastIncarnation(t *testing.T) {
 	is := is.New(t)
-	v := New(Instance{Name: "a", Incarnation: 7}, Standard())
-	v.Merge(0, Instance{Name: "a", Incarnation: math.MaxUint64, Count: 9})
+	v := New(Instance{Name: "a", Incarnation: 7}, DefaultOptions())
+	v.Merge(0, Instance{Name: "a", Incarnation: math.MaxUint64, HeartbeatCount: 9})
 	is.Equal(v.Self().Incarnation, uint64(7))
 }
--- a/coordination/gossip/targets.go
+++ b/coordination/gossip/targets.go
@@ -8,9 +8,9 @@
 
 // Round raises the own counter and returns whom to tell and what.
 func (v *View) Round(now time.Duration, random *rand.Rand) (to []string, m Message) {
-	v.self.Count++
+	v.self.HeartbeatCount++
 	v.forget(now)
-	m = v.Tell(now)
+	m = v.BuildMessage(now)
 	p := v.split(now)
 	to = v.targets(p.hall, p.region, random)
 	if len(p.dead) > 0 { // a partition heals from either side
@@ -26,7 +26,7 @@
 func (v *View) across(to []string, p peers, random *rand.Rand) []string {
 	home := float64(1 + len(p.hall) + len(p.region))
 	for _, list := range [][]string{p.far, p.farDead} {
-		if len(list) > 0 && random.Float64()*home < v.opts.Across {
+		if len(list) > 0 && random.Float64()*home < v.opts.CrossRegionMessages {
 			to = append(to, list[random.IntN(len(list))])
 		}
 	}
@@ -37,7 +37,7 @@
 // nobody is heard of, since they may start later than this instance, and now
 // and then beside the others, so that islands meet.
 func (v *View) SeedsDue(now time.Duration) bool {
-	if v.seeds != 0 && now-v.seeds < v.opts.Seeds && v.Size(now) > 1 {
+	if v.seeds != 0 && now-v.seeds < v.opts.SeedInterval && v.AliveCount(now) > 1 {
 		return false
 	}
 	v.seeds = max(now, 1)
@@ -80,7 +80,7 @@
 		case r.Hall == v.self.Hall:
 			to = &p.hall
 		}
-		*to = append(*to, r.Datagram)
+		*to = append(*to, r.HeartbeatAddress)
 	}
 	return p
 }
--- a/coordination/ledger/handover.go
+++ b/coordination/ledger/handover.go
@@ -37,7 +37,7 @@
 }
 
 // Line returns this ledger and those it took over, as its heir needs them.
-func (l *Ledger) Line(now time.Duration) []Predecessor {
+func (l *Ledger) Lineage(now time.Duration) []Predecessor {
 	out := []Predecessor{{Incarnation: l.own, Elapsed: now}}
 	for inc, offset := range l.adopted {
 		out = append(out, Predecessor{Incarnation: inc, Elapsed: now - offset})
@@ -46,7 +46,7 @@
 }
 
 // Succeeds returns the incarnations that this ledger took over.
-func (l *Ledger) Succeeds() []uint64 {
+func (l *Ledger) AdoptedIncarnations() []uint64 {
 	out := make([]uint64, 0, len(l.adopted))
 	for inc := range l.adopted {
 		out = append(out, inc)
--- a/coordination/ledger/ledger.go
+++ b/coordination/ledger/ledger.go
@@ -13,13 +13,13 @@
 
 // The verdicts of Begin.
 const (
-	Start    Verdict = iota // this call, and no other, may run the request
-	Join                    // it was started before: wait for or take its answer
-	Foreign                 // another incarnation's number
-	Expired                 // too old: it may have run, its record is gone
-	Full                    // no room for a record: refuse it as not run
-	HandedOn                // this ledger was handed on and starts nothing more
-	Reused                  // the number was used for another request
+	Start      Verdict = iota // this call, and no other, may run the request
+	Join                      // it was started before: wait for or take its answer
+	Foreign                   // another incarnation's number
+	Expired                   // too old: it may have run, its record is gone
+	Full                      // no room for a record: refuse it as not run
+	HandedOver                // this ledger was handed on and starts nothing more
+	Reused                    // the number was used for another request
 )
 
 // Answer is the final answer of a request: the status and body a caller got.
@@ -93,7 +93,7 @@
 	case now-issued > l.opts.Horizon:
 		return Expired, nil
 	case l.handedOn:
-		return HandedOn, nil
+		return HandedOver, nil
 	case len(l.records) >= l.opts.MaxRecords:
 		return Full, nil
 	}
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -148,6 +148,6 @@
 	n.open = nil
 	n.l.Seal()
 	at := m.now - n.start
-	heir.l.Adopt(n.l.Line(at), n.l.Export(at), m.now-heir.start)
+	heir.l.Adopt(n.l.Lineage(at), n.l.Export(at), m.now-heir.start)
 	m.spawn()
 }
--- a/coordination/level/level_test.go
+++ b/coordination/level/level_test.go
@@ -14,27 +14,27 @@
 // A level takes force once all have told it for a while, and ends at once.
 func TestALevelRisesSlowlyAndFallsAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := &Fleet{}
-	is.True(!f.Heard(0, []uint32{1, 0}))
-	is.True(!f.Heard(second, []uint32{1, 1}))
-	is.True(!f.Heard(3*second, []uint32{1, 1}))
-	is.True(f.Heard(4*second, []uint32{1, 1, 2}))
+	f := &Tracker{}
+	is.True(!f.Observe(0, []uint32{1, 0}))
+	is.True(!f.Observe(second, []uint32{1, 1}))
+	is.True(!f.Observe(3*second, []uint32{1, 1}))
+	is.True(f.Observe(4*second, []uint32{1, 1, 2}))
 	is.Equal(f.InForce(), uint32(1))
-	is.True(f.Heard(5*second, []uint32{1, 0}))
+	is.True(f.Observe(5*second, []uint32{1, 0}))
 	is.Equal(f.InForce(), uint32(0))
 }
 
 // One that is away for a moment and comes back older does not let it flap.
 func TestALevelDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	f := &Fleet{}
+	f := &Tracker{}
 	changes := 0
 	for now := time.Duration(0); now < 100*second; now += second {
 		all := []uint32{1, 1}
 		if now%(3*second) == 0 { // heard of in each third second
 			all = append(all, 0)
 		}
-		if f.Heard(now, all) {
+		if f.Observe(now, all) {
 			changes++
 		}
 	}
@@ -45,7 +45,7 @@
 // been for the whole time to settle.
 func TestTheLevelInForceIsTheLeast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &Fleet{}
+		f := &Tracker{}
 		now := time.Duration(0)
 		type heard struct {
 			at    time.Duration
@@ -57,7 +57,7 @@
 			all := rapid.SliceOfN(rapid.Uint32Range(0, 3), 1, 4).Draw(t, "levels")
 			history = append(history, heard{now, slices.Min(all)})
 			before := f.InForce()
-			f.Heard(now, all)
+			f.Observe(now, all)
 			if f.InForce() > slices.Min(all) {
 				t.Fatalf("%d is in force, %v are alive", f.InForce(), all)
 			}
@@ -65,7 +65,7 @@
 				continue
 			}
 			for _, h := range history {
-				if h.at > now-Settle && h.least < f.InForce() {
+				if h.at > now-SettleTime && h.least < f.InForce() {
 					t.Fatalf("%d took force at %v, at %v the least was %d", f.InForce(), now, h.at, h.least)
 				}
 			}
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -30,17 +30,17 @@
 
 // Member is one instance's entry.
 type Member struct {
-	Name             string
-	Hall             string
-	Incarnation      uint64 // rises with every start of its coord
-	Seq              uint64 // rises with every change the member makes itself
-	State            State
-	Leaving          bool
-	CoordLink        string // IP:port
-	EntryHTTP        string // IP:port, for callers
-	EntryLink        string // IP:port, for peers
-	EntryIncarnation uint64
-	Succeeds         []uint64 // entry incarnations whose ledgers its entry took over
+	Name                string
+	Hall                string
+	Incarnation         uint64 // rises with every start of its coord
+	Seq                 uint64 // rises with every change the member makes itself
+	State               State
+	Leaving             bool
+	CoordAddress        string // IP:port
+	EntryHTTPAddress    string // IP:port, for callers
+	EntryPeerAddress    string // IP:port, for peers
+	EntryIncarnation    uint64
+	AdoptedIncarnations []uint64 // entry incarnations whose ledgers its entry took over
 }
 
 type row struct {
@@ -142,7 +142,7 @@
 
 // Silent notes that a partner did not answer; it returns the new entry and
 // whether it became a suspect by this.
-func (v *View) Silent(now time.Duration, name string) (Member, bool) {
+func (v *View) MarkSuspect(now time.Duration, name string) (Member, bool) {
 	r, ok := v.rows[name]
 	if !ok || name == v.self || r.State != Alive {
 		return Member{}, false
@@ -159,12 +159,12 @@
 	var died []Member
 	for name, r := range v.rows {
 		switch {
-		case r.State == Suspect && now-r.since > v.opts.SuspectFor:
+		case r.State == Suspect && now-r.since > v.opts.SuspectTimeout:
 			next := &row{Member: r.Member, since: now}
 			next.State = Dead
 			v.set(next)
 			died = append(died, next.Member)
-		case r.State == Dead && now-r.since > v.opts.Forget:
+		case r.State == Dead && now-r.since > v.opts.ForgetAfter:
 			v.digest ^= r.hash()
 			delete(v.rows, name)
 		}
@@ -244,7 +244,7 @@
 
 // Partners returns the members this instance beats to: those at distances 1,
 // 2, 4, ... after it on the ring.
-func (v *View) Partners() []string {
+func (v *View) HeartbeatTargets() []string {
 	n, at := len(v.ring), 0
 	for i, s := range v.ring {
 		if s.name == v.self {
@@ -260,7 +260,7 @@
 
 // Lost returns one dead member by the random number r, to be tried again now
 // and then, so that a partition heals from either side.
-func (v *View) Lost(r uint64) (Member, bool) {
+func (v *View) RandomDead(r uint64) (Member, bool) {
 	var dead []Member
 	for _, m := range v.All() {
 		if m.State == Dead {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -39,9 +39,9 @@
 
 func TestSilentThenDeadThenBack(t *testing.T) {
 	is := is.New(t)
-	v := New(member("a", 1), SuspectFor(time.Second))
+	v := New(member("a", 1), SuspectTimeout(time.Second))
 	v.Merge(0, member("b", 1))
-	m, suspect := v.Silent(0, "b")
+	m, suspect := v.MarkSuspect(0, "b")
 	is.True(suspect)
 	is.Equal(len(v.Tick(500*time.Millisecond)), 0)
 	is.Equal(len(v.Tick(2*time.Second)), 1)
@@ -73,7 +73,7 @@
 			case 0:
 				exchange(now, a, b)
 			case 1:
-				a.Silent(now, b.Self().Name)
+				a.MarkSuspect(now, b.Self().Name)
 			case 2:
 				a.Tick(now)
 			case 3:
@@ -115,7 +115,7 @@
 		for _, m := range all {
 			v.Merge(0, m)
 		}
-		partners[self.Name] = v.Partners()
+		partners[self.Name] = v.HeartbeatTargets()
 		is.Equal(len(partners[self.Name]), 9) // ceil(log2(390))
 	}
 	reached, front := map[string]bool{"m000": true}, []string{"m000"}
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -4,15 +4,15 @@
 
 // Options are the times of a view.
 type Options struct {
-	SuspectFor time.Duration // how long a suspect may refute
-	Forget     time.Duration // how long the dead are kept, above the longest partition
+	SuspectTimeout time.Duration // how long a suspect may refute
+	ForgetAfter    time.Duration // how long the dead are kept, above the longest partition
 }
 
 // Option sets one of the Options.
 type Option func(*Options)
 
 func newOptions(opts []Option) Options {
-	o := Options{SuspectFor: 2 * time.Second, Forget: 2 * time.Hour}
+	o := Options{SuspectTimeout: 2 * time.Second, ForgetAfter: 2 * time.Hour}
 	for _, f := range opts {
 		f(&o)
 	}
@@ -20,4 +20,4 @@
 }
 
 // SuspectFor sets how long a suspect may refute.
-func SuspectFor(d time.Duration) Option { return func(o *Options) { o.SuspectFor = d } }
+func SuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -31,7 +31,7 @@
 	if len(able) == 0 {
 		able = slices.Clone(alive)
 	}
-	share := gossip.ByShare(able)
+	share := gossip.CPURank(able)
 	rank := func(i gossip.Instance) int {
 		r := 0
 		if i.Region != region {
@@ -49,15 +49,15 @@
 }
 
 // foreign puts the instances of other regions behind all of the cell's own.
-const foreign = 2 + gossip.ShareRanks
+const foreign = 2 + gossip.CPURankCount
 
 // Clear reports whether the view tells who owns a cell, or may: right after
 // all have started each knows some of the others only, and all would choose
 // differently, until the view is still.
-func Clear(alive []gossip.Instance, cell int, region string, still bool) bool {
+func CanDecide(alive []gossip.Instance, cell int, region string, still bool) bool {
 	return still || slices.ContainsFunc(alive, func(i gossip.Instance) bool {
 		return !i.Leaving && i.Region == region && (i.Settled() || owns(i, cell))
 	})
 }
 
-func owns(i gossip.Instance, cell int) bool { return slices.Contains(i.Owns, uint32(cell)) }
+func owns(i gossip.Instance, cell int) bool { return slices.Contains(i.OwnedCells, uint32(cell)) }
--- a/coordination/ownership/ownership_test.go
+++ b/coordination/ownership/ownership_test.go
@@ -22,9 +22,9 @@
 func TestWhoOwnsACellStaysItsOwner(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{
-		{Name: "a", Count: 100, Share: 400},
-		{Name: "b", Count: 100, Share: 400, Owns: []uint32{0}},
-		{Name: "c", Count: 100, Share: 800},
+		{Name: "a", HeartbeatCount: 100, CPUShare: 400},
+		{Name: "b", HeartbeatCount: 100, CPUShare: 400, OwnedCells: []uint32{0}},
+		{Name: "c", HeartbeatCount: 100, CPUShare: 800},
 	}
 	is.Equal(names(Rank(alive, 0, ""))[0], "b")
 	alive[1].Leaving = true
@@ -33,32 +33,32 @@
 
 func TestAnInstanceThatJustStartedOwnsNothingYet(t *testing.T) {
 	is := is.New(t)
-	alive := []gossip.Instance{{Name: "a", Count: 2}, {Name: "b", Count: 100}}
+	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 100}}
 	is.Equal(names(Rank(alive, 0, "")), []string{"b"})
-	alive[1].Count = 3
+	alive[1].HeartbeatCount = 3
 	is.Equal(len(Rank(alive, 0, "")), 2) // unless all have
 }
 
 // After a start of all, who took a cell first keeps it when others settle.
 func TestAnEarlyOwnerIsNotReplacedByWhoSettlesFirst(t *testing.T) {
 	is := is.New(t)
-	alive := []gossip.Instance{{Name: "a", Count: 7, Share: 400, Owns: []uint32{0}}, {Name: "b", Count: 8, Share: 800}}
+	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 7, CPUShare: 400, OwnedCells: []uint32{0}}, {Name: "b", HeartbeatCount: 8, CPUShare: 800}}
 	is.Equal(names(Rank(alive, 0, ""))[0], "a")
 	is.Equal(names(Rank(alive, 1, "")), []string{"b"}) // another cell is not its own
 }
 
 func TestAViewIsClearOnceSomebodyOwnsOrIsSettled(t *testing.T) {
 	is := is.New(t)
-	alive := []gossip.Instance{{Name: "a", Count: 2}, {Name: "b", Count: 3}}
-	is.True(!Clear(alive, 0, "", false))
-	is.True(Clear(alive, 0, "", true)) // nobody else is to be expected
-	alive[0].Owns = []uint32{0}
-	is.True(Clear(alive, 0, "", false))
-	is.True(!Clear(alive, 1, "", false))
-	alive[1].Count = 100
-	is.True(Clear(alive, 1, "", false))
+	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 3}}
+	is.True(!CanDecide(alive, 0, "", false))
+	is.True(CanDecide(alive, 0, "", true)) // nobody else is to be expected
+	alive[0].OwnedCells = []uint32{0}
+	is.True(CanDecide(alive, 0, "", false))
+	is.True(!CanDecide(alive, 1, "", false))
+	alive[1].HeartbeatCount = 100
+	is.True(CanDecide(alive, 1, "", false))
 	alive[1].Leaving = true
-	is.True(!Clear(alive, 1, "", false))
+	is.True(!CanDecide(alive, 1, "", false))
 }
 
 // A region's pools are owned where they are; when all instances there are gone
@@ -66,15 +66,15 @@
 func TestARegionsCellIsOwnedThereAndElsewhereWhileItHasNobody(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{
-		{Name: "a", Region: "n", Count: 100, Share: 400},
-		{Name: "b", Region: "s", Count: 100, Share: 800, Owns: []uint32{0}}, // since the north was lost
+		{Name: "a", Region: "n", HeartbeatCount: 100, CPUShare: 400},
+		{Name: "b", Region: "s", HeartbeatCount: 100, CPUShare: 800, OwnedCells: []uint32{0}}, // since the north was lost
 	}
 	is.Equal(names(Rank(alive, 0, "n")), []string{"a", "b"})
 	is.Equal(names(Rank(alive, 0, "w")), []string{"b", "a"}) // nobody there
-	alive[0].Count = 1
+	alive[0].HeartbeatCount = 1
 	is.Equal(names(Rank(alive, 0, "n")), []string{"b"}) // it has just come back
-	is.True(!Clear(alive, 1, "n", false))
-	alive[0].Leaving, alive[0].Count = true, 100
+	is.True(!CanDecide(alive, 1, "n", false))
+	alive[0].Leaving, alive[0].HeartbeatCount = true, 100
 	is.Equal(names(Rank(alive, 0, "n")), []string{"b"})
 }
 
@@ -86,14 +86,14 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
 			seen := rapid.Bool().Draw(t, "seen")
 			x := gossip.Instance{
-				Name:    strconv.Itoa(i),
-				Region:  rapid.SampledFrom([]string{"n", "s", "w", ""}).Draw(t, "region"),
-				Count:   rapid.SampledFrom([]uint64{1, 100}).Draw(t, "count"),
-				Leaving: rapid.Bool().Draw(t, "leaving"),
-				Share:   rapid.SampledFrom([]uint32{200, 800}).Draw(t, "share"),
+				Name:           strconv.Itoa(i),
+				Region:         rapid.SampledFrom([]string{"n", "s", "w", ""}).Draw(t, "region"),
+				HeartbeatCount: rapid.SampledFrom([]uint64{1, 100}).Draw(t, "count"),
+				Leaving:        rapid.Bool().Draw(t, "leaving"),
+				CPUShare:       rapid.SampledFrom([]uint32{200, 800}).Draw(t, "share"),
 			}
 			if rapid.Bool().Draw(t, "owns") {
-				x.Owns = []uint32{7}
+				x.OwnedCells = []uint32{7}
 			}
 			if seen || i == 0 {
 				alive = append(alive, x)
--- a/coordination/readers/readers.go
+++ b/coordination/readers/readers.go
@@ -48,12 +48,12 @@
 // once everyone would take its turn as soon as it has run for long enough.
 func ranked(hall []gossip.Instance) []gossip.Instance {
 	out := slices.Clone(hall)
-	share := gossip.ByShare(out)
+	share := gossip.CPURank(out)
 	rank := func(i gossip.Instance) int { // each reason goes before all that follow it
 		r := share(i)
-		for n, reason := range []bool{!i.Settled(), !i.Reads, i.Leaving, i.Blind} {
+		for n, reason := range []bool{!i.Settled(), !i.IsReader, i.Leaving, i.StoreUnreachable} {
 			if reason {
-				r += gossip.ShareRanks << n
+				r += gossip.CPURankCount << n
 			}
 		}
 		return r
--- a/coordination/readers/readers_test.go
+++ b/coordination/readers/readers_test.go
@@ -15,7 +15,7 @@
 	var out []gossip.Instance
 	for h := range halls {
 		for i := range each {
-			out = append(out, gossip.Instance{Name: fmt.Sprintf("hall-%d-%d", h, i), Hall: fmt.Sprintf("hall-%d", h), Count: 100, Share: 400})
+			out = append(out, gossip.Instance{Name: fmt.Sprintf("hall-%d-%d", h, i), Hall: fmt.Sprintf("hall-%d", h), HeartbeatCount: 100, CPUShare: 400})
 		}
 	}
 	return out
@@ -47,22 +47,22 @@
 	alive := fleet(1, 8)
 	before := chosen(alive)
 	for _, i := range before {
-		alive[i].Reads = true
+		alive[i].IsReader = true
 	}
-	alive = append(alive, gossip.Instance{Name: "hall-0-z", Hall: "hall-0", Count: 100, Share: 400})
+	alive = append(alive, gossip.Instance{Name: "hall-0-z", Hall: "hall-0", HeartbeatCount: 100, CPUShare: 400})
 	is.Equal(chosen(alive), before)
 }
 
 func TestABlindOrLeavingReaderHandsOver(t *testing.T) {
 	is := is.New(t)
 	for _, spoil := range []func(*gossip.Instance){
-		func(i *gossip.Instance) { i.Blind = true },
+		func(i *gossip.Instance) { i.StoreUnreachable = true },
 		func(i *gossip.Instance) { i.Leaving = true },
-		func(i *gossip.Instance) { i.Count, i.Reads = 2, false }, // it has just started again
+		func(i *gossip.Instance) { i.HeartbeatCount, i.IsReader = 2, false }, // it has just started again
 	} {
 		alive := fleet(4, 3)
 		first := chosen(alive)[0]
-		alive[first].Reads = true
+		alive[first].IsReader = true
 		spoil(&alive[first])
 		for _, i := range chosen(alive) {
 			is.True(i != first)
@@ -78,9 +78,9 @@
 	for young := range 3 {
 		alive := fleet(4, 3)
 		for i := range 3 { // those of the first hall
-			alive[i].Reads = i != (young+1)%3
+			alive[i].IsReader = i != (young+1)%3
 		}
-		alive[young].Count = 2
+		alive[young].HeartbeatCount = 2
 		for _, i := range chosen(alive) {
 			is.True(i != young)
 		}
@@ -94,14 +94,14 @@
 	alive := fleet(1, 9)
 	first := chosen(alive)
 	for i := range alive {
-		alive[i].Count = 2
+		alive[i].HeartbeatCount = 2
 	}
 	for _, i := range first {
-		alive[i].Reads = true
+		alive[i].IsReader = true
 	}
 	for self := range alive {
 		view := slices.Clone(alive)
-		view[self].Count = 100
+		view[self].HeartbeatCount = 100
 		is.Equal(chosen(view), first)
 	}
 }
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	alive := fleet(4, 3)
 	for i := range alive {
-		alive[i].Blind = true
+		alive[i].StoreUnreachable = true
 	}
 	is.Equal(len(chosen(alive)), 4)
 }
@@ -119,8 +119,8 @@
 	is := is.New(t)
 	alive := fleet(4, 10)
 	for h := range 4 {
-		alive[h*10+7].Share = 800
-		alive[h*10+7].Count = 50
+		alive[h*10+7].CPUShare = 800
+		alive[h*10+7].HeartbeatCount = 50
 	}
 	is.Equal(chosen(alive), []int{7, 17, 27, 37})
 }
--- a/protocol/convert/convert.go
+++ b/protocol/convert/convert.go
@@ -22,9 +22,9 @@
 func Member(m membership.Member) *pb.Member {
 	return &pb.Member{
 		Name: m.Name, Hall: m.Hall, Incarnation: m.Incarnation, Seq: m.Seq,
-		State: pb.Member_State(m.State), Leaving: m.Leaving, CoordLink: m.CoordLink,
-		EntryHttp: m.EntryHTTP, EntryLink: m.EntryLink,
-		EntryIncarnation: m.EntryIncarnation, Succeeds: m.Succeeds,
+		State: pb.Member_State(m.State), Leaving: m.Leaving, CoordLink: m.CoordAddress,
+		EntryHttp: m.EntryHTTPAddress, EntryLink: m.EntryPeerAddress,
+		EntryIncarnation: m.EntryIncarnation, Succeeds: m.AdoptedIncarnations,
 	}
 }
 
@@ -32,9 +32,9 @@
 func FromMember(m *pb.Member) membership.Member {
 	return membership.Member{
 		Name: m.GetName(), Hall: m.GetHall(), Incarnation: m.GetIncarnation(), Seq: m.GetSeq(),
-		State: membership.State(m.GetState()), Leaving: m.GetLeaving(), CoordLink: m.GetCoordLink(),
-		EntryHTTP: m.GetEntryHttp(), EntryLink: m.GetEntryLink(),
-		EntryIncarnation: m.GetEntryIncarnation(), Succeeds: m.GetSucceeds(),
+		State: membership.State(m.GetState()), Leaving: m.GetLeaving(), CoordAddress: m.GetCoordLink(),
+		EntryHTTPAddress: m.GetEntryHttp(), EntryPeerAddress: m.GetEntryLink(),
+		EntryIncarnation: m.GetEntryIncarnation(), AdoptedIncarnations: m.GetSucceeds(),
 	}
 }
 
