--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what an instance serves from: the configuration in
-// force and the replicas of its services, in the product's own terms.
+// Package catalog defines the data that an instance serves from: the configuration
+// in force and the replicas of its services, independent of any wire format.
 package catalog
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind is the execution semantics of a route's requests.
 type Kind int
 
 // The kinds of routes.
 const (
-	AtMostOnce Kind = iota // at most one run for each request
-	Repeatable             // may run more than once
-	Stream                 // answered by a series of events
+	AtMostOnce Kind = iota // a request runs at most once
+	Repeatable             // idempotent: a request may run more than once
+	Stream                 // the response is an event stream
 )
 
-// Configuration is one accepted configuration. It is never changed once made.
+// Configuration is one accepted configuration. It is immutable.
 type Configuration struct {
 	Version   uint64
 	Routes    []Route
 	Services  map[string]*Service
 	Limits    Limits
-	Customers map[string]*Customer // by key
-	hosts     map[string][]*Route  // longest prefix first
+	Customers map[string]*Customer // by API key
+	hosts     map[string][]*Route  // routes by host, longest prefix first
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds the size of client requests and the time to receive them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -37,41 +37,42 @@
 	IdleTimeout   time.Duration
 }
 
-// Customer is who a request is served for.
+// Customer is a tenant on whose behalf requests are served.
 type Customer struct {
 	Name           string
-	Priority       int      // 0 first
-	AllowedRegions []string // the only ones that may serve and keep its requests; none: all
+	Priority       int      // 0 is the highest
+	AllowedRegions []string // regions that may serve and store its requests; empty: all
 }
 
-// Route tells where the requests of one host and path go and how long they may take.
+// Route maps requests for one host and path prefix to services, with their time
+// limits and retry rules.
 type Route struct {
 	Name           string
 	Host           string
 	Prefix         string // begins and ends with a slash
 	Kind           Kind
-	Timeout        time.Duration // longest time to an answer; 0: none
-	Objective      time.Duration // within which an answer earns its whole worth
-	GapObjective   time.Duration // longest pause between events
-	Priority       int           // 0 first
+	Timeout        time.Duration // maximum time to the response; 0: none
+	Objective      time.Duration // latency objective: a response within it counts in full
+	GapObjective   time.Duration // objective for the longest pause between two events
+	Priority       int           // 0 is the highest
 	Targets        []Target
-	MaxAttempts    int // most replicas that one request may be sent to
+	MaxAttempts    int // maximum number of replicas that a request is sent to
 	Stages         []Stage
 	Anonymous      bool
 	Resumable      bool
-	AllowedRegions []string // the only ones that may serve and keep its requests; none: all
+	AllowedRegions []string // regions that may serve and store its requests; empty: all
 }
 
-// Target is a service that gets a share of a route's requests.
+// Target is a service that receives a weighted share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Stage is work at a pool before a request can run.
+// Stage is preparatory work that a pool performs before the request itself runs.
 type Stage struct {
 	Service     string
-	DependsOn   []int // the stages whose results it needs
+	DependsOn   []int // indexes of the stages whose results it needs
 	ResultBytes int64 // approximate size of one result
 }
 
@@ -79,39 +80,40 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections that one replica takes from all callers together
-	Engine     *Engine // nil unless it generates
+	MaxConns   int     // connections that one replica accepts, over all instances together
+	Engine     *Engine // nil unless it is a model engine
 	Pool       *Pool   // nil unless it runs stages
-	WarmUp     *WarmUp // nil unless its replicas carry little while they are cold
+	WarmUp     *WarmUp // nil unless its replicas have reduced capacity after a start
 }
 
-// WarmUp tells what a cold replica of a service carries.
+// WarmUp describes the reduced capacity of a replica that has just started.
 type WarmUp struct {
-	Duration          time.Duration // that a replica stays cold
-	RequestsPerSecond float64       // requests that it carries meanwhile; it collapses well above
+	Duration          time.Duration // time from the start of a replica to its full capacity
+	RequestsPerSecond float64       // capacity until then; a rate well above it makes the replica collapse
 }
 
-// Engine tells what one replica of a generating service holds.
+// Engine describes the capacity of one replica of a model engine.
 type Engine struct {
 	Slots         int
 	MemoryTokens  int64
-	BytesPerToken int64   // of memory that a token of a prompt takes
-	LinkMbps      float64 // over which engines move it; 0: not stated
+	BytesPerToken int64   // memory of one prompt token
+	LinkMbps      float64 // bandwidth for transfers of prompt memory between engines; 0: unknown
 }
 
-// Pool tells what one replica of a stage service does.
+// Pool describes the capacity of one replica of a stage service.
 type Pool struct {
-	Slots        int           // calls at work at once
-	QueueLimit   int           // calls that may wait
-	MaxBatch     int           // most pieces in a call
-	BatchTime    time.Duration // of a call, whatever it holds
-	ItemTime     time.Duration // of each piece, about
-	ResultMemory int64         // bytes for results
-	ResultTTL    time.Duration // how long a result is kept
+	Slots        int           // batches that run concurrently
+	QueueLimit   int           // batches that may be queued
+	MaxBatch     int           // maximum number of items in a batch
+	BatchTime    time.Duration // fixed time of a batch, whatever its size
+	ItemTime     time.Duration // approximate additional time of each item
+	ResultMemory int64         // bytes available for results
+	ResultTTL    time.Duration // time that a result is kept
 	LinkMbps     float64
 }
 
-// Index prepares Match; call it once, before the configuration is shared.
+// Index builds the lookup table of Match. It must be called once, before the
+// configuration is shared.
 func (c *Configuration) Index() {
 	c.hosts = make(map[string][]*Route)
 	for i := range c.Routes {
@@ -123,7 +125,7 @@
 	}
 }
 
-// Match returns the route of a request, or nil.
+// Match returns the route of a request, or nil when there is none.
 func (c *Configuration) Match(host, path string) *Route {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// Regions returns the regions that may serve some route of a host; nil where
-// one of its routes, or a host that is not known, may be served anywhere.
+// AllowedRegions returns the regions that may serve at least one route of a host.
+// It returns nil when a route of the host has no restriction or the host is unknown.
 func (c *Configuration) AllowedRegions(host string) []string {
 	var out []string
 	for _, r := range c.hosts[host] {
@@ -146,7 +148,7 @@
 	return out
 }
 
-// Pick returns the service for a request by the random number n.
+// PickService selects a service by weight, using the random number n.
 func (r *Route) PickService(n uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -155,65 +157,67 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	at := int(n % uint64(total))
+	offset := int(n % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return r.Targets[0].Service
 }
 
-// Sinks returns the stages whose results the request itself reads.
+// Sinks returns the stages that no other stage depends on; the request itself
+// reads their results.
 func (r *Route) Sinks() []int {
-	read := make(map[int]bool)
+	consumed := make(map[int]bool)
 	for _, s := range r.Stages {
 		for _, a := range s.DependsOn {
-			read[a] = true
+			consumed[a] = true
 		}
 	}
 	var out []int
 	for i := range r.Stages {
-		if !read[i] {
+		if !consumed[i] {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// Replica is one life of a replica of a service. A replica may start again
-// under the name that it had; it then holds and knows nothing of before. So all
-// that is believed of a replica is kept under its life's ID, and goes with it.
+// Replica is one incarnation of a replica of a service. A replica that restarts
+// under the same name has lost all its state, so everything recorded about a
+// replica is keyed by the incarnation's ID and discarded with it.
 type Replica struct {
-	ID          string // of this life: LifeID
-	Name        string // under which the replica stands in the store and answers
-	StartMillis int64  // Unix millisecond of its start; 0: it does not say
+	ID          string // of this incarnation, see IncarnationID
+	Name        string // key in the store and name in the replica's responses
+	StartMillis int64  // start time in Unix milliseconds; 0: not reported
 	Service     string
 	Hall        string
 	Address     string // IP:port
 	Slots       int
-	Version     string // of its software; "" where it tells none
+	Version     string // software version; "": not reported
 	Draining    bool
-	WarmupLeft  time.Duration // how much longer it is slow, when it was last told
+	WarmupLeft  time.Duration // remaining warm-up time when it was last reported
 
-	// What the process knows besides.
-	Region        string        // of its hall; "" where nobody can place the hall
-	HallDrained   bool          // its hall is being emptied: it gets nothing new
-	HeldByRollout bool          // a roll-out gives it nothing
-	WarmingUntil  time.Duration // by the process's clock; until then it carries little
+	// Set by the instance, not part of the store's entry.
+	Region        string        // region of its hall; "": the hall is in no configured region
+	HallDrained   bool          // its hall is being drained: it receives no new work
+	HeldByRollout bool          // a rollout sends it no requests
+	WarmingUntil  time.Duration // on the instance's monotonic clock; capacity is reduced until then
 }
 
-// LifeID names one life of a replica: that of its name which began at a Unix
-// millisecond, 0 where that is not said.
-func IncarnationID(name string, born int64) string {
-	if born == 0 {
+// IncarnationID returns the ID of the incarnation of a replica that started at
+// startMillis (Unix milliseconds; 0: start time not reported).
+func IncarnationID(name string, startMillis int64) string {
+	if startMillis == 0 {
 		return name
 	}
-	return name + "@" + strconv.FormatInt(born, 10)
+	return name + "@" + strconv.FormatInt(startMillis, 10)
 }
 
-// NameOf is the name in what may be a life's ID; names may hold the sign too.
+// ReplicaName returns the replica's name from an incarnation ID or a plain name.
+// Names may contain '@' too, so only the last one separates the start time.
 func ReplicaName(id string) string {
 	if at := strings.LastIndexByte(id, '@'); at >= 0 {
 		return id[:at]
@@ -221,10 +225,10 @@
 	return id
 }
 
-// Takes reports whether the replica may get new work.
+// AcceptsWork reports whether the replica may receive new work.
 func (r *Replica) AcceptsWork() bool { return !r.Draining && !r.HallDrained && !r.HeldByRollout }
 
-// Part is a piece of a prompt that requests may share.
+// PromptPart is a section of a prompt that several requests may have in common.
 type PromptPart struct {
 	ID     string
 	Tokens int
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds the types of the declared configuration: what operators
-// state in TOML under version control and what every process has in force.
+// Package fleet defines the declared configuration: operators write it in TOML
+// under version control, and every process has one declaration in force.
 package fleet
 
 import (
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// Class orders requests: a lower class is served first.
+// Class is a priority class; lower values are served first.
 type Class int
 
-// The priority classes a pipeline, customer or request may name.
+// The priority classes of pipelines, customers and requests.
 const (
 	Urgent Class = iota
 	Normal
 	Batch
 )
 
-// Classes maps the declared names to classes.
+// Classes maps the names used in declarations to classes.
 var Classes = map[string]Class{"urgent": Urgent, "normal": Normal, "batch": Batch}
 
-// Kind tells what a service's replicas are.
+// Kind is the type of an upstream service.
 type Kind string
 
-// The kinds of upstream service.
+// The kinds of upstream services.
 const (
-	Engine Kind = "engine" // a model engine: batches, streams tokens, takes orders
+	Engine Kind = "engine" // model engine: batches requests, streams tokens, accepts orders to load a model
 	Pool   Kind = "pool"   // encoders, retrievers, rerankers
 	Plain  Kind = "plain"  // any other service
 )
 
-// Fleet is one whole declaration.
+// Fleet is a complete declaration.
 type Fleet struct {
 	Name              string     `toml:"name"`
 	Region            string     `toml:"region"`
 	Halls             []string   `toml:"halls"`
-	AttainmentWeight  float64    `toml:"attainment_weight"`                              // 0..1; the rest weighs cost by stage
-	AddressTTLSeconds int        `toml:"address_lifetime_seconds" json:"AddressSeconds"` // how long callers may keep an address answer
-	Policy            string     `toml:"policy"`                                         // replica choice: see package scheduler
-	ShedSlackFactor   float64    `toml:"shed" json:"Shed"`                               // drop a queued request once its slack is under this many expected stage times
+	AttainmentWeight  float64    `toml:"attainment_weight"`                              // 0 to 1; the remainder is the weight of cost by stage
+	AddressTTLSeconds int        `toml:"address_lifetime_seconds" json:"AddressSeconds"` // time that clients may cache an address response
+	Policy            string     `toml:"policy"`                                         // replica selection, see package scheduler
+	ShedSlackFactor   float64    `toml:"shed" json:"Shed"`                               // a queued request is shed once its slack is below this multiple of the expected stage time
 	Services          []Service  `toml:"service"`
 	Pipelines         []Pipeline `toml:"pipeline"`
 	Customers         []Customer `toml:"customer"`
 }
 
-// Service is an upstream: a set of replicas with the same job.
+// Service is an upstream: a set of interchangeable replicas.
 type Service struct {
 	Name  string  `toml:"name"`
 	Kind  Kind    `toml:"kind"`
-	Slots int     `toml:"slots"` // requests a replica runs at once
-	Cost  float64 `toml:"cost"`  // units per second of one slot
-	Model string  `toml:"model"` // engines: NAME@VERSION that the replicas are ordered to serve; empty: as they are
+	Slots int     `toml:"slots"` // concurrent requests of one replica
+	Cost  float64 `toml:"cost"`  // cost units per second of one slot
+	Model string  `toml:"model"` // engines: NAME@VERSION that the replicas are ordered to load; empty: no order
 }
 
-// Pipeline is a chain of stages under one deadline.
+// Pipeline is a sequence of stages under one deadline.
 type Pipeline struct {
 	Name       string  `toml:"name"`
-	DeadlineMS int     `toml:"deadline_ms"` // for the whole request, unless the caller states a shorter one
+	DeadlineMS int     `toml:"deadline_ms"` // of the whole request; a client may set a shorter one
 	Priority   string  `toml:"priority"`
-	Rate       float64 `toml:"rate"`       // requests a second at the peak, for the planner; 0: not stated
-	Repeatable bool    `toml:"repeatable"` // false: has a stage that runs at most once, and wants tickets
+	Rate       float64 `toml:"rate"`       // peak requests per second, for capacity planning; 0: unknown
+	Repeatable bool    `toml:"repeatable"` // false: has a stage that runs at most once, so requests need tickets
 	Stages     []Stage `toml:"stage"`
 }
 
@@ -68,21 +68,21 @@
 	Name       string `toml:"name"`
 	Service    string `toml:"service"`
 	Operation  string `toml:"operation"`
-	ExpectedMS int    `toml:"expect_ms" json:"ExpectMS"` // first guess of its time, until it is measured
-	AtMostOnce bool   `toml:"once" json:"Once"`          // has an effect that must not happen twice: never sent again
+	ExpectedMS int    `toml:"expect_ms" json:"ExpectMS"` // initial estimate of its duration, until measurements replace it
+	AtMostOnce bool   `toml:"once" json:"Once"`          // has side effects that must not happen twice: never retried
 }
 
-// Customer is who a request is served and limited for.
+// Customer is a tenant, with its share and rate limit.
 type Customer struct {
 	Name      string  `toml:"name"`
-	KeySHA256 string  `toml:"key_sha256"` // hex digest of the customer's key; the key itself is never stored
-	Weight    int     `toml:"weight"`     // share when customers compete
-	Priority  string  `toml:"priority"`   // the best class this customer may ask for
-	Rate      float64 `toml:"rate"`       // requests a second over the whole fleet; 0 means no limit
-	Burst     float64 `toml:"burst"`      // requests at once over the whole fleet
+	KeySHA256 string  `toml:"key_sha256"` // hex digest of the API key; the key itself is never stored
+	Weight    int     `toml:"weight"`     // weight in the fair sharing between customers
+	Priority  string  `toml:"priority"`   // highest class that this customer may request
+	Rate      float64 `toml:"rate"`       // requests per second over the whole fleet; 0: unlimited
+	Burst     float64 `toml:"burst"`      // burst size over the whole fleet
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (f *Fleet) Service(name string) (*Service, bool) {
 	for i := range f.Services {
 		if f.Services[i].Name == name {
@@ -92,7 +92,7 @@
 	return nil, false
 }
 
-// Pipeline returns the pipeline of that name.
+// Pipeline returns the pipeline with the given name.
 func (f *Fleet) Pipeline(name string) (*Pipeline, bool) {
 	for i := range f.Pipelines {
 		if f.Pipelines[i].Name == name {
@@ -102,7 +102,7 @@
 	return nil, false
 }
 
-// Customer returns the customer of that name.
+// Customer returns the customer with the given name.
 func (f *Fleet) Customer(name string) (*Customer, bool) {
 	for i := range f.Customers {
 		if f.Customers[i].Name == name {
@@ -117,12 +117,12 @@
 	return time.Duration(p.DeadlineMS) * time.Millisecond
 }
 
-// Expect returns the declared first guess of the stage's time.
+// ExpectedTime returns the declared initial estimate of the stage's duration.
 func (s *Stage) ExpectedTime() time.Duration {
 	return time.Duration(s.ExpectedMS) * time.Millisecond
 }
 
-// HasOnce reports whether a stage of the pipeline must not run twice.
+// HasAtMostOnceStage reports whether a stage of the pipeline must not run twice.
 func (p *Pipeline) HasAtMostOnceStage() bool {
 	return slices.ContainsFunc(p.Stages, func(s Stage) bool { return s.AtMostOnce })
 }
--- a/state/table/table.go
+++ b/state/table/table.go
@@ -1,42 +1,42 @@
-// Package table holds the shared tables of a process and states the order in
-// which their locks may be taken.
+// Package table provides maps that are safe for concurrent use and defines the
+// lock order of all shared tables of a process.
 //
-// A goroutine that needs two tables takes the lower Rank first and never calls
-// out (network, channel, log sink that blocks) while it holds either.
+// A goroutine that needs two tables locks the one with the lower Rank first. It
+// must not block (network, channel, log sink) while it holds either lock.
 package table
 
 import "sync"
 
-// Rank is a lock's place in the order; lower ranks are taken first.
+// Rank is a position in the lock order; lower ranks are locked first.
 type Rank int
 
-// The ranks of every shared table, in lock order. docs/ARCHITECTURE.md repeats them.
+// The ranks of all shared tables, in lock order. docs/ARCHITECTURE.md lists them too.
 const (
 	RankConfig    Rank = iota + 1 // the configuration in force
 	RankMembers                   // instances
-	RankReplicas                  // upstreams' replicas
+	RankReplicas                  // replicas of upstreams
 	RankLimits                    // customers' rate limits
 	RankLedger                    // at-most-once records
 	RankScheduler                 // slots and queues of one service
-	RankSessions                  // open links and permit streams
+	RankSessions                  // open connections and permit streams
 )
 
-// Table is a map guarded by one lock; the zero value is not usable, see New.
+// Table is a map guarded by one lock. Use New to create one.
 type Table[K comparable, V any] struct {
 	rank Rank
 	mu   sync.RWMutex
 	rows map[K]V
 }
 
-// New returns an empty table with the given place in the lock order.
+// New returns an empty table with the given rank.
 func New[K comparable, V any](rank Rank) *Table[K, V] {
 	return &Table[K, V]{rank: rank, rows: make(map[K]V)}
 }
 
-// Rank returns the table's place in the lock order.
+// Rank returns the table's position in the lock order.
 func (t *Table[K, V]) Rank() Rank { return t.rank }
 
-// Get returns the row of k.
+// Get returns the row of key k.
 func (t *Table[K, V]) Get(k K) (V, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -44,21 +44,21 @@
 	return v, ok
 }
 
-// Put sets the row of k.
+// Put sets the row of key k.
 func (t *Table[K, V]) Put(k K, v V) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows[k] = v
 }
 
-// Delete drops the row of k.
+// Delete removes the row of key k.
 func (t *Table[K, V]) Delete(k K) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.rows, k)
 }
 
-// Take returns the row of k and drops it.
+// GetAndDelete returns the row of key k and removes it.
 func (t *Table[K, V]) GetAndDelete(k K) (V, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,8 +67,8 @@
 	return v, ok
 }
 
-// GetOrPut returns the row of k, which it makes with fresh when there is none.
-func (t *Table[K, V]) GetOrPut(k K, fresh func() V) V {
+// GetOrPut returns the row of key k and creates it first if it is missing.
+func (t *Table[K, V]) GetOrPut(k K, create func() V) V {
 	if v, ok := t.Get(k); ok {
 		return v
 	}
@@ -77,12 +77,12 @@
 	if v, ok := t.rows[k]; ok {
 		return v
 	}
-	v := fresh()
+	v := create()
 	t.rows[k] = v
 	return v
 }
 
-// Replace exchanges all rows at once, so that readers never see half a change.
+// Replace sets all rows atomically.
 func (t *Table[K, V]) Replace(rows map[K]V) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +96,7 @@
 	return len(t.rows)
 }
 
-// Rows returns a copy of all rows, in no order.
+// Rows returns a copy of all rows.
 func (t *Table[K, V]) Rows() map[K]V {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
