--- a/coordination/gossip/broadcast_test.go
+++ b/coordination/gossip/broadcast_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// A word that is carried by each heartbeat, such as that a version is bad, is
-// heard everywhere in a second, also when one message of five is lost: who hears
-// it first tells it at once. (Without that, 296 to 300 of 300 hear it in a second.)
+// An update carried by every heartbeat, such as a verdict that a version is bad,
+// reaches every instance within a second even if 20% of messages are lost, because a
+// receiver forwards it at once when it first arrives. (Without that, it reaches 296
+// to 300 of 300 instances within a second.)
 func TestAWordIsHeardEverywhereInASecond(t *testing.T) {
 	for _, n := range []int{78, 300} {
 		for seed := range uint64(5) {
@@ -24,29 +25,29 @@
 				}
 			}
 			f.run(time.Second)
-			heard := map[string]bool{"i000": true, "i001": true, "i002": true} // those that judge
+			informed := map[string]bool{"i000": true, "i001": true, "i002": true} // the instances that decide the verdict
 			for range int(time.Second / round) {
-				f.spread(heard)
+				f.broadcast(informed)
 			}
-			if len(heard) < n {
-				t.Errorf("%d instances, seed %d: %d have heard it", n, seed, len(heard))
+			if len(informed) < n {
+				t.Errorf("%d instances, seed %d: %d have received it", n, seed, len(informed))
 			}
 		}
 	}
 }
 
-// spread lets who has heard a word tell it in one round, and who hears it then
-// tell it at once.
-func (f *fleet) spread(heard map[string]bool) {
+// broadcast runs one round in which informed instances send the update and each new
+// receiver forwards it at once.
+func (f *fleet) broadcast(informed map[string]bool) {
 	f.now += round
-	telling := slices.Sorted(maps.Keys(heard))
-	for len(telling) > 0 {
-		to, _ := f.views[telling[0]].Round(f.now, f.random)
-		telling = telling[1:]
+	senders := slices.Sorted(maps.Keys(informed))
+	for len(senders) > 0 {
+		to, _ := f.views[senders[0]].Round(f.now, f.random)
+		senders = senders[1:]
 		for _, peer := range to {
-			if f.random.IntN(5) > 0 && !heard[peer] {
-				heard[peer] = true
-				telling = append(telling, peer)
+			if f.random.IntN(5) > 0 && !informed[peer] {
+				informed[peer] = true
+				senders = append(senders, peer)
 			}
 		}
 	}
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -1,11 +1,12 @@
-// Package gossip keeps an instance's view of all instances by heartbeat
-// counters (van Renesse, Minsky and Hayden, 1998): each instance raises its own
-// counter, tells some others the counters it knows, and takes one for dead
-// whose counter has not risen for a while. News crosses the fleet in log(n)
-// rounds at a constant cost for each instance.
+// Package gossip maintains an instance's view of all instances with a gossip-style
+// failure detector (van Renesse, Minsky and Hayden, 1998): each instance increments
+// its own heartbeat counter, sends the counters it has recorded to some peers, and
+// considers an instance dead when its counter has not increased within a timeout.
+// Updates reach the whole fleet in O(log n) rounds at a constant cost per instance.
 //
-// The view steers where clients go and who owns which pool; no promise rests
-// on it. It is pure: events and time in, messages out.
+// The view determines which addresses clients get and which instance owns which
+// pool. No guarantee depends on it. The package does no I/O and reads no clock:
+// callers pass in events and the time, and send the messages that it builds.
 package gossip
 
 import (
@@ -18,132 +19,134 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Instance is what one instance tells of itself.
+// Instance is the entry that an instance announces about itself.
 type Instance struct {
 	Name             string
 	Hall             string
-	Region           string   // of the hall; "" where it is not known
-	Incarnation      uint64   // rises with every start
-	HeartbeatCount   uint64   `json:"Count"` // heartbeats of this incarnation
-	Leaving          bool     // a planned stop began
+	Region           string   // region of the hall; "": unknown
+	Incarnation      uint64   // increases with every start
+	HeartbeatCount   uint64   `json:"Count"` // heartbeats sent in this incarnation
+	Leaving          bool     // a planned shutdown has begun
 	ClientAddress    string   `json:"Front"`      // IP:port for clients
-	PeerAddress      string   `json:"Link"`       // IP:port for links of peers
+	PeerAddress      string   `json:"Link"`       // IP:port for connections from peers
 	HeartbeatAddress string   `json:"Datagram"`   // IP:port for heartbeats
-	ConfigVersion    uint64   `json:"Configured"` // version of the configuration in force there
-	OwnedCells       []uint32 `json:"Owns"`       // cells whose pools it owns
-	CPUShare         uint32   `json:"Share"`      // of a processor, in thousandths
-	IsReader         bool     `json:"Reads"`      // it follows the store for others
-	StoreUnreachable bool     `json:"Blind"`      // it did not reach the store when it last tried
-	Level            uint32   // of its build, that others must know to be understood; 0: it tells none
-
-	HeartbeatAge time.Duration `json:"Age"` // in a message: since its counter rose, as far as the sender knows
+	ConfigVersion    uint64   `json:"Configured"` // version of the configuration in force
+	OwnedCells       []uint32 `json:"Owns"`       // cells that the instance owns
+	CPUShare         uint32   `json:"Share"`      // share of a processor, in thousandths
+	IsReader         bool     `json:"Reads"`      // watches the store on behalf of its hall
+	StoreUnreachable bool     `json:"Blind"`      // its last attempt to reach the store failed
+	Level            uint32   // feature level of its build, see package level; 0: not announced
+
+	HeartbeatAge time.Duration `json:"Age"` // in messages: time since the counter last increased, as seen by the sender
 }
 
 const (
-	settledBeats = 8 // heartbeats after which others may rely on an instance
-	shareSteps   = 4 // in which processors' shares are told apart
+	settledHeartbeats = 8 // heartbeats after which an instance counts as settled
+	cpuShareSteps     = 4 // granularity of the ranking by CPU share
 )
 
-// ShareRanks is the number of ranks that ByShare tells apart.
-const CPURankCount = shareSteps + 1
+// CPURankCount is the number of distinct ranks that CPURank returns.
+const CPURankCount = cpuShareSteps + 1
 
-// Settled reports whether an instance runs for long enough to be relied on.
-func (i *Instance) Settled() bool { return i.HeartbeatCount >= settledBeats }
+// Settled reports whether the instance has run long enough to be relied on.
+func (i *Instance) Settled() bool { return i.HeartbeatCount >= settledHeartbeats }
 
-// ByShare returns the rank of each instance by its share of a processor: 0 for
-// those with about the most of all given.
+// CPURank returns a function that ranks instances by their CPU share: rank 0 has
+// about the largest share of the given instances.
 func CPURank(all []Instance) func(Instance) int {
-	most := uint32(1)
+	largest := uint32(1)
 	for _, i := range all {
-		most = max(most, i.CPUShare)
+		largest = max(largest, i.CPUShare)
 	}
-	return func(i Instance) int { return shareSteps - int(i.CPUShare*shareSteps/most) }
+	return func(i Instance) int { return cpuShareSteps - int(i.CPUShare*cpuShareSteps/largest) }
 }
 
-// View is not safe for concurrent use.
+// View is one instance's view of the fleet. It is not safe for concurrent use.
 type View struct {
-	opts  Options
-	self  Instance
-	rows  map[string]*row
-	order []*row // the same, by name: sorted when one comes or goes, as a view is asked several times for each request
-	byKey map[uint32]*row
-	turn  int           // whose turn it is to be told in full
-	seeds time.Duration // when the seeds were last told
-	fresh time.Duration // when an incarnation was last heard of for the first time
+	opts             Options
+	self             Instance
+	rows             map[string]*row
+	sorted           []*row // all rows by name, kept sorted on insertion because a view is queried several times per request
+	byKey            map[uint32]*row
+	cursor           int           // round-robin position of the next entry to announce in full
+	seedsContactedAt time.Duration // last time the seeds were contacted
+	newIncarnationAt time.Duration // last time a new incarnation was discovered
 }
 
 type row struct {
 	Instance
-	heard time.Duration // when the counter last rose
-	told  int           // how often it was told in full since it changed
-	key   uint32
+	lastHeartbeat time.Duration // when the counter last increased
+	announcements int           // full announcements since the entry changed
+	key           uint32
 }
 
-// Options are the view's constants.
+// Options are the parameters of a view.
 type Options struct {
-	FailureTimeout      time.Duration // after which an instance is taken for dead, in a small fleet
-	TimeoutPerInstance  time.Duration // longer for each instance beyond Small: news of it comes rarer
+	FailureTimeout      time.Duration // time without a heartbeat after which an instance is considered dead, in a small fleet
+	TimeoutPerInstance  time.Duration // added for each instance beyond SmallFleetSize, as each counter then arrives less often
 	SmallFleetSize      int
-	ForgetAfter         time.Duration // after which a dead one is forgotten
-	Fanout              int           // instances told in a round
-	CrossRegionMessages float64       // messages that all instances of a region send to others in a round, about
-	RemoteTimeoutExtra  time.Duration // longer than Silent and Each say, for instances of other regions
-	FullEntries         int           // entries told in full in a message, beside the sender's own
-	MaxHeartbeats       int           // counters in a message
-	SeedInterval        time.Duration // between messages to the seeds
-	SettleTime          time.Duration // without a new incarnation, after which the view is taken for whole
+	ForgetAfter         time.Duration // time without a heartbeat after which an entry is removed
+	Fanout              int           // messages per round
+	CrossRegionMessages float64       // approximate number of messages per round from all instances of a region to other regions
+	RemoteTimeoutExtra  time.Duration // added to the timeout for instances of other regions
+	FullEntries         int           // maximum number of full entries in a message, without the sender's own
+	MaxHeartbeats       int           // maximum number of counters in a message
+	SeedInterval        time.Duration // time between messages to the seeds
+	SettleTime          time.Duration // time without a new incarnation after which the view is considered complete
 }
 
-// Standard returns the constants for heartbeats sent each 200 ms.
+// DefaultOptions returns the options for a round every 200 ms.
 func DefaultOptions() Options {
 	return Options{FailureTimeout: 1100 * time.Millisecond, TimeoutPerInstance: 15 * time.Millisecond, SmallFleetSize: 30, ForgetAfter: 5 * time.Minute, Fanout: 4, FullEntries: 10, MaxHeartbeats: 64, SeedInterval: 2 * time.Second,
 		SettleTime: 60 * time.Millisecond, CrossRegionMessages: 3, RemoteTimeoutExtra: time.Second}
 }
 
-// turns is among how many the instances' first turns are spread: if all told
-// the same entry in the same round, some would miss it for a whole cycle.
-const turns = 1024
+// cursorSpread is the range over which the instances' initial cursors are spread.
+// If all instances announced the same entry in the same round, those that no
+// message reached in that round would miss the entry for a whole cycle.
+const cursorSpread = 1024
 
-// New returns a view that knows only self.
+// New returns a view that contains only self.
 func New(self Instance, opts Options) *View {
-	return &View{opts: opts, self: self, rows: make(map[string]*row), byKey: make(map[uint32]*row), turn: int(self.Key() % turns)}
+	return &View{opts: opts, self: self, rows: make(map[string]*row), byKey: make(map[uint32]*row), cursor: int(self.Key() % cursorSpread)}
 }
 
 // Self returns the instance's own entry.
 func (v *View) Self() Instance { return v.self }
 
-// SetLeaving notes the begin of a planned stop.
+// SetLeaving records that a planned shutdown has begun.
 func (v *View) SetLeaving() { v.self.Leaving = true }
 
-// SetConfigured notes the version of the configuration in force, which never
-// falls: of two that come into force at once, the older may be told last.
+// SetConfigVersion records the version of the configuration in force. The version
+// never decreases: when two configurations take effect in quick succession, the
+// older one may be reported last.
 func (v *View) SetConfigVersion(version uint64) {
 	v.self.ConfigVersion = max(v.self.ConfigVersion, version)
 }
 
-// SetReads notes whether this instance follows the store for others.
-func (v *View) SetReader(reads bool) { v.self.IsReader = reads }
+// SetReader records whether this instance watches the store on behalf of its hall.
+func (v *View) SetReader(isReader bool) { v.self.IsReader = isReader }
 
-// SetBlind notes whether this instance reached the store when it last tried.
-func (v *View) SetStoreUnreachable(blind bool) { v.self.StoreUnreachable = blind }
+// SetStoreUnreachable records whether the last attempt to reach the store failed.
+func (v *View) SetStoreUnreachable(unreachable bool) { v.self.StoreUnreachable = unreachable }
 
-// SetOwns notes the cells that this instance owns.
+// SetOwnedCells records the cells that this instance owns.
 func (v *View) SetOwnedCells(cells []uint32) { v.self.OwnedCells = cells }
 
-// Merge takes in what somebody tells of an instance, and reports whether it is
-// the first word of that incarnation.
+// Merge applies an announced entry and reports whether it is the first one of that
+// incarnation.
 func (v *View) Merge(now time.Duration, i Instance) bool {
 	if i.Name == v.self.Name {
-		v.outlive(&i)
+		v.supersedeOwnIncarnation(&i)
 		return false
 	}
-	heard := now - i.HeartbeatAge
+	heartbeat := now - i.HeartbeatAge
 	i.HeartbeatAge = 0
 	r := v.rows[i.Name]
 	if r == nil {
-		r = &row{Instance: i, heard: heard, key: i.Key()}
+		r = &row{Instance: i, lastHeartbeat: heartbeat, key: i.Key()}
 		v.insert(r)
-		v.fresh = now
+		v.newIncarnationAt = now
 		return true
 	}
 	if i.Incarnation < r.Incarnation || (i.Incarnation == r.Incarnation && i.HeartbeatCount <= r.HeartbeatCount) {
@@ -151,35 +154,38 @@
 	}
 	isNew := i.Incarnation > r.Incarnation
 	if isNew {
-		v.fresh = now
+		v.newIncarnationAt = now
 	}
 	if i.Incarnation == r.Incarnation {
 		i.Leaving = i.Leaving || r.Leaving
-		i.Level = max(i.Level, r.Level) // older builds don't pass it on
+		i.Level = max(i.Level, r.Level) // older builds don't forward it
 	}
-	if !r.sameInfo(&i) {
-		r.told = 0
+	if !r.sameAnnouncedState(&i) {
+		r.announcements = 0
 	}
 	delete(v.byKey, r.key)
-	r.Instance, r.heard, r.key = i, max(r.heard, heard), i.Key()
+	r.Instance, r.lastHeartbeat, r.key = i, max(r.lastHeartbeat, heartbeat), i.Key()
 	v.byKey[r.key] = r
 	return isNew
 }
 
-// outlive takes in what others know of an earlier life under the own name. An
-// incarnation is a time of day, which goes back now and then: one that is not
-// higher than the last one's would not be heard of until the clock has caught up,
-// so this life takes the next one (as SWIM's members refute what is told of them).
-func (v *View) outlive(i *Instance) {
-	later := i.Incarnation > v.self.Incarnation || i.Incarnation == v.self.Incarnation && i.HeartbeatCount > v.self.HeartbeatCount
-	if later && i.Incarnation < math.MaxUint64 {
+// supersedeOwnIncarnation handles an entry under this instance's own name.
+// Incarnations are taken from the wall clock, which may go back. Peers would ignore
+// an incarnation that is not above the previous one until the clock has caught up,
+// so this instance moves to the next higher incarnation, as a SWIM member refutes
+// a suspicion.
+func (v *View) supersedeOwnIncarnation(i *Instance) {
+	newer := i.Incarnation > v.self.Incarnation || i.Incarnation == v.self.Incarnation && i.HeartbeatCount > v.self.HeartbeatCount
+	if newer && i.Incarnation < math.MaxUint64 {
 		v.self.Incarnation = i.Incarnation + 1
 	}
 }
 
-// Outlived returns what is known of the last life of an instance that tells of
-// itself as of an earlier one: it must hear of that to be heard of itself.
-func (v *View) NewerEntry(i *Instance) (last Instance, ok bool) {
+// NewerEntry returns the recorded entry of an instance if it is newer than the one
+// that the instance announces itself, which happens when the instance restarted
+// after its clock went back. The instance must receive the recorded entry to move
+// beyond it; until then its own announcements are ignored.
+func (v *View) NewerEntry(i *Instance) (known Instance, ok bool) {
 	r := v.rows[i.Name]
 	if r == nil || i.Incarnation > r.Incarnation || i.Incarnation == r.Incarnation && i.HeartbeatCount >= r.HeartbeatCount {
 		return Instance{}, false
@@ -189,60 +195,61 @@
 
 func (v *View) insert(r *row) {
 	v.rows[r.Name], v.byKey[r.key] = r, r
-	at, _ := slices.BinarySearchFunc(v.order, r.Name, func(o *row, name string) int { return cmp.Compare(o.Name, name) })
-	v.order = slices.Insert(v.order, at, r)
+	at, _ := slices.BinarySearchFunc(v.sorted, r.Name, func(o *row, name string) int { return cmp.Compare(o.Name, name) })
+	v.sorted = slices.Insert(v.sorted, at, r)
 }
 
-// sameInfo reports whether two entries differ by nothing that others act on. The
-// configuration in force is such a thing at the sender only: with each change of
-// it, all entries of a fleet would be told in full again.
-func (r *row) sameInfo(i *Instance) bool {
+// sameAnnouncedState reports whether two entries agree in all fields that make peers
+// announce a change in full. The configuration version is not one of them: with
+// every new configuration, all entries of the fleet would be announced in full again.
+func (r *row) sameAnnouncedState(i *Instance) bool {
 	return r.Incarnation == i.Incarnation && r.Leaving == i.Leaving &&
 		r.IsReader == i.IsReader && r.StoreUnreachable == i.StoreUnreachable && slices.Equal(r.OwnedCells, i.OwnedCells)
 }
 
-// Lost notes that a connection to an instance failed: it is not heard of until
-// its counter rises again.
+// MarkUnreachable records that a connection to an instance failed: the instance is
+// considered dead until its counter increases again.
 func (v *View) MarkUnreachable(now time.Duration, name string) {
 	if r := v.rows[name]; r != nil {
-		r.heard = min(r.heard, now-v.silent()-v.opts.RemoteTimeoutExtra)
+		r.lastHeartbeat = min(r.lastHeartbeat, now-v.failureTimeout()-v.opts.RemoteTimeoutExtra)
 	}
 }
 
-// Message is what an instance tells others: itself, some instances in full,
-// and the counters of more.
+// Message is the payload of a gossip round: the sender's entry, full entries of some
+// other instances, and only the counters of more.
 type Message struct {
-	Entries    []Instance // the sender first
+	Entries    []Instance // the sender's entry first
 	Heartbeats []Heartbeat
 }
 
-// Beat is an instance's counter; the key names one incarnation of it.
+// Heartbeat is the counter of the incarnation with the given key.
 type Heartbeat struct {
 	Key   uint32
 	Count uint64
 }
 
-// Key names an incarnation of an instance among those that a view knows.
+// Key returns a short hash that identifies an incarnation within a view.
 func (i *Instance) Key() uint32 {
 	return uint32(xxhash.Sum64String(i.Name + "/" + strconv.FormatUint(i.Incarnation, 36)))
 }
 
-// Tell returns a message: in full those whose entries changed lately and one
-// in its turn, the counters of those heard of last and of others in turn.
+// BuildMessage returns a message with recently changed entries and one more entry,
+// round-robin, in full. Half of its counters are the most recently updated ones, the
+// rest rotates through the other live instances.
 func (v *View) BuildMessage(now time.Duration) Message {
 	m := Message{Entries: []Instance{v.self}}
-	known := len(v.order)
-	if known == 0 {
+	count := len(v.sorted)
+	if count == 0 {
 		return m
 	}
-	v.turn++
-	next := v.order[v.turn%known]
-	next.told = min(next.told, tellTimes-1)
-	rows := make([]*row, 0, known)
-	for i := range known {
-		r := v.order[(v.turn+i)%known]
-		if r.told < tellTimes && len(m.Entries) <= v.opts.FullEntries {
-			r.told++
+	v.cursor++
+	scheduled := v.sorted[v.cursor%count]
+	scheduled.announcements = min(scheduled.announcements, announcementsPerChange-1)
+	rows := make([]*row, 0, count)
+	for i := range count {
+		r := v.sorted[(v.cursor+i)%count]
+		if r.announcements < announcementsPerChange && len(m.Entries) <= v.opts.FullEntries {
+			r.announcements++
 			m.Entries = append(m.Entries, r.entry(now))
 			continue
 		}
@@ -250,82 +257,83 @@
 			rows = append(rows, r)
 		}
 	}
-	slices.SortStableFunc(rows, func(a, b *row) int { return cmp.Compare(b.heard, a.heard) })
-	newest := min(v.opts.MaxHeartbeats/2, len(rows))
+	slices.SortStableFunc(rows, func(a, b *row) int { return cmp.Compare(b.lastHeartbeat, a.lastHeartbeat) })
+	recent := min(v.opts.MaxHeartbeats/2, len(rows))
 	for i, r := range rows {
-		rest := len(rows) - newest
-		if i >= newest && (i+v.turn*newest)%rest >= v.opts.MaxHeartbeats-newest {
-			continue // its turn comes
+		others := len(rows) - recent
+		if i >= recent && (i+v.cursor*recent)%others >= v.opts.MaxHeartbeats-recent {
+			continue // included in a later round
 		}
 		m.Heartbeats = append(m.Heartbeats, Heartbeat{Key: r.key, Count: r.HeartbeatCount})
 	}
 	return m
 }
 
-// entry returns a row as it is told. Without its age, who is gone would be heard
-// of again by whoever has an older count of it, and through that one by others.
+// entry returns a row as it is announced. Without the age, a dead instance would
+// look alive again to every receiver that has an older count of it, and through
+// that receiver to others.
 func (r *row) entry(now time.Duration) Instance {
 	i := r.Instance
-	i.HeartbeatAge = max(now-r.heard, 0)
+	i.HeartbeatAge = max(now-r.lastHeartbeat, 0)
 	return i
 }
 
-// tellTimes is how often a changed entry is told in full.
-const tellTimes = 4
+// announcementsPerChange is how often a changed entry is announced in full.
+const announcementsPerChange = 4
 
-// MergeBeat takes in a counter that somebody tells.
+// MergeHeartbeat applies a counter from a message.
 func (v *View) MergeHeartbeat(now time.Duration, b Heartbeat) {
 	r := v.byKey[b.Key]
 	if r != nil && b.Count > r.HeartbeatCount {
-		r.HeartbeatCount, r.heard = b.Count, now
+		r.HeartbeatCount, r.lastHeartbeat = b.Count, now
 	}
 }
 
 func (v *View) alive(now time.Duration, r *row) bool {
-	silent := v.silent()
-	if v.isFar(r) {
-		silent += v.opts.RemoteTimeoutExtra
+	timeout := v.failureTimeout()
+	if v.isRemote(r) {
+		timeout += v.opts.RemoteTimeoutExtra
 	}
-	return now-r.heard < silent
+	return now-r.lastHeartbeat < timeout
 }
 
-func (v *View) silent() time.Duration {
+func (v *View) failureTimeout() time.Duration {
 	return v.opts.FailureTimeout + time.Duration(max(len(v.rows)-v.opts.SmallFleetSize, 0))*v.opts.TimeoutPerInstance
 }
 
 func (v *View) forget(now time.Duration) {
-	old := func(r *row) bool { return now-r.heard > v.opts.ForgetAfter }
-	for _, r := range v.order {
-		if old(r) {
+	expired := func(r *row) bool { return now-r.lastHeartbeat > v.opts.ForgetAfter }
+	for _, r := range v.sorted {
+		if expired(r) {
 			delete(v.rows, r.Name)
 			delete(v.byKey, r.key)
 		}
 	}
-	v.order = slices.DeleteFunc(v.order, old)
+	v.sorted = slices.DeleteFunc(v.sorted, expired)
 }
 
-// Alive returns the instances heard of lately, oneself included, by name.
+// Alive returns the live instances, including this one, sorted by name.
 func (v *View) Alive(now time.Duration) []Instance {
-	out := make([]Instance, 0, len(v.order)+1)
-	before, _ := slices.BinarySearchFunc(v.order, v.self.Name, func(r *row, name string) int { return cmp.Compare(r.Name, name) })
-	for i, r := range v.order {
-		if i == before {
+	out := make([]Instance, 0, len(v.sorted)+1)
+	selfIndex, _ := slices.BinarySearchFunc(v.sorted, v.self.Name, func(r *row, name string) int { return cmp.Compare(r.Name, name) })
+	for i, r := range v.sorted {
+		if i == selfIndex {
 			out = append(out, v.self)
 		}
 		if v.alive(now, r) {
 			out = append(out, r.Instance)
 		}
 	}
-	if before == len(v.order) {
+	if selfIndex == len(v.sorted) {
 		out = append(out, v.self)
 	}
 	return out
 }
 
-// Size returns the number of instances heard of lately, oneself included.
+// AliveCount returns the number of live instances, including this one.
 func (v *View) AliveCount(now time.Duration) int {
 	n := 1
-	for _, r := range v.order {
+	for _, r := range v.sorted {
 		if v.alive(now, r) {
 			n++
 		}
@@ -333,7 +341,7 @@
 	return n
 }
 
-// Hears reports whether an incarnation of an instance is heard of.
+// IsAlive reports whether the given incarnation of an instance is alive.
 func (v *View) IsAlive(now time.Duration, name string, incarnation uint64) bool {
 	if name == v.self.Name {
 		return incarnation == v.self.Incarnation
@@ -342,11 +350,12 @@
 	return r != nil && r.Incarnation == incarnation && v.alive(now, r)
 }
 
-// Still reports whether others are heard of and nobody new has been for a
-// while: after a start of all, the view is then as good as it gets soon.
+// Settled reports whether other instances are alive and no new incarnation has been
+// discovered for SettleTime. After a start of the whole fleet, the view is unlikely
+// to become more complete soon after that.
 func (v *View) Settled(now time.Duration) bool {
-	return v.AliveCount(now) > 1 && now-v.fresh >= v.opts.SettleTime
+	return v.AliveCount(now) > 1 && now-v.newIncarnationAt >= v.opts.SettleTime
 }
 
-// Known returns the number of instances that are not forgotten, oneself included.
+// KnownCount returns the number of recorded instances, dead or alive, including this one.
 func (v *View) KnownCount() int { return len(v.rows) + 1 }
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -13,18 +13,18 @@
 
 const round = 200 * time.Millisecond
 
-// fleet is a number of views that tell each other, some of them cut off or stopped.
+// fleet is a set of views that exchange messages, some of them partitioned or stopped.
 type fleet struct {
-	views  map[string]*View
-	cut    map[string]bool
-	random *rand.Rand
-	now    time.Duration
+	views       map[string]*View
+	partitioned map[string]bool
+	random      *rand.Rand
+	now         time.Duration
 }
 
 func newFleet(n int) *fleet { return newSeededFleet(n, 1) }
 
 func newSeededFleet(n int, seed uint64) *fleet {
-	f := &fleet{views: make(map[string]*View), cut: make(map[string]bool), random: rand.New(rand.NewPCG(seed, 2))}
+	f := &fleet{views: make(map[string]*View), partitioned: make(map[string]bool), random: rand.New(rand.NewPCG(seed, 2))}
 	for i := range n {
 		name := fmt.Sprintf("i%03d", i)
 		f.views[name] = New(Instance{Name: name, Incarnation: 1, HeartbeatAddress: name}, DefaultOptions())
@@ -36,13 +36,13 @@
 }
 
 func (f *fleet) run(d time.Duration) {
-	names := slices.Sorted(maps.Keys(f.views)) // the same run for the same seed
+	names := slices.Sorted(maps.Keys(f.views)) // deterministic for a given seed
 	for end := f.now + d; f.now < end; f.now += round {
 		for _, name := range names {
 			v := f.views[name]
 			to, m := v.Round(f.now, f.random)
 			for _, peer := range to {
-				if f.cut[name] != f.cut[peer] || f.views[peer] == nil {
+				if f.partitioned[name] != f.partitioned[peer] || f.views[peer] == nil {
 					continue
 				}
 				if last, ok := f.views[peer].NewerEntry(&m.Entries[0]); ok {
@@ -59,52 +59,53 @@
 	}
 }
 
-func TestAllLearnOfAllThroughOneSeed(t *testing.T) {
+func TestAllInstancesDiscoverEachOtherThroughOneSeed(t *testing.T) {
 	for seed := range uint64(8) {
-		learnOfAll(t, 74, seed)
+		checkDiscovery(t, 74, seed)
 	}
 	for _, n := range []int{2, 8} {
-		learnOfAll(t, n, 1)
+		checkDiscovery(t, n, 1)
 	}
 }
 
-func learnOfAll(t *testing.T, n int, seed uint64) {
+func checkDiscovery(t *testing.T, n int, seed uint64) {
 	t.Helper()
 	f := newSeededFleet(n, seed)
-	f.run(20 * time.Second) // the store's entries make it faster
+	f.run(20 * time.Second) // without the store's entries, which make it faster
 	for name, v := range f.views {
 		if v.KnownCount() != n {
-			t.Fatalf("%d instances, seed %d: %s knows %d", n, seed, name, v.KnownCount())
+			t.Fatalf("%d instances, seed %d: %s has recorded %d", n, seed, name, v.KnownCount())
 		}
 		if alive := len(v.Alive(f.now)); alive < n*97/100 {
-			t.Fatalf("%d instances, seed %d: %s hears of %d", n, seed, name, alive)
+			t.Fatalf("%d instances, seed %d: %s sees %d alive", n, seed, name, alive)
 		}
 	}
 }
 
-// All turns once went in step: every instance told the same entry in the same
-// round, and whom nobody told in that round did not learn of it for 15 s.
-func TestInstancesTellDifferentEntriesInARound(t *testing.T) {
+// Guards against cursors that run in step: every instance announced the same entry in
+// the same round, and instances that no message reached in that round did not
+// receive the entry for 15 s.
+func TestInstancesAnnounceDifferentEntriesInARound(t *testing.T) {
 	const n = 40
-	told := make(map[string]bool)
+	announced := make(map[string]bool)
 	for i := range n {
 		v := New(Instance{Name: fmt.Sprintf("i%03d", i), Incarnation: 1}, DefaultOptions())
 		for j := range n {
 			v.Merge(0, Instance{Name: fmt.Sprintf("i%03d", j), Incarnation: 1})
 		}
-		for range n * tellTimes { // until nothing is new
+		for range n * announcementsPerChange { // until no change is left to announce
 			v.BuildMessage(0)
 		}
 		m := v.BuildMessage(0)
-		told[m.Entries[len(m.Entries)-1].Name] = true
+		announced[m.Entries[len(m.Entries)-1].Name] = true
 	}
-	if len(told) < n/4 {
-		t.Errorf("%d instances tell only %d in a round", n, len(told))
+	if len(announced) < n/4 {
+		t.Errorf("%d instances announce only %d entries in a round", n, len(announced))
 	}
 }
 
-// At the two-year size the instances begin with the entries in the store.
-func TestAllHearOfAllAtTheTwoYearSize(t *testing.T) {
+// 390 instances, the fleet size planned for in two years, start with the entries of the store.
+func TestViewsStayCompleteAt390Instances(t *testing.T) {
 	const n = 390
 	f := newFleet(n)
 	for _, v := range f.views {
@@ -115,15 +116,15 @@
 	f.run(8 * time.Second)
 	for name, v := range f.views {
 		if alive := len(v.Alive(f.now)); alive < n*97/100 {
-			t.Fatalf("%s hears of %d", name, alive)
+			t.Fatalf("%s sees %d alive", name, alive)
 		}
 	}
 }
 
-// A message's size does not grow with the fleet once the entries are told.
-// A configuration that comes into force everywhere is no reason to tell all
-// entries again; who owns what is.
-func TestAConfigurationIsNotToldForOthers(t *testing.T) {
+// The message size does not grow with the fleet once all entries are announced. A
+// configuration that takes effect everywhere must not cause all entries to be
+// announced again; a change of cell owners must.
+func TestConfigVersionIsNotReannouncedByPeers(t *testing.T) {
 	f := newFleet(60)
 	f.run(30 * time.Second)
 	entries := func() int {
@@ -136,25 +137,25 @@
 		}
 		return n
 	}
-	calm := entries()
+	baseline := entries()
 	for _, v := range f.views {
 		v.SetConfigVersion(7)
 	}
 	f.run(2 * round)
-	if changed := entries(); changed > calm+calm/10 {
-		t.Errorf("%d entries in full after a configuration, %d before", changed, calm)
+	if changed := entries(); changed > baseline+baseline/10 {
+		t.Errorf("%d entries in full after a configuration, %d before", changed, baseline)
 	}
 	for _, v := range f.views {
 		v.SetOwnedCells([]uint32{3})
 	}
 	f.run(2 * round)
-	if changed := entries(); changed < 2*calm {
-		t.Errorf("%d entries in full after new owners, %d before", changed, calm)
+	if changed := entries(); changed < 2*baseline {
+		t.Errorf("%d entries in full after new owners, %d before", changed, baseline)
 	}
 }
 
-// Of large halls each instance tells mostly its own; all hear of all as soon, and
-// of the loss of one, wherever it was.
+// Instances of large halls mostly contact their own hall. All instances still see each
+// other in time and detect the loss of one in any hall.
 func TestFewMessagesLeaveALargeHall(t *testing.T) {
 	const n, halls = 390, 9
 	f := newFleet(n)
@@ -169,27 +170,27 @@
 		}
 	}
 	f.run(8 * time.Second)
-	far, all := 0, 0
+	crossHall, all := 0, 0
 	for name, v := range f.views {
 		if alive := len(v.Alive(f.now)); alive < n*97/100 {
-			t.Fatalf("%s hears of %d", name, alive)
+			t.Fatalf("%s sees %d alive", name, alive)
 		}
 		to, _ := v.Round(f.now, f.random)
 		for _, peer := range to {
 			all++
 			if hallOf[peer] != hallOf[name] {
-				far++
+				crossHall++
 			}
 		}
 	}
-	if far*3 > all {
-		t.Fatalf("%d of %d messages leave their hall", far, all)
+	if crossHall*3 > all {
+		t.Fatalf("%d of %d messages cross halls", crossHall, all)
 	}
-	f.cut["i007"] = true
+	f.partitioned["i007"] = true
 	f.run(DefaultOptions().FailureTimeout + time.Duration(n-DefaultOptions().SmallFleetSize)*DefaultOptions().TimeoutPerInstance + 4*time.Second)
 	for name, v := range f.views {
 		if name != "i007" && slices.ContainsFunc(v.Alive(f.now), func(i Instance) bool { return i.Name == "i007" }) {
-			t.Fatalf("%s still hears of i007", name)
+			t.Fatalf("%s still considers i007 alive", name)
 		}
 	}
 }
@@ -198,9 +199,9 @@
 	f := newFleet(120)
 	f.run(60 * time.Second)
 	const (
-		entry     = 90    // bytes, as encoded, about
+		entry     = 90    // approximate encoded bytes
 		beat      = 8     // bytes
-		perSecond = 5 * 4 // messages: rounds and peers
+		perSecond = 5 * 4 // messages per second: rounds times peers
 		budget    = 21_000
 	)
 	for name, v := range f.views {
@@ -211,15 +212,15 @@
 	}
 }
 
-func TestASilentInstanceIsTakenForDeadAndComesBack(t *testing.T) {
+func TestSilentInstanceIsMarkedDeadAndRecovers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	f.run(3 * time.Second)
-	f.cut["i003"] = true
+	f.partitioned["i003"] = true
 	f.run(3 * time.Second)
 	is.Equal(len(f.views["i000"].Alive(f.now)), 7)
-	is.Equal(len(f.views["i003"].Alive(f.now)), 1) // it knows that it hears nobody
-	f.cut["i003"] = false
+	is.Equal(len(f.views["i003"].Alive(f.now)), 1) // only itself
+	f.partitioned["i003"] = false
 	f.run(3 * time.Second)
 	is.Equal(len(f.views["i000"].Alive(f.now)), 8)
 }
@@ -230,12 +231,12 @@
 	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 5, Leaving: true})
 	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 6})
 	is.True(v.Alive(0)[0].Leaving)
-	is.True(v.Merge(0, Instance{Name: "a", Incarnation: 2, HeartbeatCount: 1})) // the first word of a new one
+	is.True(v.Merge(0, Instance{Name: "a", Incarnation: 2, HeartbeatCount: 1})) // first entry of a new incarnation
 	is.True(!v.Alive(0)[0].Leaving)
 	is.True(!v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 9}))
 }
 
-func TestALostInstanceIsNotHeardOfUntilItSpeaks(t *testing.T) {
+func TestUnreachableInstanceIsDeadUntilItsCounterRises(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "self"}, DefaultOptions())
 	v.Merge(0, Instance{Name: "a", Incarnation: 1, HeartbeatCount: 5})
@@ -245,7 +246,8 @@
 	is.Equal(len(v.Alive(0)), 2)
 }
 
-// The seeds may start later: an instance that hears of nobody tells them again and again.
+// The seeds may start later than an instance, so it contacts them in every round until
+// another instance is alive.
 func TestSeedsAreToldUntilSomebodyIsHeardOf(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "a", Incarnation: 1}, DefaultOptions())
@@ -256,18 +258,18 @@
 		now += round
 	}
 	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 1})
-	told := 0
+	contacts := 0
 	for range 20 {
 		now += round
 		v.MergeHeartbeat(now, Heartbeat{Key: v.rows["b"].key, Count: uint64(now)})
 		if v.SeedsDue(now) {
-			told++
+			contacts++
 		}
 	}
-	is.Equal(told, 2) // each two seconds
+	is.Equal(contacts, 2) // every two seconds
 }
 
-func TestTheVersionToldNeverFalls(t *testing.T) {
+func TestAnnouncedConfigVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "a"}, DefaultOptions())
 	v.SetConfigVersion(7)
@@ -275,25 +277,26 @@
 	is.Equal(v.Self().ConfigVersion, uint64(7))
 }
 
-// After a start of all nobody has settled; what a view is good for then shows
-// in that nobody new is heard of.
+// After a start of the whole fleet no instance has settled yet. A view is then
+// settled once no new incarnation has been discovered for SettleTime.
 func TestAViewIsStillOnceNobodyNewIsHeardOf(t *testing.T) {
 	is := is.New(t)
 	o := DefaultOptions()
 	v := New(Instance{Name: "a", Incarnation: 1}, o)
-	is.True(!v.Settled(time.Second)) // it hears of nobody
+	is.True(!v.Settled(time.Second)) // no other instance is alive
 	v.Merge(time.Second, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 1})
 	is.True(!v.Settled(time.Second + o.SettleTime - 1))
 	v.Merge(time.Second+o.SettleTime-1, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 1})
 	is.True(!v.Settled(time.Second + o.SettleTime)) // c is new
 	v.Merge(time.Second+o.SettleTime, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 2})
-	is.True(v.Settled(time.Second + 2*o.SettleTime - 1)) // known ones may go on speaking
+	is.True(v.Settled(time.Second + 2*o.SettleTime - 1)) // further heartbeats of known incarnations don't matter
 	v.Merge(time.Second+2*o.SettleTime, Instance{Name: "b", Incarnation: 2, HeartbeatCount: 1})
-	is.True(!v.Settled(time.Second + 2*o.SettleTime)) // another life of b
+	is.True(!v.Settled(time.Second + 2*o.SettleTime)) // a new incarnation of b
 }
 
-// The view was sorted for each question, several times a request: 390 entries each.
-func TestQuestionsOfOneViewAgree(t *testing.T) {
+// The rows are kept sorted, as sorting 390 entries for every query, several times per
+// request, was too slow. All queries must agree with the sorted order.
+func TestViewQueriesAgree(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "m", Incarnation: 7}, DefaultOptions())
 	for _, name := range []string{"z", "a", "n", "l", "m2"} {
@@ -309,14 +312,14 @@
 		return out
 	}
 	is.Equal(names(0), "a l m m2 n z ")
-	is.Equal(names(2*time.Second), "a m z ") // the others are silent
+	is.Equal(names(2*time.Second), "a m z ") // the others have timed out
 	is.Equal(v.AliveCount(2*time.Second), 3)
-	is.True(!v.IsAlive(2*time.Second, "z", 1)) // an earlier life
+	is.True(!v.IsAlive(2*time.Second, "z", 1)) // an earlier incarnation
 	is.True(v.IsAlive(2*time.Second, "z", 2))
 	is.True(!v.IsAlive(2*time.Second, "l", 1))
 	is.True(v.IsAlive(2*time.Second, "m", 7))
 	v.Round(2*time.Second+DefaultOptions().ForgetAfter, rand.New(rand.NewPCG(1, 1)))
-	is.Equal(v.KnownCount(), 3) // those silent since are forgotten, the two heard of later not yet
+	is.Equal(v.KnownCount(), 3) // the timed-out entries are removed, the two with later heartbeats are kept
 	is.Equal(names(2*time.Second), "a m z ")
 }
 
@@ -331,8 +334,8 @@
 	}
 }
 
-// An entry that is told in full long after its counter rose is no sign of life,
-// though its count is higher than the one known; a later rise is.
+// An entry announced in full long after its counter increased is no evidence that the
+// instance is alive, even if the count is above the recorded one. A later increase is.
 func TestAnOldWordIsNoSignOfLife(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "a"}, DefaultOptions())
@@ -340,10 +343,10 @@
 	now := 10 * time.Second
 	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 6, HeartbeatAge: 9 * time.Second})
 	is.True(!v.IsAlive(now, "b", 1))
-	v.Merge(now, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 6, HeartbeatAge: 9 * time.Second}) // the first word of it
+	v.Merge(now, Instance{Name: "c", Incarnation: 1, HeartbeatCount: 6, HeartbeatAge: 9 * time.Second}) // first entry of c
 	is.True(!v.IsAlive(now, "c", 1))
 	for _, i := range v.BuildMessage(now).Entries[1:] {
-		is.True(i.HeartbeatAge >= 9*time.Second) // and it is told as old as it is
+		is.True(i.HeartbeatAge >= 9*time.Second) // announced with its real age
 	}
 	v.Merge(now, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 7})
 	is.True(v.IsAlive(now, "b", 1))
--- a/coordination/gossip/targets.go
+++ b/coordination/gossip/targets.go
@@ -6,83 +6,85 @@
 	"time"
 )
 
-// Round raises the own counter and returns whom to tell and what.
+// Round increments this instance's counter and returns the message of the round and
+// the addresses to send it to.
 func (v *View) Round(now time.Duration, random *rand.Rand) (to []string, m Message) {
 	v.self.HeartbeatCount++
 	v.forget(now)
 	m = v.BuildMessage(now)
-	p := v.split(now)
+	p := v.groupPeers(now)
 	to = v.targets(p.hall, p.region, random)
-	if len(p.dead) > 0 { // a partition heals from either side
+	if len(p.dead) > 0 { // contact a dead instance, so that a partition heals from either side
 		to = append(to, p.dead[random.IntN(len(p.dead))])
 	}
-	return v.across(to, p, random), m
+	return v.addRemotePeers(to, p, random), m
 }
 
-// across adds to those whom a round tells one of another region, now and then:
-// bytes between regions are dear, and one message there tells of all instances
-// here, which those there tell each other. So is one that is not heard of there:
-// a cut between regions heals from either side.
-func (v *View) across(to []string, p peers, random *rand.Rand) []string {
-	home := float64(1 + len(p.hall) + len(p.region))
-	for _, list := range [][]string{p.far, p.farDead} {
-		if len(list) > 0 && random.Float64()*home < v.opts.CrossRegionMessages {
+// addRemotePeers occasionally adds an instance of another region to the targets of a
+// round. Traffic between regions is expensive, and one message covers the local
+// instances; the receiving region then spreads it among its own. A dead instance of
+// another region is added at the same rate, so that a partition between regions heals
+// from either side.
+func (v *View) addRemotePeers(to []string, p peers, random *rand.Rand) []string {
+	regionSize := float64(1 + len(p.hall) + len(p.region))
+	for _, list := range [][]string{p.remote, p.remoteDead} {
+		if len(list) > 0 && random.Float64()*regionSize < v.opts.CrossRegionMessages {
 			to = append(to, list[random.IntN(len(list))])
 		}
 	}
 	return to
 }
 
-// SeedsDue reports whether the seeds are to be told in this round: in each while
-// nobody is heard of, since they may start later than this instance, and now
-// and then beside the others, so that islands meet.
+// SeedsDue reports whether to contact the seeds in this round: every round while no
+// other instance is alive, as seeds may start later than this instance, and
+// otherwise every SeedInterval, so that separate groups of instances merge.
 func (v *View) SeedsDue(now time.Duration) bool {
-	if v.seeds != 0 && now-v.seeds < v.opts.SeedInterval && v.AliveCount(now) > 1 {
+	if v.seedsContactedAt != 0 && now-v.seedsContactedAt < v.opts.SeedInterval && v.AliveCount(now) > 1 {
 		return false
 	}
-	v.seeds = max(now, 1)
+	v.seedsContactedAt = max(now, 1)
 	return true
 }
 
-// targets returns whom to tell in a round. Bytes between halls are dear, so each
-// instance of a large hall tells one of another, and the rest at home; in small
-// halls it is left to chance.
-func (v *View) targets(near, far []string, random *rand.Rand) []string {
-	if len(near) < v.opts.Fanout || len(far) == 0 {
-		all := slices.Concat(near, far)
+// targets selects the peers of a round. Traffic between halls is expensive, so an
+// instance of a large hall contacts one peer in another hall and the rest in its
+// own. In small halls all peers of the region are equally likely.
+func (v *View) targets(local, remote []string, random *rand.Rand) []string {
+	if len(local) < v.opts.Fanout || len(remote) == 0 {
+		all := slices.Concat(local, remote)
 		random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		return all[:min(v.opts.Fanout, len(all))]
 	}
-	random.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	return append(near[:v.opts.Fanout-1], far[random.IntN(len(far))])
+	random.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	return append(local[:v.opts.Fanout-1], remote[random.IntN(len(remote))])
 }
 
-// peers are where other instances take heartbeats.
+// peers holds the heartbeat addresses of the other instances, by location and state.
 type peers struct {
-	hall    []string // of the own hall
-	region  []string // of the own region's other halls
-	far     []string // of other regions
-	dead    []string // of the own region, not heard of
-	farDead []string // of other regions, not heard of
+	hall       []string // alive, in this instance's hall
+	region     []string // alive, in other halls of its region
+	remote     []string // alive, in other regions
+	dead       []string // dead, in its region
+	remoteDead []string // dead, in other regions
 }
 
-func (v *View) split(now time.Duration) (p peers) {
-	for _, r := range v.order {
-		alive, far := v.alive(now, r), v.isFar(r)
-		to := &p.region
+func (v *View) groupPeers(now time.Duration) (p peers) {
+	for _, r := range v.sorted {
+		alive, remote := v.alive(now, r), v.isRemote(r)
+		group := &p.region
 		switch {
-		case !alive && far:
-			to = &p.farDead
+		case !alive && remote:
+			group = &p.remoteDead
 		case !alive:
-			to = &p.dead
-		case far:
-			to = &p.far
+			group = &p.dead
+		case remote:
+			group = &p.remote
 		case r.Hall == v.self.Hall:
-			to = &p.hall
+			group = &p.hall
 		}
-		*to = append(*to, r.HeartbeatAddress)
+		*group = append(*group, r.HeartbeatAddress)
 	}
 	return p
 }
 
-func (v *View) isFar(r *row) bool { return r.Region != v.self.Region }
+func (v *View) isRemote(r *row) bool { return r.Region != v.self.Region }
