--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkMerge is one changed member taken into a view.
+// BenchmarkMerge measures the merge of one changed member into a view.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{8, 390, 3900} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,11 +1,12 @@
-// Package membership keeps one instance's view of all instances: who is
-// there, in which incarnation, who is leaving.
+// Package membership maintains one instance's view of all instances: which are
+// alive, in which incarnation, and which are leaving.
 //
-// It follows SWIM (Das, Gupta and Motivala, 2002): silence makes a suspect, a
-// suspect that does not refute within a while is dead, a member refutes by
-// raising its own sequence number. Beats go to fixed partners at distances 1,
-// 2, 4, ... on a ring ordered by hash, so a member has log2(n) links and news
-// crosses the fleet in log2(n) hops. It is soft state: no promise rests on it.
+// It follows SWIM (Das, Gupta and Motivala, 2002): a member that does not answer
+// becomes a suspect, a suspect that does not refute in time is dead, and a member
+// refutes by raising its own sequence number. Heartbeats go to fixed targets at
+// distances 1, 2, 4, ... on a ring ordered by hash, so a member has log2(n)
+// connections and updates reach the whole fleet in log2(n) hops. The view is soft
+// state: no guarantee depends on it.
 package membership
 
 import (
@@ -18,10 +19,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what others think of a member.
+// State is the state of a member as seen by others.
 type State int
 
-// The states, in the order in which they override each other.
+// The states; at an equal sequence number a higher one overrides a lower one.
 const (
 	Alive State = iota
 	Suspect
@@ -32,38 +33,39 @@
 type Member struct {
 	Name                string
 	Hall                string
-	Incarnation         uint64 // rises with every start of its coord
-	Seq                 uint64 // rises with every change the member makes itself
+	Incarnation         uint64 // increases with every start of its coord
+	Seq                 uint64 // increases with every change that the member itself makes
 	State               State
 	Leaving             bool
 	CoordAddress        string // IP:port
-	EntryHTTPAddress    string // IP:port, for callers
+	EntryHTTPAddress    string // IP:port, for clients
 	EntryPeerAddress    string // IP:port, for peers
 	EntryIncarnation    uint64
-	AdoptedIncarnations []uint64 // entry incarnations whose ledgers its entry took over
+	AdoptedIncarnations []uint64 // incarnations of entries whose ledgers its entry has adopted
 }
 
 type row struct {
 	Member
-	since time.Duration // when the state was entered
+	stateSince time.Duration // when the state was entered
 }
 
-// View is not safe for concurrent use; its owner guards it (table.RankMembers).
+// View is one instance's view of the fleet. It is not safe for concurrent use; the
+// owner holds a lock of rank table.RankMembers.
 type View struct {
 	opts   Options
 	self   string
 	rows   map[string]*row
-	ring   []spot // live members by hash
+	ring   []ringEntry // live members, sorted by hash
 	digest uint64
 }
 
-// spot is a member's place on the ring.
-type spot struct {
+// ringEntry is a member's position on the ring.
+type ringEntry struct {
 	hash uint64
 	name string
 }
 
-// New returns a view that holds only self.
+// New returns a view that contains only self.
 func New(self Member, opts ...Option) *View {
 	v := &View{opts: newOptions(opts), self: self.Name, rows: make(map[string]*row)}
 	v.set(&row{Member: self})
@@ -82,39 +84,40 @@
 	return r.Member
 }
 
-// Merge takes in what somebody says of a member and reports whether the view
-// changed, in which case the news is worth passing on.
+// Merge applies a received entry and reports whether the view changed, in which case
+// the entry should be forwarded.
 func (v *View) Merge(now time.Duration, m Member) bool {
 	if m.Name == v.self {
-		return v.mergeSelf(m)
+		return v.refute(m)
 	}
 	r, ok := v.rows[m.Name]
 	if !ok {
 		if m.State == Dead {
 			return false
 		}
-		v.set(&row{Member: m, since: now})
+		v.set(&row{Member: m, stateSince: now})
 		return true
 	}
-	if !newer(m, r.Member) {
+	if !supersedes(m, r.Member) {
 		return false
 	}
 	if m.Incarnation == r.Incarnation && r.Leaving {
-		m.Leaving = true // leaving wins within an incarnation
+		m.Leaving = true // leaving is final within an incarnation
 	}
-	next := &row{Member: m, since: r.since}
+	next := &row{Member: m, stateSince: r.stateSince}
 	if m.State != r.State {
-		next.since = now
+		next.stateSince = now
 	}
 	v.set(next)
 	return true
 }
 
-// mergeSelf refutes what others wrongly say of this instance.
-func (v *View) mergeSelf(m Member) bool {
+// refute handles a received entry of this instance itself. If the entry is wrong, it
+// raises the incarnation or the sequence number above it.
+func (v *View) refute(m Member) bool {
 	r := v.rows[v.self]
 	next := *r
-	if m.Incarnation > r.Incarnation || m.Incarnation == r.Incarnation && m.Seq > r.Seq { // of the last life: the time of day went back since
+	if m.Incarnation > r.Incarnation || m.Incarnation == r.Incarnation && m.Seq > r.Seq { // from the previous incarnation: the wall clock has gone back since
 		if m.Incarnation == math.MaxUint64 {
 			return false
 		}
@@ -130,7 +133,7 @@
 	return true
 }
 
-func newer(m, old Member) bool {
+func supersedes(m, old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
 	}
@@ -140,31 +143,31 @@
 	return m.State > old.State
 }
 
-// Silent notes that a partner did not answer; it returns the new entry and
-// whether it became a suspect by this.
+// MarkSuspect records that a heartbeat target did not answer. It returns the new entry
+// and whether the member became a suspect by this call.
 func (v *View) MarkSuspect(now time.Duration, name string) (Member, bool) {
 	r, ok := v.rows[name]
 	if !ok || name == v.self || r.State != Alive {
 		return Member{}, false
 	}
-	next := &row{Member: r.Member, since: now}
+	next := &row{Member: r.Member, stateSince: now}
 	next.State = Suspect
 	v.set(next)
 	return next.Member, true
 }
 
-// Tick ends suspicions that were not refuted and forgets the long dead. It
-// returns the members that died now.
+// Tick declares suspects dead that have not refuted in time and removes members that
+// have been dead for ForgetAfter. It returns the members that it declared dead.
 func (v *View) Tick(now time.Duration) []Member {
 	var died []Member
 	for name, r := range v.rows {
 		switch {
-		case r.State == Suspect && now-r.since > v.opts.SuspectTimeout:
-			next := &row{Member: r.Member, since: now}
+		case r.State == Suspect && now-r.stateSince > v.opts.SuspectTimeout:
+			next := &row{Member: r.Member, stateSince: now}
 			next.State = Dead
 			v.set(next)
 			died = append(died, next.Member)
-		case r.State == Dead && now-r.since > v.opts.ForgetAfter:
+		case r.State == Dead && now-r.stateSince > v.opts.ForgetAfter:
 			v.digest ^= r.hash()
 			delete(v.rows, name)
 		}
@@ -172,25 +175,25 @@
 	return died
 }
 
-// set puts a row in place of the member's last one and keeps the digest and the
-// ring with it, in time that grows with the ring's memory move only.
+// set replaces the member's row and updates the digest and the ring. Its cost grows
+// with the fleet only by the insertion into the sorted ring.
 func (v *View) set(r *row) {
 	if old, ok := v.rows[r.Name]; ok {
 		v.digest ^= old.hash()
 	}
 	v.rows[r.Name] = r
 	v.digest ^= r.hash()
-	s := spot{hash: xxhash.Sum64String(r.Name), name: r.Name}
-	i, there := slices.BinarySearchFunc(v.ring, s, compareSpots)
+	s := ringEntry{hash: xxhash.Sum64String(r.Name), name: r.Name}
+	i, found := slices.BinarySearchFunc(v.ring, s, compareRingEntries)
 	switch live := r.State != Dead; {
-	case live && !there:
+	case live && !found:
 		v.ring = slices.Insert(v.ring, i, s)
-	case !live && there:
+	case !live && found:
 		v.ring = slices.Delete(v.ring, i, i+1)
 	}
 }
 
-func compareSpots(a, b spot) int {
+func compareRingEntries(a, b ringEntry) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 }
 
@@ -211,10 +214,10 @@
 	return 0
 }
 
-// Digest is equal for equal views.
+// Digest returns a hash of the view; equal views have equal digests.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Get returns the entry of that name.
+// Get returns the entry of the member with the given name.
 func (v *View) Get(name string) (Member, bool) {
 	r, ok := v.rows[name]
 	if !ok {
@@ -223,7 +226,7 @@
 	return r.Member, true
 }
 
-// All returns every entry, the dead included, by name.
+// All returns all entries, including dead members, sorted by name.
 func (v *View) All() []Member {
 	out := make([]Member, 0, len(v.rows))
 	for _, r := range v.rows {
@@ -242,8 +245,8 @@
 	return out
 }
 
-// Partners returns the members this instance beats to: those at distances 1,
-// 2, 4, ... after it on the ring.
+// HeartbeatTargets returns the members that this instance sends heartbeats to: those
+// at distances 1, 2, 4, ... after it on the ring.
 func (v *View) HeartbeatTargets() []string {
 	n, at := len(v.ring), 0
 	for i, s := range v.ring {
@@ -258,8 +261,8 @@
 	return out
 }
 
-// Lost returns one dead member by the random number r, to be tried again now
-// and then, so that a partition heals from either side.
+// RandomDead selects a dead member with the random number r. Contacting one now and
+// then lets a partition heal from either side.
 func (v *View) RandomDead(r uint64) (Member, bool) {
 	var dead []Member
 	for _, m := range v.All() {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -19,7 +19,7 @@
 	is.True(v.Merge(0, member("b", 5)))
 	old := member("b", 4)
 	old.Leaving = true
-	is.True(!v.Merge(0, old)) // an older incarnation says nothing of the newer
+	is.True(!v.Merge(0, old)) // an entry of an older incarnation is ignored
 	m, _ := v.Get("b")
 	is.True(!m.Leaving)
 	is.True(v.Merge(0, member("b", 6)))
@@ -37,7 +37,7 @@
 	is.True(m.Leaving)
 }
 
-func TestSilentThenDeadThenBack(t *testing.T) {
+func TestSuspectDiesAndRefutes(t *testing.T) {
 	is := is.New(t)
 	v := New(member("a", 1), SuspectTimeout(time.Second))
 	v.Merge(0, member("b", 1))
@@ -48,14 +48,14 @@
 	is.Equal(len(v.Live()), 1)
 	b := New(member("b", 1))
 	dead, _ := v.Get("b")
-	is.True(b.Merge(0, dead)) // b hears of its death and refutes it
+	is.True(b.Merge(0, dead)) // b receives the entry that declares it dead and refutes it
 	is.True(v.Merge(3*time.Second, b.Self()))
 	is.Equal(len(v.Live()), 2)
 	is.Equal(m.State, Suspect)
 }
 
-// Views that exchange their tables in any order, over any losses, agree once
-// every pair has talked, and nobody takes a living member for dead for good.
+// Views that exchange their tables in any order and with any losses agree once every
+// pair has exchanged them, and no live member stays dead in any view.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "n")
@@ -136,20 +136,20 @@
 	is.True(hops <= 9)
 }
 
-// A coord that starts again after its clock went back is another life of it, and
-// the later one.
+// A coord that restarts after its clock went back must count as a new and higher
+// incarnation.
 func TestAStartAfterTheClockWentBackIsTheLaterOne(t *testing.T) {
-	for _, before := range []uint64{5, 6, 1 << 62} {
+	for _, previous := range []uint64{5, 6, 1 << 62} {
 		is := is.New(t)
-		a, last := New(member("a", 1)), New(member("b", before))
-		last.Update(func(m *Member) { m.Leaving = true })
-		exchange(0, a, last)
+		a, previousRun := New(member("a", 1)), New(member("b", previous))
+		previousRun.Update(func(m *Member) { m.Leaving = true })
+		exchange(0, a, previousRun)
 		next := New(member("b", 5))
 		exchange(time.Second, a, next)
 		exchange(time.Second, a, next)
-		known, _ := a.Get("b")
-		is.Equal(known, next.Self())
-		is.True(!known.Leaving)
-		is.True(known.Incarnation > before)
+		recorded, _ := a.Get("b")
+		is.Equal(recorded, next.Self())
+		is.True(!recorded.Leaving)
+		is.True(recorded.Incarnation > previous)
 	}
 }
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Options are the times of a view.
+// Options are the timeouts of a view.
 type Options struct {
-	SuspectTimeout time.Duration // how long a suspect may refute
-	ForgetAfter    time.Duration // how long the dead are kept, above the longest partition
+	SuspectTimeout time.Duration // time that a suspect has to refute
+	ForgetAfter    time.Duration // time that dead members are kept; must exceed the longest partition
 }
 
 // Option sets one of the Options.
@@ -19,5 +19,5 @@
 	return o
 }
 
-// SuspectFor sets how long a suspect may refute.
+// SuspectTimeout sets the time that a suspect has to refute.
 func SuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
