--- a/coordination/changes/changes.go
+++ b/coordination/changes/changes.go
@@ -1,16 +1,16 @@
-// Package changes keeps what a topic of the platform's store holds, together
-// with the changes that led there, so that an instance can tell another that is
-// behind just what it lacks.
+// Package changes keeps the content of a topic of the platform's store together with
+// its recent changes, so that an instance can send a peer that is behind just the
+// changes that it lacks.
 //
-// Revisions are the store's: a single counter that rises with every change of
-// anything, so two instances that read at different times hold the same
-// content under different revisions. Who is behind is told by the revision of
-// the newest change that somebody knows of, not by when it was read.
+// Revisions are the store's: a single counter that increases with every change of any
+// key, so two instances that read at different times hold the same content at
+// different revisions. Whether an instance is behind therefore depends on the
+// revision of the newest known change, not on the revision of the last read.
 package changes
 
 import "slices"
 
-// Entry is one key of the topic, or its end.
+// Entry is the value of one key of the topic at a revision, or its deletion.
 type Entry struct {
 	ID       string
 	Value    []byte
@@ -18,49 +18,51 @@
 	Deleted  bool
 }
 
-// Log is a topic's content and its latest changes. It is not safe for
-// concurrent use.
+// Log holds a topic's content and its recent changes. It is not safe for concurrent
+// use.
 type Log struct {
-	same    func(a, b []byte) bool
-	values  map[string][]byte
-	latest  []Entry // changes, oldest first
-	since   uint64  // revision from which on latest is complete
-	gaps    []gap   // but for who knows all up to a revision within one of these
-	at      uint64  // up to this revision all is known
-	changed uint64  // revision of the newest change known
+	equal      func(a, b []byte) bool
+	values     map[string][]byte
+	recent     []Entry // changes, oldest first
+	recentFrom uint64  // recent holds every change after this revision, except those in gaps
+	gaps       []gap   // intervals whose intermediate changes are unknown
+	revision   uint64  // the content is complete up to this revision
+	lastChange uint64  // revision of the newest known change
 }
 
-// gap lies between two reads of the whole topic, both ends left out: what came
-// and went in it is not known.
+// gap is the open interval between the revisions of two full reads. Keys that were
+// created and deleted within it are unknown.
 type gap struct{ from, to uint64 }
 
-// What is kept at most; who is further behind is told all.
+// Bounds of the history; a peer that is further behind gets a full update.
 const (
-	mostLatest = 1024 // changes: a third of a fleet's 3,000 replicas
-	mostGaps   = 16   // chosen
+	maxRecent = 1024 // changes; a third of the 3,000 replicas of a fleet
+	maxGaps   = 16
 )
 
-// unchanged is a revision that is news only to who knows nothing.
-const unchanged = 1
+// initialChange is the last change of a log whose topic has not changed since the
+// first read. Only a peer that has read nothing yet is behind it.
+const initialChange = 1
 
-// New returns an empty log. same tells whether two values of a key say the
-// same: some change with every write.
-func New(same func(a, b []byte) bool) *Log {
-	return &Log{same: same, values: make(map[string][]byte)}
+// New returns an empty log. equal reports whether two values of a key are equivalent,
+// as some encoded values differ with every write.
+func New(equal func(a, b []byte) bool) *Log {
+	return &Log{equal: equal, values: make(map[string][]byte)}
 }
 
-// Known reports whether the topic was ever read.
-func (l *Log) IsLoaded() bool { return l.at > 0 }
+// IsLoaded reports whether the topic has been read.
+func (l *Log) IsLoaded() bool { return l.revision > 0 }
 
-// Changed is the revision of the newest change that the log knows of; 0 when it
-// knows nothing, unchanged when nothing has changed since it was first read.
-func (l *Log) LastChange() uint64 { return l.changed }
+// LastChange returns the revision of the newest known change: 0 if the topic has not
+// been read, initialChange if nothing has changed since the first read.
+func (l *Log) LastChange() uint64 { return l.lastChange }
 
-// At is the revision up to which the log knows all.
-func (l *Log) Revision() uint64 { return l.at }
+// Revision returns the revision up to which the content is complete.
+func (l *Log) Revision() uint64 { return l.revision }
 
-// Behind reports whether somebody who knows of a change at that revision knows more.
-func (l *Log) IsBehind(changed uint64) bool { return changed > l.at }
+// IsBehind reports whether a peer whose newest change has the given revision has
+// changes that this log lacks.
+func (l *Log) IsBehind(lastChange uint64) bool { return lastChange > l.revision }
 
 // Each calls f with every key and value.
 func (l *Log) Each(f func(id string, value []byte)) {
@@ -69,134 +71,134 @@
 	}
 }
 
-// Replace takes in the whole topic as it was read at a revision. What differs
-// from before is a change that others may have missed as well. Changes may have
-// come and gone in between: who knows some of what was between the two reads is
-// told all, not just the differences. An older read than what is known changes
-// nothing.
-func (l *Log) Replace(values map[string][]byte, at uint64) {
-	if at < l.at {
+// Replace sets the content to a full read of the topic at a revision. The differences
+// are recorded as changes, as peers may have missed them too. Further changes may
+// have come and gone between the two reads, so a peer whose revision lies between
+// them gets a full update rather than the differences. A read older than the current
+// content is ignored.
+func (l *Log) Replace(values map[string][]byte, revision uint64) {
+	if revision < l.revision {
 		return
 	}
-	before := l.at
-	differences := l.differences(values, at)
-	known := l.IsLoaded()
-	l.values, l.at = values, at
-	if !known {
-		l.changed = unchanged
+	previous := l.revision
+	changed := l.diff(values, revision)
+	loaded := l.IsLoaded()
+	l.values, l.revision = values, revision
+	if !loaded {
+		l.lastChange = initialChange
 	}
-	if !known || len(differences) > mostLatest {
-		if known && len(differences) > 0 {
-			l.changed = at
+	if !loaded || len(changed) > maxRecent {
+		if loaded && len(changed) > 0 {
+			l.lastChange = revision
 		}
-		l.since, l.latest, l.gaps = at, nil, nil
+		l.recentFrom, l.recent, l.gaps = revision, nil, nil
 		return
 	}
-	l.miss(gap{before, at})
-	for _, e := range differences {
-		l.note(e)
+	l.recordGap(gap{previous, revision})
+	for _, e := range changed {
+		l.recordChange(e)
 	}
 }
 
-// miss notes a gap; the oldest ones become one when there are many.
-func (l *Log) miss(g gap) {
-	if len(l.gaps) == mostGaps {
+// recordGap records a gap. At maxGaps, the two oldest gaps are merged.
+func (l *Log) recordGap(g gap) {
+	if len(l.gaps) == maxGaps {
 		l.gaps[1].from = l.gaps[0].from
 		l.gaps = slices.Delete(l.gaps, 0, 1)
 	}
 	l.gaps = append(l.gaps, g)
 }
 
-// differences returns what leads from the content to other values.
-func (l *Log) differences(values map[string][]byte, at uint64) []Entry {
+// diff returns the changes that lead from the current content to values.
+func (l *Log) diff(values map[string][]byte, revision uint64) []Entry {
 	var out []Entry
 	for id, value := range values {
-		if before, ok := l.values[id]; !ok || !l.same(before, value) {
-			out = append(out, Entry{ID: id, Value: value, Revision: at})
+		if old, ok := l.values[id]; !ok || !l.equal(old, value) {
+			out = append(out, Entry{ID: id, Value: value, Revision: revision})
 		}
 	}
 	for id := range l.values {
 		if _, ok := values[id]; !ok {
-			out = append(out, Entry{ID: id, Revision: at, Deleted: true})
+			out = append(out, Entry{ID: id, Revision: revision, Deleted: true})
 		}
 	}
 	return out
 }
 
-// Apply takes in changes, in their order, after which all up to a revision is
-// known. It returns how many were news.
-func (l *Log) ApplyChanges(entries []Entry, at uint64) int {
-	news := 0
+// ApplyChanges applies changes in their order; the content is then complete up to
+// revision. It returns how many of the changes were new.
+func (l *Log) ApplyChanges(entries []Entry, revision uint64) int {
+	applied := 0
 	for _, e := range entries {
-		if e.Revision <= l.at {
+		if e.Revision <= l.revision {
 			continue
 		}
-		news++
+		applied++
 		if e.Deleted {
 			delete(l.values, e.ID)
 		} else {
 			l.values[e.ID] = e.Value
 		}
-		l.note(e)
+		l.recordChange(e)
 	}
-	l.at = max(l.at, at)
-	return news
+	l.revision = max(l.revision, revision)
+	return applied
 }
 
-func (l *Log) note(e Entry) {
-	l.changed = max(l.changed, e.Revision)
-	if len(l.latest) == mostLatest {
-		l.since = l.latest[0].Revision
-		l.latest = append(l.latest[:0], l.latest[1:]...)
-		l.gaps = slices.DeleteFunc(l.gaps, func(g gap) bool { return g.to <= l.since })
+func (l *Log) recordChange(e Entry) {
+	l.lastChange = max(l.lastChange, e.Revision)
+	if len(l.recent) == maxRecent {
+		l.recentFrom = l.recent[0].Revision
+		l.recent = append(l.recent[:0], l.recent[1:]...)
+		l.gaps = slices.DeleteFunc(l.gaps, func(g gap) bool { return g.to <= l.recentFrom })
 	}
-	l.latest = append(l.latest, e)
+	l.recent = append(l.recent, e)
 }
 
-// Answer is what an instance that is behind is told.
+// Update is the response to an instance that is behind.
 type Update struct {
-	Full       bool // the entries are all there are
-	HasGap     bool // else: what came and went meanwhile is not among them
+	Full       bool // Entries is the whole content
+	HasGap     bool // if not Full: Entries lacks keys that were created and deleted within a gap
 	Entries    []Entry
 	Revision   uint64
 	LastChange uint64
 }
 
-// After returns what an instance lacks that knows all up to a revision.
-func (l *Log) UpdateSince(have uint64) Update {
-	a := Update{Revision: l.at, LastChange: l.changed}
-	if have >= l.since && have > 0 && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < have && have < g.to }) {
-		for _, e := range l.latest {
-			if e.Revision > have {
-				a.Entries = append(a.Entries, e)
+// UpdateSince returns what an instance lacks whose content is complete up to revision.
+func (l *Log) UpdateSince(revision uint64) Update {
+	u := Update{Revision: l.revision, LastChange: l.lastChange}
+	if revision >= l.recentFrom && revision > 0 && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < revision && revision < g.to }) {
+		for _, e := range l.recent {
+			if e.Revision > revision {
+				u.Entries = append(u.Entries, e)
 			}
 		}
-		a.HasGap = slices.ContainsFunc(l.gaps, func(g gap) bool { return g.to > have })
-		return a
+		u.HasGap = slices.ContainsFunc(l.gaps, func(g gap) bool { return g.to > revision })
+		return u
 	}
-	a.Full = true
+	u.Full = true
 	for id, value := range l.values {
-		a.Entries = append(a.Entries, Entry{ID: id, Value: value, Revision: l.at})
+		u.Entries = append(u.Entries, Entry{ID: id, Value: value, Revision: l.revision})
 	}
-	return a
+	return u
 }
 
-// Take takes in what another instance answered.
-func (l *Log) ApplyUpdate(a Update) {
-	if a.Revision < l.at {
+// ApplyUpdate applies the response of another instance.
+func (l *Log) ApplyUpdate(u Update) {
+	if u.Revision < l.revision {
 		return
 	}
-	if !a.Full {
-		if a.HasGap {
-			l.miss(gap{l.at, a.Revision})
+	if !u.Full {
+		if u.HasGap {
+			l.recordGap(gap{l.revision, u.Revision})
 		}
-		l.ApplyChanges(a.Entries, a.Revision)
+		l.ApplyChanges(u.Entries, u.Revision)
 		return
 	}
-	values := make(map[string][]byte, len(a.Entries))
-	for _, e := range a.Entries {
+	values := make(map[string][]byte, len(u.Entries))
+	for _, e := range u.Entries {
 		values[e.ID] = e.Value
 	}
-	l.Replace(values, a.Revision)
-	l.changed = max(l.changed, a.LastChange)
+	l.Replace(values, u.Revision)
+	l.lastChange = max(l.lastChange, u.LastChange)
 }
--- a/coordination/changes/changes_test.go
+++ b/coordination/changes/changes_test.go
@@ -16,7 +16,8 @@
 	return out
 }
 
-// store is a model of the platform's: a counter, values and their history.
+// store is a model of the platform's store: a revision counter, values and their
+// history.
 type store struct {
 	revision uint64
 	values   map[string][]byte
@@ -47,9 +48,9 @@
 	return out
 }
 
-// Whatever instances read, watch and tell each other in whatever order, each
-// holds what the store held at the revision that it claims, and who pulls from
-// one that knows of a newer change knows it too.
+// Whatever instances read, watch and pull from each other in any order, each holds
+// exactly the store's content at its revision, and after a pull from a peer with a
+// newer change it is no longer behind that peer.
 func TestAllHoldWhatTheStoreHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{values: make(map[string][]byte), revision: 1}
@@ -71,17 +72,17 @@
 				}
 				s.change(id, value)
 				past[s.revision] = maps.Clone(s.values)
-			case 4: // a whole read, which may be an old one
+			case 4: // a full read, possibly of an old revision
 				at := uint64(rapid.IntRange(1, int(s.revision)).Draw(t, "at"))
 				l.Replace(maps.Clone(past[at]), at)
 			case 5: // a watch
 				if l.IsLoaded() {
 					l.ApplyChanges(s.after(l.Revision()), s.revision)
 				}
-			case 6, 7: // a pull from a peer, whose answer may be lost
-				answer := from.UpdateSince(l.Revision())
+			case 6, 7: // a pull from a peer, whose response may be lost
+				update := from.UpdateSince(l.Revision())
 				if from.IsLoaded() && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
-					l.ApplyUpdate(answer)
+					l.ApplyUpdate(update)
 					if l.IsBehind(from.LastChange()) {
 						t.Fatalf("behind %d at %d after a pull", from.LastChange(), l.Revision())
 					}
@@ -101,25 +102,25 @@
 	sameHead := func(a, b []byte) bool { return a[0] == b[0] }
 	l := New(sameHead)
 	l.Replace(map[string][]byte{"a": []byte("x1")}, 10)
-	is.Equal(l.LastChange(), uint64(unchanged))     // the first read is no change
-	is.True(New(sameHead).IsBehind(l.LastChange())) // but news to who knows nothing
+	is.Equal(l.LastChange(), uint64(initialChange)) // the first read is not a change
+	is.True(New(sameHead).IsBehind(l.LastChange())) // but an empty log is behind it
 	l.Replace(map[string][]byte{"a": []byte("x2")}, 20)
-	is.Equal(l.LastChange(), uint64(unchanged)) // it says the same
+	is.Equal(l.LastChange(), uint64(initialChange)) // equivalent value
 	l.Replace(map[string][]byte{"a": []byte("y3")}, 30)
 	is.Equal(l.LastChange(), uint64(30))
 	other := New(sameHead)
 	other.Replace(map[string][]byte{"a": []byte("x1")}, 15)
 	is.True(other.IsBehind(l.LastChange()))
-	answer := l.UpdateSince(other.Revision())
-	is.True(answer.Full) // what came and went between two reads is not known
-	is.Equal(len(answer.Entries), 1)
+	update := l.UpdateSince(other.Revision())
+	is.True(update.Full) // changes between two reads are unknown
+	is.Equal(len(update.Entries), 1)
 }
 
-func TestWhoIsFarBehindIsToldAll(t *testing.T) {
+func TestFarBehindPeerGetsFullUpdate(t *testing.T) {
 	is := is.New(t)
 	l := New(bytes.Equal)
 	l.Replace(map[string][]byte{}, 1)
-	for i := range 2 * mostLatest {
+	for i := range 2 * maxRecent {
 		l.ApplyChanges([]Entry{{ID: "a", Value: []byte{byte(i)}, Revision: uint64(i + 2)}}, uint64(i+2))
 	}
 	is.True(l.UpdateSince(3).Full)
