--- a/coordination/ledger/bench_test.go
+++ b/coordination/ledger/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkNumber is one numbered request from Begin to Finish in a ledger that
-// holds many.
+// BenchmarkNumber measures one numbered request from Begin to Finish in a ledger with
+// many records.
 func BenchmarkNumber(b *testing.B) {
 	for _, held := range []int{100, 10_000, 100_000} {
 		b.Run("records="+strconv.Itoa(held), func(b *testing.B) {
--- a/coordination/ledger/handover.go
+++ b/coordination/ledger/handover.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Entry is a finished record on its way to an heir.
+// Entry is a finished record as it is sent to a successor.
 type Entry struct {
 	Key    string
 	Answer Answer
 	Digest uint64
-	Age    time.Duration // since its prefix was issued
+	Age    time.Duration // time since its prefix was issued
 }
 
-// Seal stops the ledger from starting anything more, for good. The caller
-// waits for Pending to reach zero, then exports.
-func (l *Ledger) Seal() { l.handedOn = true }
+// Seal permanently stops the ledger from starting requests. The caller waits for
+// Pending to reach zero before it calls Export.
+func (l *Ledger) Seal() { l.sealed = true }
 
 // Sealed reports whether Seal was called.
-func (l *Ledger) Sealed() bool { return l.handedOn }
+func (l *Ledger) Sealed() bool { return l.sealed }
 
 // Export returns the finished records of a sealed ledger.
 func (l *Ledger) Export(now time.Duration) []Entry {
@@ -30,22 +30,22 @@
 	return out
 }
 
-// Predecessor is a ledger whose numbers start elsewhere from now on.
+// Predecessor is a ledger whose numbers are started by a successor from now on.
 type Predecessor struct {
 	Incarnation uint64
-	Elapsed     time.Duration // since it started
+	Elapsed     time.Duration // time since it started
 }
 
-// Line returns this ledger and those it took over, as its heir needs them.
+// Lineage returns this ledger and those that it has adopted, for its successor.
 func (l *Ledger) Lineage(now time.Duration) []Predecessor {
-	out := []Predecessor{{Incarnation: l.own, Elapsed: now}}
+	out := []Predecessor{{Incarnation: l.incarnation, Elapsed: now}}
 	for inc, offset := range l.adopted {
 		out = append(out, Predecessor{Incarnation: inc, Elapsed: now - offset})
 	}
 	return out
 }
 
-// Succeeds returns the incarnations that this ledger took over.
+// AdoptedIncarnations returns the incarnations whose ledgers this one has adopted.
 func (l *Ledger) AdoptedIncarnations() []uint64 {
 	out := make([]uint64, 0, len(l.adopted))
 	for inc := range l.adopted {
@@ -54,11 +54,11 @@
 	return out
 }
 
-// Adopt makes this ledger the successor of another incarnation. The caller has
-// read from the platform that the succession names this incarnation.
-// The predecessors' ages map their issue times to this ledger's clock.
-func (l *Ledger) Adopt(line []Predecessor, entries []Entry, now time.Duration) {
-	for _, p := range line {
+// Adopt makes this ledger the successor of other incarnations. The caller must have
+// verified in the platform's store that the succession names this incarnation.
+// The predecessors' elapsed times map their issue times to this ledger's clock.
+func (l *Ledger) Adopt(lineage []Predecessor, entries []Entry, now time.Duration) {
+	for _, p := range lineage {
 		if !l.Owns(p.Incarnation) {
 			l.adopted[p.Incarnation] = now - p.Elapsed
 		}
--- a/coordination/ledger/ledger.go
+++ b/coordination/ledger/ledger.go
@@ -1,82 +1,84 @@
 // Package ledger starts each numbered request at most once.
 //
-// A ledger belongs to one incarnation of one entry and dies with it, unless it
-// is handed to an heir. It never needs the platform or a clock that agrees
-// with another machine's: only its own incarnation's numbers start here, and a
-// number whose record may have been dropped is answered Unknown, not started.
+// A ledger belongs to one incarnation of one entry and is lost with it, unless it is
+// handed over to a successor. It needs neither the platform nor synchronized clocks:
+// only numbers of its own incarnation start here, and a number whose record may have
+// been dropped gets an unknown outcome instead of being started.
 package ledger
 
 import "time"
 
-// Verdict is what Begin says of a numbered request.
+// Verdict is the decision of Begin on a numbered request.
 type Verdict int
 
 // The verdicts of Begin.
 const (
-	Start      Verdict = iota // this call, and no other, may run the request
-	Join                      // it was started before: wait for or take its answer
-	Foreign                   // another incarnation's number
-	Expired                   // too old: it may have run, its record is gone
-	Full                      // no room for a record: refuse it as not run
-	HandedOver                // this ledger was handed on and starts nothing more
-	Reused                    // the number was used for another request
+	Start      Verdict = iota // the caller, and no other, may run the request
+	Join                      // already started: wait for its answer
+	Foreign                   // the number belongs to another incarnation
+	Expired                   // too old: it may have run, and its record may be gone
+	Full                      // too many records: refuse the request as not run
+	HandedOver                // the ledger was handed over and starts no more requests
+	Reused                    // the number was used for a different request
 )
 
-// Answer is the final answer of a request: the status and body a caller got.
+// Answer is the final response of a request.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Record is one numbered request.
+// Record is the state of one numbered request.
 type Record struct {
 	done   chan struct{}
 	answer Answer
 	issued time.Duration
-	digest uint64 // of the request
+	digest uint64 // digest of the request
 }
 
-// Done is closed when the answer is known.
+// Done returns a channel that is closed when the answer is available.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Answer is valid once Done is closed.
+// Answer returns the answer; it is valid once Done is closed.
 func (r *Record) Answer() Answer { return r.answer }
 
-// Ledger is not safe for concurrent use; its owner guards it (table.RankLedger).
+// Ledger holds the records of numbered requests. It is not safe for concurrent use;
+// the owner holds a lock of rank table.RankLedger.
 type Ledger struct {
-	opts     Options
-	own      uint64
-	records  map[string]*Record
-	adopted  map[uint64]time.Duration // predecessor -> what to add to its issue times
-	handedOn bool
-	swept    time.Duration
+	opts        Options
+	incarnation uint64
+	records     map[string]*Record
+	adopted     map[uint64]time.Duration // offset from each predecessor's clock to this ledger's
+	sealed      bool
+	lastSweep   time.Duration
 }
 
 // New returns the empty ledger of an incarnation.
 func New(incarnation uint64, opts ...Option) *Ledger {
 	return &Ledger{
-		opts:    newOptions(opts),
-		own:     incarnation,
-		records: make(map[string]*Record),
-		adopted: make(map[uint64]time.Duration),
+		opts:        newOptions(opts),
+		incarnation: incarnation,
+		records:     make(map[string]*Record),
+		adopted:     make(map[uint64]time.Duration),
 	}
 }
 
-// Owns reports whether numbers of that incarnation may start here.
+// Owns reports whether numbers of the given incarnation may start here.
 func (l *Ledger) Owns(incarnation uint64) bool {
-	_, heir := l.adopted[incarnation]
-	return incarnation == l.own || heir
+	_, adopted := l.adopted[incarnation]
+	return incarnation == l.incarnation || adopted
 }
 
-// Number is a numbered request.
+// Number identifies a numbered request.
 type Number struct {
 	Key         string        // see ticket.Key
-	Incarnation uint64        // of the ledger that the prefix names
-	Issued      time.Duration // the prefix's time, on that ledger's clock
-	Digest      uint64        // of the request, so that a number names one request only
+	Incarnation uint64        // ledger incarnation named by the prefix
+	Issued      time.Duration // when the prefix was issued, on that ledger's clock
+	Digest      uint64        // digest of the request, to detect a number that is reused for another request
 }
 
-// Begin decides on a numbered request; now is since this ledger's start.
+// Begin decides whether a numbered request may run; now is the time since this
+// ledger's start.
 func (l *Ledger) Begin(n Number, now time.Duration) (Verdict, *Record) {
 	if !l.Owns(n.Incarnation) {
 		return Foreign, nil
@@ -92,7 +94,7 @@
 	switch {
 	case now-issued > l.opts.Horizon:
 		return Expired, nil
-	case l.handedOn:
+	case l.sealed:
 		return HandedOver, nil
 	case len(l.records) >= l.opts.MaxRecords:
 		return Full, nil
@@ -102,7 +104,7 @@
 	return Start, r
 }
 
-// Finish gives the request its final answer; only the first call counts.
+// Finish sets the final answer of a request; only the first call has an effect.
 func (l *Ledger) Finish(r *Record, a Answer) {
 	select {
 	case <-r.done:
@@ -112,10 +114,10 @@
 	}
 }
 
-// Len returns the number of records held.
+// Len returns the number of records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Pending returns the number of requests started and not finished.
+// Pending returns the number of requests that are started and not finished.
 func (l *Ledger) Pending() int {
 	n := 0
 	for _, r := range l.records {
@@ -128,13 +130,13 @@
 	return n
 }
 
-// sweep drops records that no number can match any more: Begin answers Expired
-// for their prefixes from here on.
+// sweep drops records that are no longer needed, as Begin now returns Expired for
+// their prefixes.
 func (l *Ledger) sweep(now time.Duration) {
-	if now-l.swept < l.opts.Horizon/16 {
+	if now-l.lastSweep < l.opts.Horizon/16 {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for k, r := range l.records {
 		if now-r.issued > l.opts.Horizon+l.opts.Grace {
 			delete(l.records, k)
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -18,9 +18,9 @@
 	l := New(1, Horizon(time.Minute), MaxRecords(2))
 	v, r := l.Begin(number(1, 1, 0), time.Second)
 	is.Equal(v, Start)
-	v, again := l.Begin(number(1, 1, 0), 2*time.Second)
+	v, joined := l.Begin(number(1, 1, 0), 2*time.Second)
 	is.Equal(v, Join)
-	is.Equal(r, again)
+	is.Equal(r, joined)
 	v, _ = l.Begin(number(2, 1, 0), time.Second)
 	is.Equal(v, Foreign)
 	other := number(1, 1, 0)
@@ -35,9 +35,9 @@
 	is.Equal(v, Full)
 }
 
-// The sequence with which TestAtMostOnce once failed: its model then gave one
-// key a second issue time, which no ticket has. With the one it has, the number
-// is too old once its record may be gone.
+// A number whose record may be gone is too old to start. Replays a sequence in which
+// the model of TestAtMostOnce wrongly gave one key a second issue time, which no
+// ticket has.
 func TestANumberWhoseRecordIsGoneDoesNotStart(t *testing.T) {
 	is := is.New(t)
 	l := New(2, Horizon(time.Minute))
@@ -47,11 +47,11 @@
 	is.Equal(v, Expired)
 }
 
-// A fleet of ledgers under duplicates, reordering, crashes, pauses past the
-// horizon and handovers starts each number at most once.
+// A fleet of ledgers starts each number at most once, under duplicates, reordering,
+// crashes, pauses beyond the horizon and handovers.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &fleetModel{started: map[string]int{}, heirOf: map[uint64]uint64{}, prefixes: map[string]time.Duration{}}
+		m := &fleetModel{started: map[string]int{}, successorOf: map[uint64]uint64{}, prefixes: map[string]time.Duration{}}
 		for range 3 {
 			m.spawn()
 		}
@@ -73,81 +73,81 @@
 }
 
 type node struct {
-	inc   uint64
-	start time.Duration
-	l     *Ledger
-	open  []*Record
+	incarnation uint64
+	start       time.Duration
+	ledger      *Ledger
+	pending     []*Record
 }
 
 type fleetModel struct {
-	now      time.Duration
-	nodes    []*node
-	next     uint64
-	issued   []Number
-	started  map[string]int
-	heirOf   map[uint64]uint64
-	prefixes map[string]time.Duration // by key: when its prefix was issued
+	now             time.Duration
+	nodes           []*node
+	lastIncarnation uint64
+	issued          []Number
+	started         map[string]int
+	successorOf     map[uint64]uint64
+	prefixes        map[string]time.Duration // issue time of the prefix, by key
 }
 
 func (m *fleetModel) spawn() {
-	m.next++
-	m.nodes = append(m.nodes, &node{inc: m.next, start: m.now, l: New(m.next, Horizon(time.Minute))})
+	m.lastIncarnation++
+	m.nodes = append(m.nodes, &node{incarnation: m.lastIncarnation, start: m.now, ledger: New(m.lastIncarnation, Horizon(time.Minute))})
 }
 
 func (m *fleetModel) pick(t *rapid.T) *node {
 	return m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")]
 }
 
-// request sends a new number or an old one to any node, as callers and
-// forwarding entries may.
+// request sends a new or an old number to any node, as clients and forwarding entries
+// may do.
 func (m *fleetModel) request(t *rapid.T) {
 	n := m.pick(t)
-	home := m.pick(t)
-	x := number(home.inc, rapid.IntRange(1, 4).Draw(t, "number"), m.now-home.start)
+	owner := m.pick(t)
+	x := number(owner.incarnation, rapid.IntRange(1, 4).Draw(t, "number"), m.now-owner.start)
 	if len(m.issued) > 0 && rapid.Bool().Draw(t, "retry") {
 		x = m.issued[rapid.IntRange(0, len(m.issued)-1).Draw(t, "old")]
 	}
-	// A key holds its prefix's nonce, so it has one issue time for good.
+	// A key contains its prefix's nonce, so its issue time never changes.
 	if first, ok := m.prefixes[x.Key]; ok {
 		x.Issued = first
 	}
 	m.prefixes[x.Key] = x.Issued
 	m.issued = append(m.issued, x)
-	v, r := n.l.Begin(x, m.now-n.start)
+	v, r := n.ledger.Begin(x, m.now-n.start)
 	if v == Start {
 		m.started[x.Key]++
-		n.open = append(n.open, r)
+		n.pending = append(n.pending, r)
 	}
 }
 
 func (m *fleetModel) finish(t *rapid.T) {
 	n := m.pick(t)
-	for _, r := range n.open {
-		n.l.Finish(r, Answer{Status: 200})
+	for _, r := range n.pending {
+		n.ledger.Finish(r, Answer{Status: 200})
 	}
-	n.open = nil
+	n.pending = nil
 }
 
-// crash replaces a node by a new incarnation with an empty ledger.
+// crash replaces a node with a new incarnation with an empty ledger.
 func (m *fleetModel) crash(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "crash")
 	m.nodes = append(m.nodes[:i], m.nodes[i+1:]...)
 	m.spawn()
 }
 
-// stop hands a node's ledger to another; the stopped one may still be asked.
+// stop hands a node's ledger over to another; the stopped node may still get requests.
 func (m *fleetModel) stop(t *rapid.T) {
-	n, heir := m.pick(t), m.pick(t)
-	if n == heir || n.l.Sealed() || heir.l.Sealed() {
+	n, successor := m.pick(t), m.pick(t)
+	if n == successor || n.ledger.Sealed() || successor.ledger.Sealed() {
 		return
 	}
 	m.finish(t)
-	for _, r := range n.open {
-		n.l.Finish(r, Answer{})
+	for _, r := range n.pending {
+		n.ledger.Finish(r, Answer{})
 	}
-	n.open = nil
-	n.l.Seal()
-	at := m.now - n.start
-	heir.l.Adopt(n.l.Lineage(at), n.l.Export(at), m.now-heir.start)
+	n.pending = nil
+	n.ledger.Seal()
+	elapsed := m.now - n.start
+	successor.ledger.Adopt(n.ledger.Lineage(elapsed), n.ledger.Export(elapsed), m.now-successor.start)
 	m.spawn()
 }
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Options bound a ledger's memory.
+// Options bound the memory of a ledger.
 type Options struct {
-	Horizon    time.Duration // how long a prefix may start numbers
-	Grace      time.Duration // how much longer answers are kept for retries
-	MaxRecords int           // above it new numbers are refused as not run
+	Horizon    time.Duration // time that numbers of a prefix may start
+	Grace      time.Duration // additional time that answers are kept for retries
+	MaxRecords int           // limit above which new numbers are refused as not run
 }
 
 // Option sets one of the Options.
@@ -20,8 +20,8 @@
 	return o
 }
 
-// Horizon sets how long a prefix may start numbers.
+// Horizon sets the time that numbers of a prefix may start.
 func Horizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
 
-// MaxRecords sets the most records held.
+// MaxRecords sets the maximum number of records.
 func MaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
