--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -1,6 +1,6 @@
-// Package ticket makes and checks the prefixes under which callers number
-// requests that may not be repeated. A prefix names the one ledger incarnation
-// that may start its numbers; see docs/design/at-most-once.md.
+// Package ticket signs and verifies the prefixes under which clients number requests
+// that must run at most once. A prefix names the one ledger incarnation that may start
+// its numbers; see docs/design/at-most-once.md.
 package ticket
 
 import (
@@ -17,7 +17,8 @@
 const (
 	version  = 1
 	macBytes = 16
-	// MaxLen bounds a ticket's text, so that hostile headers cost little.
+	// MaxLen is the maximum length of a ticket in bytes, so that hostile headers are cheap
+	// to reject.
 	MaxLen = 512
 )
 
@@ -27,26 +28,26 @@
 	ErrMAC  = errors.New("ticket: not issued here, or its key has been retired")
 )
 
-// Prefix is what an address answer hands to a caller.
+// Prefix is the ticket prefix that a client gets with an address response.
 type Prefix struct {
-	Home        string        // instance whose entry's ledger owns the numbers
-	Incarnation uint64        // of that ledger
-	Nonce       uint64        // keeps two answers' numbers apart
-	Issued      time.Duration // since the ledger started, by its monotonic clock, to the millisecond
+	Home        string        // instance whose ledger owns the numbers
+	Incarnation uint64        // incarnation of that ledger
+	Nonce       uint64        // distinguishes the numbers of different prefixes
+	Issued      time.Duration // time since the ledger's start on its monotonic clock, in whole milliseconds
 	Customer    string        // the only customer that may use it
 }
 
-// Keys are the signing keys; the first signs and all verify, so that a key can
-// be rotated while old tickets live.
+// Keys are the signing keys. The first one signs and all of them verify, so that a key
+// can be rotated while old tickets are still valid.
 type Keys [][]byte
 
-// Mint returns the prefix's text.
+// Mint returns the signed text of a prefix.
 func (k Keys) Mint(p Prefix) string {
 	raw := p.encode()
-	return base64.RawURLEncoding.EncodeToString(append(raw, sum(k[0], raw)...))
+	return base64.RawURLEncoding.EncodeToString(append(raw, computeMAC(k[0], raw)...))
 }
 
-// Parse checks a ticket "PREFIX.NUMBER" and returns its parts.
+// Parse verifies a ticket of the form "PREFIX.NUMBER" and returns its parts.
 func (k Keys) Parse(text string) (Prefix, uint64, error) {
 	head, tail, ok := strings.Cut(text, ".")
 	if !ok || len(text) > MaxLen {
@@ -60,7 +61,7 @@
 	return p, number, err
 }
 
-// ParsePrefix checks a prefix without a number.
+// ParsePrefix verifies a prefix without a number.
 func (k Keys) ParsePrefix(text string) (Prefix, error) {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(raw) <= macBytes {
@@ -68,14 +69,14 @@
 	}
 	body, mac := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
 	for _, key := range k {
-		if hmac.Equal(mac, sum(key, body)) {
+		if hmac.Equal(mac, computeMAC(key, body)) {
 			return decode(body)
 		}
 	}
 	return Prefix{}, ErrMAC
 }
 
-// Key is the ledger's name for one numbered request.
+// Key returns the ledger key of a numbered request.
 func Key(p Prefix, number uint64) string {
 	b := make([]byte, 0, 24)
 	b = binary.BigEndian.AppendUint64(b, p.Incarnation)
@@ -84,7 +85,7 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-func sum(key, body []byte) []byte {
+func computeMAC(key, body []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write(body)
 	return m.Sum(nil)[:macBytes]
--- a/coordination/ticket/ticket_test.go
+++ b/coordination/ticket/ticket_test.go
@@ -24,7 +24,7 @@
 	old := keys.Mint(Prefix{Home: "h"})
 	next := Keys{[]byte("another key of 16"), keys[0]}
 	_, err := next.ParsePrefix(old)
-	is.NoErr(err) // both keys are valid for a while
+	is.NoErr(err) // both keys are valid during a rotation
 	_, err = next[:1].ParsePrefix(old)
 	is.Equal(err, ErrMAC) // retired
 }
@@ -34,11 +34,11 @@
 	p := keys.Mint(Prefix{Home: "h"})
 	for _, n := range []string{"", "01", "+1", "-1", "1 ", "18446744073709551616", "1.1"} {
 		_, _, err := keys.Parse(p + "." + n)
-		is.Equal(err, ErrForm) // else one number would have two keys
+		is.Equal(err, ErrForm) // a second spelling would give one number two ledger keys
 	}
 }
 
-// Nothing but what was minted is accepted, in no other spelling.
+// Only minted prefixes are accepted, and only in their canonical spelling.
 func FuzzParse(f *testing.F) {
 	good := keys.Mint(Prefix{Home: "h", Incarnation: 1, Nonce: 2, Customer: "c"})
 	f.Add(good + ".1")
@@ -51,7 +51,7 @@
 		}
 		head, _, _ := strings.Cut(text, ".")
 		if keys.Mint(p) != head {
-			t.Fatalf("%q has another spelling, number %d", text, n)
+			t.Fatalf("%q is not the canonical spelling, number %d", text, n)
 		}
 	})
 }
