--- a/coordination/level/level.go
+++ b/coordination/level/level.go
@@ -1,12 +1,13 @@
-// Package level decides what all instances that are alive understand of each
-// other, while instances of several builds serve side by side.
+// Package level negotiates the feature level that all live instances support while
+// instances of several builds run together, as during an upgrade.
 //
-// Each instance tells the level of its build. What needs all of them, a word that
-// an older build would misread, takes force once all have told that level for a
-// while, and ends at once when one comes that does not: to be careful for a moment
-// too long costs some bytes, too short a word that is misread.
+// Each instance announces the level of its build. A feature that older builds would
+// misinterpret is enabled once all instances have announced its level for SettleTime,
+// and disabled at once when an instance appears that does not support it. Disabling
+// a feature for too long costs some bytes; enabling it too early causes misread
+// messages.
 //
-// The package is pure: event and time in, decision out.
+// The package does no I/O and reads no clock.
 package level
 
 import (
@@ -14,59 +15,59 @@
 	"time"
 )
 
-// The levels, each with what builds from it on understand beside all below.
+// The feature levels. A build supports its own level and all lower ones.
 const (
-	Unannounced         uint32 = iota // builds that tell none: some name a replica by its name in every life, some know no turns of suspects
-	ReplicaIncarnations               // replicas by their lives, turns of suspects, statements of replicas, frames that are refused
+	Unannounced         uint32 = iota // builds that announce no level: some identify replicas by name only, some have no trial leases for suspect requests
+	ReplicaIncarnations               // replica incarnations, trial leases for suspect requests, replica advisories, refused frames
 )
 
-// needs tells, for operators, what takes force with each level.
-var needs = map[uint32]string{
+// features describes, for operators, what each level enables.
+var features = map[uint32]string{
 	ReplicaIncarnations: "replicas are named once, and a suspect has one arbiter",
 }
 
-// Waiting returns what needs a higher level than the one in force, of what this
-// build can.
+// PendingFeatures returns the features of this build that need a higher level than the
+// one in force.
 func PendingFeatures(inForce uint32) []string {
 	var out []string
 	for l := inForce + 1; l <= Current; l++ {
-		out = append(out, needs[l])
+		out = append(out, features[l])
 	}
 	return out
 }
 
-// This is the level of this build.
+// Current is the feature level of this build.
 const Current = ReplicaIncarnations
 
-// Settle is for how long all must have told a level before it takes force:
-// above the silence after which an instance is taken for dead, so that one that is
-// away for a moment does not move it twice.
+// SettleTime is how long all instances must have announced a level before it takes
+// effect. It exceeds the failure timeout of an instance, so that an instance that is
+// briefly unreachable does not change the level twice.
 const SettleTime = 3 * time.Second
 
-// Fleet is the level of all instances that are alive. It is not safe for
+// Tracker tracks the level that all live instances support. It is not safe for
 // concurrent use.
 type Tracker struct {
-	force  uint32
-	risen  uint32        // that all have told since
-	since  time.Duration // when
-	closed bool          // since and risen hold
+	inForce        uint32
+	candidate      uint32        // higher level that all instances support since candidateSince
+	candidateSince time.Duration // when candidate was first supported by all
+	hasCandidate   bool          // candidate and candidateSince are set
 }
 
-// Heard takes in the levels of all that are alive, the own one included, and
-// reports whether another one is in force now.
+// Observe updates the tracker with the levels of all live instances, including this
+// one, and reports whether the level in force has changed.
 func (f *Tracker) Observe(now time.Duration, all []uint32) bool {
-	least := slices.Min(all)
-	before := f.force
+	minimum := slices.Min(all)
+	before := f.inForce
 	switch {
-	case least <= f.force:
-		f.force, f.closed = least, false
-	case !f.closed || least < f.risen:
-		f.risen, f.since, f.closed = least, now, true
-	case now-f.since >= SettleTime:
-		f.force, f.closed = f.risen, false
+	case minimum <= f.inForce:
+		f.inForce, f.hasCandidate = minimum, false
+	case !f.hasCandidate || minimum < f.candidate:
+		f.candidate, f.candidateSince, f.hasCandidate = minimum, now, true
+	case now-f.candidateSince >= SettleTime:
+		f.inForce, f.hasCandidate = f.candidate, false
 	}
-	return f.force != before
+	return f.inForce != before
 }
 
-// InForce is the level that all understand.
-func (f *Tracker) InForce() uint32 { return f.force }
+// InForce returns the level that all live instances support.
+func (f *Tracker) InForce() uint32 { return f.inForce }
--- a/coordination/level/level_test.go
+++ b/coordination/level/level_test.go
@@ -11,7 +11,8 @@
 
 const second = time.Second
 
-// A level takes force once all have told it for a while, and ends at once.
+// A level takes effect once all instances have announced it for SettleTime, and falls
+// at once.
 func TestALevelRisesSlowlyAndFallsAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := &Tracker{}
@@ -24,14 +25,15 @@
 	is.Equal(f.InForce(), uint32(0))
 }
 
-// One that is away for a moment and comes back older does not let it flap.
+// An instance of an older build that is seen only intermittently must not make the
+// level flap.
 func TestALevelDoesNotFlap(t *testing.T) {
 	is := is.New(t)
 	f := &Tracker{}
 	changes := 0
 	for now := time.Duration(0); now < 100*second; now += second {
 		all := []uint32{1, 1}
-		if now%(3*second) == 0 { // heard of in each third second
+		if now%(3*second) == 0 { // seen every third second
 			all = append(all, 0)
 		}
 		if f.Observe(now, all) {
@@ -41,32 +43,32 @@
 	is.Equal(changes, 0)
 }
 
-// Whatever is heard: what is in force was told by all at that moment, and had
-// been for the whole time to settle.
-func TestTheLevelInForceIsTheLeast(t *testing.T) {
+// For any sequence of announcements, the level in force never exceeds the minimum of
+// the live instances, and it rises only after the minimum was that high for SettleTime.
+func TestLevelInForceIsTheMinimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Tracker{}
 		now := time.Duration(0)
-		type heard struct {
-			at    time.Duration
-			least uint32
+		type observation struct {
+			at      time.Duration
+			minimum uint32
 		}
-		var history []heard
+		var history []observation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2500).Draw(t, "ms")) * time.Millisecond
 			all := rapid.SliceOfN(rapid.Uint32Range(0, 3), 1, 4).Draw(t, "levels")
-			history = append(history, heard{now, slices.Min(all)})
+			history = append(history, observation{now, slices.Min(all)})
 			before := f.InForce()
 			f.Observe(now, all)
 			if f.InForce() > slices.Min(all) {
-				t.Fatalf("%d is in force, %v are alive", f.InForce(), all)
+				t.Fatalf("level %d is in force, live instances have %v", f.InForce(), all)
 			}
 			if f.InForce() <= before {
 				continue
 			}
 			for _, h := range history {
-				if h.at > now-SettleTime && h.least < f.InForce() {
-					t.Fatalf("%d took force at %v, at %v the least was %d", f.InForce(), now, h.at, h.least)
+				if h.at > now-SettleTime && h.minimum < f.InForce() {
+					t.Fatalf("%d took effect at %v, but at %v the minimum was %d", f.InForce(), now, h.at, h.minimum)
 				}
 			}
 		}
