--- a/coordination/revision/revision.go
+++ b/coordination/revision/revision.go
@@ -1,29 +1,30 @@
-// Package revision decides which accepted configuration is in force. Revisions
-// only rise: a lower one from anywhere is refused (brief: "never reverts").
+// Package revision decides which accepted configuration is in force. A configuration
+// never reverts: a lower revision is refused, whatever its source.
 package revision
 
 // Config is an accepted configuration.
 type Config struct {
 	Revision    uint64
 	PlanID      string
-	Declaration []byte // opaque here: compressed TOML
+	Declaration []byte // compressed TOML, opaque to this package
 }
 
-// Verdict is what became of an offered configuration.
+// Verdict is the result of Offer.
 type Verdict int
 
 // The verdicts of Offer.
 const (
-	Adopted  Verdict = iota // it is in force now
-	Same                    // it was in force
-	Older                   // refused: an older one
-	Conflict                // refused: another plan under the revision in force
+	Adopted  Verdict = iota // the configuration is in force now
+	Same                    // it was already in force
+	Older                   // refused: its revision is lower than the one in force
+	Conflict                // refused: a different plan has the same revision
 )
 
-// InForce is not safe for concurrent use; its owner guards it (table.RankConfig).
+// InForce holds the configuration in force. It is not safe for concurrent use; the
+// owner holds a lock of rank table.RankConfig.
 type InForce struct{ config Config }
 
-// Offer takes in a configuration from the platform or a peer.
+// Offer considers a configuration received from the platform or a peer.
 func (f *InForce) Offer(c Config) Verdict {
 	switch {
 	case c.Revision > f.config.Revision:
@@ -37,5 +38,5 @@
 	return Same
 }
 
-// Config returns the configuration in force; revision 0 means none yet.
+// Config returns the configuration in force; its revision is 0 if there is none yet.
 func (f *InForce) Config() Config { return f.config }
--- a/coordination/revision/revision_test.go
+++ b/coordination/revision/revision_test.go
@@ -18,8 +18,9 @@
 	is.Equal(f.Config().PlanID, "b")
 }
 
-// Processes that start, hear of revisions late, twice, in any order, and from
-// stale sources never go back, and agree once all have heard from the highest.
+// Processes that restart and receive revisions late, twice, out of order and from stale
+// sources never go back to a lower revision, and agree once all have received the
+// highest.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accepted := []Config{{}}
@@ -38,13 +39,13 @@
 			"restart": func(t *rapid.T) {
 				n := node(t)
 				*n = InForce{}
-				highest[n] = 0 // another process
+				highest[n] = 0 // a new process has no history
 			},
 			"": func(t *rapid.T) {
 				for i := range nodes {
 					n := &nodes[i]
 					if n.Config().Revision < highest[n] {
-						t.Fatalf("node %d is at %d after %d", i, n.Config().Revision, highest[n])
+						t.Fatalf("node %d is at revision %d after %d", i, n.Config().Revision, highest[n])
 					}
 					highest[n] = n.Config().Revision
 				}
@@ -53,7 +54,7 @@
 		for i := range nodes {
 			nodes[i].Offer(accepted[len(accepted)-1])
 			if nodes[i].Config().Revision != accepted[len(accepted)-1].Revision {
-				t.Fatalf("node %d stays at %d", i, nodes[i].Config().Revision)
+				t.Fatalf("node %d stays at revision %d", i, nodes[i].Config().Revision)
 			}
 		}
 	})
