--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -1,11 +1,11 @@
 // Package ownership decides which instance owns a cell of pools and engines.
 //
-// A cell's replicas are all in one region, and so is its owner while the region
-// has an instance that may own it. Where it has none, another region's does,
-// until one is back: what the replicas there can do is not lost.
+// All replicas of a cell are in one region, and so is its owner while that region has
+// an eligible instance. Otherwise an instance of another region owns the cell until
+// one is back, so that the capacity of its replicas is not lost.
 //
-// Ownership is soft: each instance ranks the others by the view it has. Two
-// owners for a moment cost calls that meet at a replica, and break no promise.
+// Ownership is soft state: each instance ranks the others by its own view. Two
+// concurrent owners may send batches to the same replica, but violate no guarantee.
 package ownership
 
 import (
@@ -17,47 +17,47 @@
 	"quinceroad/coordination/rendezvous"
 )
 
-// Rank returns the instances that may own a cell of a region, the first one
-// first: those of the region; of them who owns it already, so that an instance
-// that comes back does not take it over; then those with most of a processor.
+// Rank returns the instances that may own a cell of a region, the preferred one first.
+// Instances of the region come first; among them the current owner, so that a
+// returning instance does not displace it; then those with the largest CPU share.
 func Rank(alive []gossip.Instance, cell int, region string) []gossip.Instance {
 	key := "stages/" + strconv.Itoa(cell)
-	var able []gossip.Instance
+	var eligible []gossip.Instance
 	for _, i := range alive {
-		if !i.Leaving && (i.Settled() || owns(i, cell)) {
-			able = append(able, i)
+		if !i.Leaving && (i.Settled() || ownsCell(i, cell)) {
+			eligible = append(eligible, i)
 		}
 	}
-	if len(able) == 0 {
-		able = slices.Clone(alive)
+	if len(eligible) == 0 {
+		eligible = slices.Clone(alive)
 	}
-	share := gossip.CPURank(able)
+	cpuRank := gossip.CPURank(eligible)
 	rank := func(i gossip.Instance) int {
 		r := 0
 		if i.Region != region {
-			r = foreign
+			r = remoteRegionPenalty
 		}
-		if owns(i, cell) {
+		if ownsCell(i, cell) {
 			return r
 		}
-		return r + 1 + share(i)
+		return r + 1 + cpuRank(i)
 	}
-	slices.SortFunc(able, func(a, b gossip.Instance) int {
+	slices.SortFunc(eligible, func(a, b gossip.Instance) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(rendezvous.Weight(key, b.Name), rendezvous.Weight(key, a.Name)))
 	})
-	return able
+	return eligible
 }
 
-// foreign puts the instances of other regions behind all of the cell's own.
-const foreign = 2 + gossip.CPURankCount
+// remoteRegionPenalty ranks instances of other regions below all of the cell's region.
+const remoteRegionPenalty = 2 + gossip.CPURankCount
 
-// Clear reports whether the view tells who owns a cell, or may: right after
-// all have started each knows some of the others only, and all would choose
-// differently, until the view is still.
-func CanDecide(alive []gossip.Instance, cell int, region string, still bool) bool {
-	return still || slices.ContainsFunc(alive, func(i gossip.Instance) bool {
-		return !i.Leaving && i.Region == region && (i.Settled() || owns(i, cell))
+// CanDecide reports whether the view is sufficient to decide who owns a cell. Right
+// after a start of the whole fleet, each instance has discovered only some of the
+// others, and instances would choose different owners until their views settle.
+func CanDecide(alive []gossip.Instance, cell int, region string, settled bool) bool {
+	return settled || slices.ContainsFunc(alive, func(i gossip.Instance) bool {
+		return !i.Leaving && i.Region == region && (i.Settled() || ownsCell(i, cell))
 	})
 }
 
-func owns(i gossip.Instance, cell int) bool { return slices.Contains(i.OwnedCells, uint32(cell)) }
+func ownsCell(i gossip.Instance, cell int) bool { return slices.Contains(i.OwnedCells, uint32(cell)) }
--- a/coordination/ownership/ownership_test.go
+++ b/coordination/ownership/ownership_test.go
@@ -28,7 +28,7 @@
 	}
 	is.Equal(names(Rank(alive, 0, ""))[0], "b")
 	alive[1].Leaving = true
-	is.Equal(names(Rank(alive, 0, "")), []string{"c", "a"}) // the one with most of a processor is next
+	is.Equal(names(Rank(alive, 0, "")), []string{"c", "a"}) // the instance with the largest CPU share is next
 }
 
 func TestAnInstanceThatJustStartedOwnsNothingYet(t *testing.T) {
@@ -36,22 +36,23 @@
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 100}}
 	is.Equal(names(Rank(alive, 0, "")), []string{"b"})
 	alive[1].HeartbeatCount = 3
-	is.Equal(len(Rank(alive, 0, "")), 2) // unless all have
+	is.Equal(len(Rank(alive, 0, "")), 2) // unless all instances have just started
 }
 
-// After a start of all, who took a cell first keeps it when others settle.
+// After a start of the whole fleet, the first owner of a cell keeps it when other
+// instances settle before it.
 func TestAnEarlyOwnerIsNotReplacedByWhoSettlesFirst(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 7, CPUShare: 400, OwnedCells: []uint32{0}}, {Name: "b", HeartbeatCount: 8, CPUShare: 800}}
 	is.Equal(names(Rank(alive, 0, ""))[0], "a")
-	is.Equal(names(Rank(alive, 1, "")), []string{"b"}) // another cell is not its own
+	is.Equal(names(Rank(alive, 1, "")), []string{"b"}) // a cell that it does not own
 }
 
 func TestAViewIsClearOnceSomebodyOwnsOrIsSettled(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 3}}
 	is.True(!CanDecide(alive, 0, "", false))
-	is.True(CanDecide(alive, 0, "", true)) // nobody else is to be expected
+	is.True(CanDecide(alive, 0, "", true)) // the view has settled
 	alive[0].OwnedCells = []uint32{0}
 	is.True(CanDecide(alive, 0, "", false))
 	is.True(!CanDecide(alive, 1, "", false))
@@ -61,30 +62,30 @@
 	is.True(!CanDecide(alive, 1, "", false))
 }
 
-// A region's pools are owned where they are; when all instances there are gone
-// another region's owns them, and gives them back.
-func TestARegionsCellIsOwnedThereAndElsewhereWhileItHasNobody(t *testing.T) {
+// A cell is owned in its own region. When that region has no instance, an instance of
+// another region owns the cell, and returns it later.
+func TestCellFailsOverToAnotherRegionAndBack(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{
 		{Name: "a", Region: "n", HeartbeatCount: 100, CPUShare: 400},
-		{Name: "b", Region: "s", HeartbeatCount: 100, CPUShare: 800, OwnedCells: []uint32{0}}, // since the north was lost
+		{Name: "b", Region: "s", HeartbeatCount: 100, CPUShare: 800, OwnedCells: []uint32{0}}, // since region n was lost
 	}
 	is.Equal(names(Rank(alive, 0, "n")), []string{"a", "b"})
-	is.Equal(names(Rank(alive, 0, "w")), []string{"b", "a"}) // nobody there
+	is.Equal(names(Rank(alive, 0, "w")), []string{"b", "a"}) // region w has no instance
 	alive[0].HeartbeatCount = 1
-	is.Equal(names(Rank(alive, 0, "n")), []string{"b"}) // it has just come back
+	is.Equal(names(Rank(alive, 0, "n")), []string{"b"}) // a has just restarted and is not settled
 	is.True(!CanDecide(alive, 1, "n", false))
 	alive[0].Leaving, alive[0].HeartbeatCount = true, 100
 	is.Equal(names(Rank(alive, 0, "n")), []string{"b"})
 }
 
-// Whatever is lost or cut off, an instance that sees one of the cell's region
-// that may own it goes nowhere else, and all with the same view agree.
+// Whatever instances are lost or partitioned, an instance that sees an eligible owner in
+// the cell's region selects no other region, and instances with equal views agree.
 func TestOwnersOfCutAndLostRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var alive []gossip.Instance
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
-			seen := rapid.Bool().Draw(t, "seen")
+			visible := rapid.Bool().Draw(t, "seen")
 			x := gossip.Instance{
 				Name:           strconv.Itoa(i),
 				Region:         rapid.SampledFrom([]string{"n", "s", "w", ""}).Draw(t, "region"),
@@ -95,24 +96,24 @@
 			if rapid.Bool().Draw(t, "owns") {
 				x.OwnedCells = []uint32{7}
 			}
-			if seen || i == 0 {
+			if visible || i == 0 {
 				alive = append(alive, x)
 			}
 		}
 		ranked := Rank(alive, 7, "n")
 		if len(ranked) == 0 {
-			t.Fatal("nobody owns the cell")
+			t.Fatal("the cell has no owner")
 		}
-		there := slices.ContainsFunc(alive, func(i gossip.Instance) bool {
-			return i.Region == "n" && !i.Leaving && (i.Settled() || owns(i, 7))
+		regionHasOwner := slices.ContainsFunc(alive, func(i gossip.Instance) bool {
+			return i.Region == "n" && !i.Leaving && (i.Settled() || ownsCell(i, 7))
 		})
-		if there && ranked[0].Region != "n" {
-			t.Fatalf("%s of %q is chosen", ranked[0].Name, ranked[0].Region)
+		if regionHasOwner && ranked[0].Region != "n" {
+			t.Fatalf("%s of region %q is selected", ranked[0].Name, ranked[0].Region)
 		}
 		other := slices.Clone(alive)
 		slices.Reverse(other)
 		if got := Rank(other, 7, "n")[0].Name; got != ranked[0].Name {
-			t.Fatalf("%s and %s are chosen with the same view", got, ranked[0].Name)
+			t.Fatalf("%s and %s are selected with equal views", got, ranked[0].Name)
 		}
 	})
 }
