--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -195,8 +195,8 @@
 
 func (v *View) insert(r *row) {
 	v.rows[r.Name], v.byKey[r.key] = r, r
-	at, _ := slices.BinarySearchFunc(v.sorted, r.Name, func(o *row, name string) int { return cmp.Compare(o.Name, name) })
-	v.sorted = slices.Insert(v.sorted, at, r)
+	index, _ := slices.BinarySearchFunc(v.sorted, r.Name, func(o *row, name string) int { return cmp.Compare(o.Name, name) })
+	v.sorted = slices.Insert(v.sorted, index, r)
 }
 
 // sameAnnouncedState reports whether two entries agree in all fields that make peers
@@ -282,10 +282,10 @@
 const announcementsPerChange = 4
 
 // MergeHeartbeat applies a counter from a message.
-func (v *View) MergeHeartbeat(now time.Duration, b Heartbeat) {
-	r := v.byKey[b.Key]
-	if r != nil && b.Count > r.HeartbeatCount {
-		r.HeartbeatCount, r.lastHeartbeat = b.Count, now
+func (v *View) MergeHeartbeat(now time.Duration, h Heartbeat) {
+	r := v.byKey[h.Key]
+	if r != nil && h.Count > r.HeartbeatCount {
+		r.HeartbeatCount, r.lastHeartbeat = h.Count, now
 	}
 }
 
--- a/coordination/level/level.go
+++ b/coordination/level/level.go
@@ -39,8 +39,8 @@
 // Current is the feature level of this build.
 const Current = ReplicaIncarnations
 
-// SettleTime is how long all instances must have announced a level before it takes
-// effect. It exceeds the failure timeout of an instance, so that an instance that is
+// SettleTime is the time for which all instances must have announced a level before it
+// takes effect. It exceeds the failure timeout of an instance, so that an instance that is
 // briefly unreachable does not change the level twice.
 const SettleTime = 3 * time.Second
 
@@ -55,19 +55,19 @@
 
 // Observe updates the tracker with the levels of all live instances, including this
 // one, and reports whether the level in force has changed.
-func (f *Tracker) Observe(now time.Duration, all []uint32) bool {
+func (t *Tracker) Observe(now time.Duration, all []uint32) bool {
 	minimum := slices.Min(all)
-	before := f.inForce
+	before := t.inForce
 	switch {
-	case minimum <= f.inForce:
-		f.inForce, f.hasCandidate = minimum, false
-	case !f.hasCandidate || minimum < f.candidate:
-		f.candidate, f.candidateSince, f.hasCandidate = minimum, now, true
-	case now-f.candidateSince >= SettleTime:
-		f.inForce, f.hasCandidate = f.candidate, false
+	case minimum <= t.inForce:
+		t.inForce, t.hasCandidate = minimum, false
+	case !t.hasCandidate || minimum < t.candidate:
+		t.candidate, t.candidateSince, t.hasCandidate = minimum, now, true
+	case now-t.candidateSince >= SettleTime:
+		t.inForce, t.hasCandidate = t.candidate, false
 	}
-	return f.inForce != before
+	return t.inForce != before
 }
 
 // InForce returns the level that all live instances support.
-func (f *Tracker) InForce() uint32 { return f.inForce }
+func (t *Tracker) InForce() uint32 { return t.inForce }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -183,11 +183,11 @@
 	}
 	v.rows[r.Name] = r
 	v.digest ^= r.hash()
-	s := ringEntry{hash: xxhash.Sum64String(r.Name), name: r.Name}
-	i, found := slices.BinarySearchFunc(v.ring, s, compareRingEntries)
+	e := ringEntry{hash: xxhash.Sum64String(r.Name), name: r.Name}
+	i, found := slices.BinarySearchFunc(v.ring, e, compareRingEntries)
 	switch live := r.State != Dead; {
 	case live && !found:
-		v.ring = slices.Insert(v.ring, i, s)
+		v.ring = slices.Insert(v.ring, i, e)
 	case !live && found:
 		v.ring = slices.Delete(v.ring, i, i+1)
 	}
--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -48,7 +48,8 @@
 	return eligible
 }
 
-// remoteRegionPenalty ranks instances of other regions below all of the cell's region.
+// remoteRegionPenalty ranks instances of other regions below all those of the cell's
+// region.
 const remoteRegionPenalty = 2 + gossip.CPURankCount
 
 // CanDecide reports whether the view is sufficient to decide who owns a cell. Right
