--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -48,9 +48,9 @@
 		customer = s.world.config.Customers[s.req.Key]
 	}
 	if route.Anonymous || customer == nil {
-		return regions.Bind(route.Regions)
+		return regions.Bind(route.AllowedRegions)
 	}
-	return regions.Bind(route.Regions, customer.Regions)
+	return regions.Bind(route.AllowedRegions, customer.AllowedRegions)
 }
 
 // permitted returns the replicas in regions that may serve the request.
@@ -229,7 +229,7 @@
 func (n *Node) noteFar(alive []gossip.Instance) {
 	far := make(map[string]bool)
 	for _, i := range alive {
-		if host, _, err := net.SplitHostPort(i.Datagram); err == nil && i.Region != n.home {
+		if host, _, err := net.SplitHostPort(i.HeartbeatAddress); err == nil && i.Region != n.home {
 			far[host] = true
 		}
 	}
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -136,17 +136,17 @@
 	s.Limited = n.limitedStates(w)
 	s.Leaving = append(s.Leaving, n.recentlyLeaving(mostLeavingTold)...)
 	s.FleetLevel = n.level.inForce()
-	s.Waiting = level.Waiting(s.FleetLevel)
+	s.Waiting = level.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
 	s.Emptied = n.emptied.Halls()
 	n.followMu.Unlock()
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
 	for _, r := range w.all {
-		if r.Born != 0 {
+		if r.StartMillis != 0 {
 			s.Lives++
 		}
-		if r.ColdUntil > n.now() {
+		if r.WarmingUntil > n.now() {
 			s.Cold = append(s.Cold, r.ID)
 		}
 	}
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -78,7 +78,7 @@
 			}
 			return
 		}
-		row := replicaRow{value: value, replica: r, coldUntil: now + r.Warming}
+		row := replicaRow{value: value, replica: r, coldUntil: now + r.WarmupLeft}
 		rows[id], lives[r.ID] = row, row
 	})
 	for life, row := range s.lives {
@@ -89,7 +89,7 @@
 		case listed:
 		case again:
 			out.over = append(out.over, row.replica)
-		case !leaves && !row.replica.Leaving && !left(life):
+		case !leaves && !row.replica.Draining && !left(life):
 			out.gone = append(out.gone, row.replica)
 		}
 	}
@@ -102,10 +102,10 @@
 	var out []catalog.Replica
 	cold := make(map[string]time.Duration)
 	for _, r := range all {
-		if r.ColdUntil <= now {
+		if r.WarmingUntil <= now {
 			continue
 		}
-		cold[r.ID] = r.ColdUntil
+		cold[r.ID] = r.WarmingUntil
 		if s.saidCold[r.ID] <= now {
 			out = append(out, r)
 		}
@@ -142,7 +142,7 @@
 			event.NodeEntryBroken.Log(n.log, "name", id)
 		}
 		for _, r := range cold {
-			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.ColdUntil-now)
+			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
 		n.owner.refresh()
 	}
@@ -152,28 +152,28 @@
 // and the roll-outs. It needs followMu.
 func (n *Node) makeWorld() *world {
 	w := &world{
-		config: n.config, listed: n.replicas.log.Known(), places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int),
+		config: n.config, listed: n.replicas.log.IsLoaded(), places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int),
 		lifeByName: make(map[string]string),
 	}
 	for id, row := range n.replicas.lives {
 		r := row.replica
 		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
-			r.Leaving = true
+			r.Draining = true
 		}
 		r.Region = n.places.Of(r.Hall)
-		r.Emptied = n.emptied.Emptied(r.Hall)
-		r.ColdUntil = n.coldUntil(w.config, &row)
+		r.HallDrained = n.emptied.Emptied(r.Hall)
+		r.WarmingUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
-		if r.Born != 0 {
+		if r.StartMillis != 0 {
 			w.lifeByName[r.Name] = r.ID
 		}
-		if !r.Leaving {
+		if !r.Draining {
 			w.sizes[r.Service]++
 		}
 	}
 	n.rollouts.part(n.now(), w)
 	for _, r := range w.all {
-		if r.Takes() {
+		if r.AcceptsWork() {
 			w.services[r.Service] = append(w.services[r.Service], r)
 		}
 	}
@@ -184,21 +184,21 @@
 func (n *Node) listKnown() bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.Known()
+	return n.replicas.log.IsLoaded()
 }
 
 // listAt is the store's revision up to which the replicas' changes are known.
 func (n *Node) listAt() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.At()
+	return n.replicas.log.Revision()
 }
 
 // listChanged is the store's revision of the newest change of the replicas known.
 func (n *Node) listChanged() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.Changed()
+	return n.replicas.log.LastChange()
 }
 
 // signHolds is how long a sign of leaving is kept, a connection closed with a
--- a/coordination/gossip/regions_test.go
+++ b/coordination/gossip/regions_test.go
@@ -11,99 +11,100 @@
 	"pgregory.net/rapid"
 )
 
-// places is a fleet in regions whose links to each other can be cut, slow and lossy.
-type places struct {
-	views   map[string]*View
-	where   map[string]string // region, by name
-	lost    map[string]bool   // instances
-	cut     map[string]bool   // regions
-	loss    float64           // of messages between regions
-	slow    int               // rounds that a message between regions takes
-	waiting map[int][]letter  // by the round in which they come
-	random  *rand.Rand
-	round   int
-	crossed int // messages between regions
+// regionFleet is a fleet in several regions whose connections can be partitioned, slow
+// and lossy.
+type regionFleet struct {
+	views       map[string]*View
+	regionOf    map[string]string  // region by instance name
+	stopped     map[string]bool    // instances
+	partitioned map[string]bool    // regions
+	loss        float64            // loss rate between regions
+	delayRounds int                // delay of messages between regions
+	inFlight    map[int][]delivery // by delivery round
+	random      *rand.Rand
+	round       int
+	crossRegion int // messages between regions
 }
 
-type letter struct {
+type delivery struct {
 	to string
 	m  Message
 }
 
-func newPlaces(regions, each int, seed uint64) *places {
-	p := &places{views: make(map[string]*View), where: make(map[string]string), lost: make(map[string]bool), cut: make(map[string]bool),
-		waiting: make(map[int][]letter), random: rand.New(rand.NewPCG(seed, 7))}
+func newRegionFleet(regions, each int, seed uint64) *regionFleet {
+	f := &regionFleet{views: make(map[string]*View), regionOf: make(map[string]string), stopped: make(map[string]bool), partitioned: make(map[string]bool),
+		inFlight: make(map[int][]delivery), random: rand.New(rand.NewPCG(seed, 7))}
 	var all []Instance
 	for r := range regions {
 		for i := range each {
 			name := fmt.Sprintf("r%d-%02d", r, i)
-			all = append(all, Instance{Name: name, Region: fmt.Sprint("r", r), Hall: fmt.Sprintf("r%d-%d", r, i%2), Incarnation: 1, Datagram: name})
-			p.where[name] = fmt.Sprint("r", r)
+			all = append(all, Instance{Name: name, Region: fmt.Sprint("r", r), Hall: fmt.Sprintf("r%d-%d", r, i%2), Incarnation: 1, HeartbeatAddress: name})
+			f.regionOf[name] = fmt.Sprint("r", r)
 		}
 	}
 	for _, self := range all {
-		v := New(self, Standard())
-		for _, other := range all { // as the store's entries tell
+		v := New(self, DefaultOptions())
+		for _, other := range all { // from the store's entries
 			v.Merge(0, other)
 		}
-		p.views[self.Name] = v
+		f.views[self.Name] = v
 	}
-	return p
+	return f
 }
 
-func (p *places) now() time.Duration { return time.Duration(p.round) * round }
+func (f *regionFleet) now() time.Duration { return time.Duration(f.round) * round }
 
-func (p *places) run(d time.Duration) {
-	names := slices.Sorted(maps.Keys(p.views))
+func (f *regionFleet) run(d time.Duration) {
+	names := slices.Sorted(maps.Keys(f.views))
 	for range int(d / round) {
-		p.round++
+		f.round++
 		for _, name := range names {
-			if !p.lost[name] {
-				to, m := p.views[name].Round(p.now(), p.random)
-				p.send(name, to, m)
+			if !f.stopped[name] {
+				to, m := f.views[name].Round(f.now(), f.random)
+				f.send(name, to, m)
 			}
 		}
-		for _, l := range p.waiting[p.round] {
-			p.take(l)
+		for _, l := range f.inFlight[f.round] {
+			f.deliver(l)
 		}
-		delete(p.waiting, p.round)
+		delete(f.inFlight, f.round)
 	}
 }
 
-func (p *places) send(from string, to []string, m Message) {
+func (f *regionFleet) send(from string, to []string, m Message) {
 	for _, peer := range to {
-		at := p.round
-		if a, b := p.where[from], p.where[peer]; a != b {
-			p.crossed++
-			if p.cut[a] || p.cut[b] || p.random.Float64() < p.loss {
+		at := f.round
+		if a, b := f.regionOf[from], f.regionOf[peer]; a != b {
+			f.crossRegion++
+			if f.partitioned[a] || f.partitioned[b] || f.random.Float64() < f.loss {
 				continue
 			}
-			at += p.slow
+			at += f.delayRounds
 		}
-		if at == p.round {
-			p.take(letter{peer, m})
+		if at == f.round {
+			f.deliver(delivery{peer, m})
 			continue
 		}
-		p.waiting[at] = append(p.waiting[at], letter{peer, m})
+		f.inFlight[at] = append(f.inFlight[at], delivery{peer, m})
 	}
 }
 
-func (p *places) take(l letter) {
-	if p.lost[l.to] {
+func (f *regionFleet) deliver(l delivery) {
+	if f.stopped[l.to] {
 		return
 	}
-	for _, i := range l.m.News {
-		p.views[l.to].Merge(p.now(), i)
+	for _, i := range l.m.Entries {
+		f.views[l.to].Merge(f.now(), i)
 	}
-	for _, b := range l.m.Beats {
-		p.views[l.to].MergeBeat(p.now(), b)
+	for _, b := range l.m.Heartbeats {
+		f.views[l.to].MergeHeartbeat(f.now(), b)
 	}
 }
 
-// hears returns how many of a region's instances one instance hears of.
-func (p *places) hears(name, region string) int {
+// aliveIn returns how many instances of a region one instance considers alive.
+func (f *regionFleet) aliveIn(name, region string) int {
 	n := 0
-	for _, i := range p.views[name].Alive(p.now()) {
+	for _, i := range f.views[name].Alive(f.now()) {
 		if i.Region == region {
 			n++
 		}
@@ -111,52 +112,54 @@
 	return n
 }
 
-// check tells where an instance that runs hears of fewer of a region than it should.
-func (p *places) check(t *rapid.T, when string, want func(from, region string) int) {
-	for name, from := range p.where {
-		if p.lost[name] {
+// check fails if a running instance sees another number of live instances in a region
+// than wanted.
+func (f *regionFleet) check(t *rapid.T, phase string, want func(from, region string) int) {
+	for name, from := range f.regionOf {
+		if f.stopped[name] {
 			continue
 		}
 		for _, region := range []string{"r0", "r1", "r2"} {
-			if got, w := p.hears(name, region), want(from, region); got != w {
-				t.Fatalf("%s, %v: %s hears of %d in %s, not %d", when, p.now(), name, got, region, w)
+			if got, w := f.aliveIn(name, region), want(from, region); got != w {
+				t.Fatalf("%s, %v: %s sees %d alive in %s, not %d", phase, f.now(), name, got, region, w)
 			}
 		}
 	}
 }
 
-// Few messages cross between regions, and still all hear of all while links are
-// slow and lose up to three messages in ten; a region that is cut off goes on by itself
-// and is heard of again soon after; so is one that is lost and comes back.
+// Few messages cross regions, and still all instances see each other while
+// connections between regions are slow and lose up to 30% of messages. A
+// partitioned region keeps its own view and is seen again soon after it heals; the
+// loss of a single instance is detected in all regions.
 func TestRegionsHearOfEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		each := rapid.SampledFrom([]int{4, 12}).Draw(t, "each")
-		p := newPlaces(3, each, rapid.Uint64().Draw(t, "seed"))
-		p.loss, p.slow = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss"), rapid.IntRange(0, 1).Draw(t, "slow")
-		p.run(3 * time.Second)
-		before := p.crossed
+		f := newRegionFleet(3, each, rapid.Uint64().Draw(t, "seed"))
+		f.loss, f.delayRounds = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss"), rapid.IntRange(0, 1).Draw(t, "slow")
+		f.run(3 * time.Second)
+		before := f.crossRegion
 		for range 5 {
-			p.run(2 * time.Second)
-			p.check(t, "all well", func(string, string) int { return each })
+			f.run(2 * time.Second)
+			f.check(t, "all well", func(string, string) int { return each })
 		}
-		if perRound := float64(p.crossed-before) / 50; perRound > 3*Standard().Across*1.3 {
-			t.Fatalf("%.1f messages cross in a round", perRound)
+		if perRound := float64(f.crossRegion-before) / 50; perRound > 3*DefaultOptions().CrossRegionMessages*1.3 {
+			t.Fatalf("%.1f messages cross regions in a round", perRound)
 		}
-		p.cut["r0"] = true
-		p.run(6 * time.Second)
-		p.check(t, "cut", func(from, region string) int {
+		f.partitioned["r0"] = true
+		f.run(6 * time.Second)
+		f.check(t, "cut", func(from, region string) int {
 			if from == region || from != "r0" && region != "r0" {
 				return each
 			}
 			return 0
 		})
-		p.cut["r0"] = false
-		p.run(4 * time.Second)
-		p.check(t, "healed", func(string, string) int { return each })
-		gone := "r1-00"
-		p.lost[gone] = true
-		p.run(6 * time.Second)
-		p.check(t, "one lost", func(_, region string) int {
+		f.partitioned["r0"] = false
+		f.run(4 * time.Second)
+		f.check(t, "healed", func(string, string) int { return each })
+		stopped := "r1-00"
+		f.stopped[stopped] = true
+		f.run(6 * time.Second)
+		f.check(t, "one lost", func(_, region string) int {
 			if region == "r1" {
 				return each - 1
 			}
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -19,7 +19,7 @@
 	is.True(v.Merge(0, member("b", 5)))
 	old := member("b", 4)
 	old.Leaving = true
-	is.True(!v.Merge(0, old)) // an older incarnation says nothing of the newer
+	is.True(!v.Merge(0, old)) // an entry of an older incarnation is ignored
 	m, _ := v.Get("b")
 	is.True(!m.Leaving)
 	is.True(v.Merge(0, member("b", 6)))
@@ -37,25 +37,25 @@
 	is.True(m.Leaving)
 }
 
-func TestSilentThenDeadThenBack(t *testing.T) {
+func TestSuspectDiesAndRefutes(t *testing.T) {
 	is := is.New(t)
-	v := New(member("a", 1), SuspectFor(time.Second))
+	v := New(member("a", 1), SuspectTimeout(time.Second))
 	v.Merge(0, member("b", 1))
-	m, suspect := v.Silent(0, "b")
+	m, suspect := v.MarkSuspect(0, "b")
 	is.True(suspect)
 	is.Equal(len(v.Tick(500*time.Millisecond)), 0)
 	is.Equal(len(v.Tick(2*time.Second)), 1)
 	is.Equal(len(v.Live()), 1)
 	b := New(member("b", 1))
 	dead, _ := v.Get("b")
-	is.True(b.Merge(0, dead)) // b hears of its death and refutes it
+	is.True(b.Merge(0, dead)) // b receives the entry that declares it dead and refutes it
 	is.True(v.Merge(3*time.Second, b.Self()))
 	is.Equal(len(v.Live()), 2)
 	is.Equal(m.State, Suspect)
 }
 
-// Views that exchange their tables in any order, over any losses, agree once
-// every pair has talked, and nobody takes a living member for dead for good.
+// Views that exchange their tables in any order and with any losses agree once every
+// pair has exchanged them, and no live member stays dead in any view.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "n")
@@ -73,7 +73,7 @@
 			case 0:
 				exchange(now, a, b)
 			case 1:
-				a.Silent(now, b.Self().Name)
+				a.MarkSuspect(now, b.Self().Name)
 			case 2:
 				a.Tick(now)
 			case 3:
@@ -115,7 +115,7 @@
 		for _, m := range all {
 			v.Merge(0, m)
 		}
-		partners[self.Name] = v.Partners()
+		partners[self.Name] = v.HeartbeatTargets()
 		is.Equal(len(partners[self.Name]), 9) // ceil(log2(390))
 	}
 	reached, front := map[string]bool{"m000": true}, []string{"m000"}
@@ -136,20 +136,20 @@
 	is.True(hops <= 9)
 }
 
-// A coord that starts again after its clock went back is another life of it, and
-// the later one.
+// A coord that restarts after its clock went back must count as a new and higher
+// incarnation.
 func TestAStartAfterTheClockWentBackIsTheLaterOne(t *testing.T) {
-	for _, before := range []uint64{5, 6, 1 << 62} {
+	for _, previous := range []uint64{5, 6, 1 << 62} {
 		is := is.New(t)
-		a, last := New(member("a", 1)), New(member("b", before))
-		last.Update(func(m *Member) { m.Leaving = true })
-		exchange(0, a, last)
+		a, previousRun := New(member("a", 1)), New(member("b", previous))
+		previousRun.Update(func(m *Member) { m.Leaving = true })
+		exchange(0, a, previousRun)
 		next := New(member("b", 5))
 		exchange(time.Second, a, next)
 		exchange(time.Second, a, next)
-		known, _ := a.Get("b")
-		is.Equal(known, next.Self())
-		is.True(!known.Leaving)
-		is.True(known.Incarnation > before)
+		recorded, _ := a.Get("b")
+		is.Equal(recorded, next.Self())
+		is.True(!recorded.Leaving)
+		is.True(recorded.Incarnation > previous)
 	}
 }
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -61,7 +61,7 @@
 	fill := p.targetFill(now, &s.opts)
 	for i, r := range idle {
 		if i == len(idle)-1 {
-			fill = max(fill, s.opts.LastReplicaFill*float64(p.def.Batch))
+			fill = max(fill, s.opts.LastReplicaFill*float64(p.def.MaxBatch))
 		}
 		if !p.shouldCall(now, fill, &s.opts) {
 			return
@@ -106,7 +106,7 @@
 			out[r.Hall] = h
 		}
 		h.freeAt = min(h.freeAt, free)
-		h.capacity += p.def.Batch
+		h.capacity += p.def.MaxBatch
 	}
 	return out
 }
@@ -117,9 +117,9 @@
 // results that are not needed soon wait, and so do jobs that have not started, until there is
 // memory for their results.
 func (p *pool) pickBatch(now time.Duration, r *replica, o *Options) []*stageItem {
-	freeBytes := p.def.Room - r.usedBytes(now, p.def.HoldFor)
+	freeBytes := p.def.ResultMemory - r.usedBytes(now, p.def.ResultTTL)
 	halls := p.hallStates(now)
-	slack := time.Duration(o.HallSlack * float64(p.def.CallTime))
+	slack := time.Duration(o.HallSlack * float64(p.def.BatchTime))
 	var batch []*stageItem
 	mates := batchMates{maxSuspects: o.MaxSuspectsPerCall}
 	var blocked map[*pool]bool // pools that more urgent jobs wait for
@@ -130,7 +130,7 @@
 			remaining = append(remaining, x)
 			continue
 		}
-		if len(batch) < p.def.Batch && x.stage.def.ResultBytes <= freeBytes && !x.isPremature() && x.mayRunAt(r, halls[x.preferredHall], slack) && mates.admits(x.stage.job) {
+		if len(batch) < p.def.MaxBatch && x.stage.def.ResultBytes <= freeBytes && !x.isPremature() && x.mayRunAt(r, halls[x.preferredHall], slack) && mates.admits(x.stage.job) {
 			mates.add(x.stage.job)
 			x.stage.job.start(now)
 			freeBytes -= x.stage.def.ResultBytes
@@ -170,7 +170,7 @@
 		c.resultBytes += x.stage.def.ResultBytes
 		items = append(items, x.callItem(now))
 	}
-	if p.warmUpRate > 0 && now < r.ColdUntil {
+	if p.warmUpRate > 0 && now < r.WarmingUntil {
 		p.warmUpCalls.Sent(now, r.ID)
 	}
 	if r.sendInterval > 0 {
@@ -232,7 +232,7 @@
 	j := x.stage.job
 	wanted := s.jobs[j.id] == j && x.state != done && !x.stage.freed
 	if res.Handle != "" {
-		c.replica.results[res.Handle] = &heldResult{bytes: x.stage.def.ResultBytes, expiresAt: now + c.pool.def.HoldFor}
+		c.replica.results[res.Handle] = &heldResult{bytes: x.stage.def.ResultBytes, expiresAt: now + c.pool.def.ResultTTL}
 		c.replica.heldBytes += x.stage.def.ResultBytes
 		if !wanted {
 			s.freeResult(c.replica, res.Handle)
@@ -254,7 +254,7 @@
 	case InputMissing:
 		s.rerunWithInputs(now, x)
 	case MemoryFull:
-		c.replica.recordMemoryFull(now, c.pool.def.HoldFor, x.stage.def.ResultBytes)
+		c.replica.recordMemoryFull(now, c.pool.def.ResultTTL, x.stage.def.ResultBytes)
 		x.attempts--
 		s.requeue(now, x)
 	default:
--- a/coordination/pipeline/patience.go
+++ b/coordination/pipeline/patience.go
@@ -21,7 +21,7 @@
 	if float64(len(p.ready)) >= fill || len(p.replicasByID) < minReplicasToWait {
 		return true
 	}
-	urgentBefore := now + time.Duration(o.UrgentSlack*float64(p.def.CallTime))
+	urgentBefore := now + time.Duration(o.UrgentSlack*float64(p.def.BatchTime))
 	return slices.ContainsFunc(p.ready, func(x *stageItem) bool {
 		return x.stage.latestStart < urgentBefore && x.stage.job.rank < lateRank // late items are not urgent
 	})
@@ -31,13 +31,13 @@
 // the replicas idle. With n items a call, arrivals a second and item seconds each, arrivals *
 // (call/n + item) replicas are busy.
 func (p *pool) targetFill(now time.Duration, o *Options) float64 {
-	limit := float64(p.def.Batch)
+	limit := float64(p.def.MaxBatch)
 	arrivals, itemSecondsRate := p.load.arrivalsAhead(now, math.MaxInt)
 	spare := p.effectiveReplicas(now)*o.TargetUtilization - itemSecondsRate
 	if spare <= 0 {
 		return limit
 	}
-	return min(arrivals*p.def.CallTime.Seconds()/spare, limit)
+	return min(arrivals*p.def.BatchTime.Seconds()/spare, limit)
 }
 
 // effectiveReplicas returns the throughput of a pool's replicas as a number of replicas with
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -191,7 +191,7 @@
 		p.def = *service.Pool
 		p.warmUpRate = 0
 		if service.WarmUp != nil {
-			p.warmUpRate = s.opts.WarmUpLimit.Most(service.WarmUp.PerSecond)
+			p.warmUpRate = s.opts.WarmUpLimit.Most(service.WarmUp.RequestsPerSecond)
 		}
 	}
 	slices.SortFunc(s.poolsByName, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
@@ -238,10 +238,10 @@
 		if r == nil {
 			continue
 		}
-		r.foreignBytes = max(p.def.Room-freeBytes-r.heldBytes, 0)
+		r.foreignBytes = max(p.def.ResultMemory-freeBytes-r.heldBytes, 0)
 		r.foreignAt = now
 		if busy && r.call == nil {
-			r.pausedUntil = max(r.pausedUntil, now+p.def.CallTime)
+			r.pausedUntil = max(r.pausedUntil, now+p.def.BatchTime)
 		}
 	}
 }
--- a/coordination/pipeline/places_test.go
+++ b/coordination/pipeline/places_test.go
@@ -29,7 +29,7 @@
 	h.submit(newTestJob("first", 8)) // more than one call holds, so both replicas are busy
 	is.Equal(h.busyReplicas("read"), 2)
 	full := h.submit(newTestJob("before", 4)).Expected
-	h.apply(h.s.SetPools(h.now, services(), replicasWithHallB(func(r *catalog.Replica) { r.Emptied = true })))
+	h.apply(h.s.SetPools(h.now, services(), replicasWithHallB(func(r *catalog.Replica) { r.HallDrained = true })))
 	is.True(h.submit(newTestJob("during", 4)).Expected > full)
 	h.answer("read-b", Answered)
 	_, busy := h.calls["read-b"]
@@ -45,8 +45,8 @@
 	is := is.New(t)
 	h := newHarness(t, WithWarmUpLimit(warmup.Limit{Overrun: 1.5, Slack: 5}))
 	withWarmUp := services()
-	withWarmUp["read"].WarmUp = &catalog.WarmUp{For: time.Minute, PerSecond: 2}
-	h.apply(h.s.SetPools(0, withWarmUp, replicasWithHallB(func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })))
+	withWarmUp["read"].WarmUp = &catalog.WarmUp{Duration: time.Minute, RequestsPerSecond: 2}
+	h.apply(h.s.SetPools(0, withWarmUp, replicasWithHallB(func(r *catalog.Replica) { r.WarmingUntil = 10 * time.Second })))
 	calls := 0
 	for range 59 { // just under three seconds
 		h.submit(newTestJob("job", 8)) // for both replicas
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -78,7 +78,7 @@
 		}
 		pl.itemsAhead -= others
 		left -= own
-		took := pl.pool.def.CallTime.Seconds() + others*pl.itemSeconds + own*item
+		took := pl.pool.def.BatchTime.Seconds() + others*pl.itemSeconds + own*item
 		end := at + time.Duration(took*speed*float64(time.Second))
 		pl.occupyFirst(max(end, at+pl.replicas[0].sendInterval))
 		if own > 0 {
@@ -138,9 +138,9 @@
 		if len(pl.replicas) == 0 {
 			return noReplicaWait
 		}
-		n := min(pl.itemsAhead, float64(p.def.Batch))
+		n := min(pl.itemsAhead, float64(p.def.MaxBatch))
 		pl.itemsAhead -= n
-		took := (p.def.CallTime.Seconds() + n*pl.itemSeconds) * pl.replicas[0].slowdown
+		took := (p.def.BatchTime.Seconds() + n*pl.itemSeconds) * pl.replicas[0].slowdown
 		pl.occupyFirst(pl.replicas[0].freeAt + max(time.Duration(took*float64(time.Second)), pl.replicas[0].sendInterval))
 	}
 	if len(pl.replicas) == 0 {
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -65,11 +65,11 @@
 func (p *pool) upsert(r catalog.Replica) {
 	old := p.replicas[r.ID]
 	if old == nil {
-		p.replicas[r.ID] = &replica{Replica: r, draining: r.Leaving, results: make(map[string]*heldResult), slowdown: 1}
+		p.replicas[r.ID] = &replica{Replica: r, draining: r.Draining, results: make(map[string]*heldResult), slowdown: 1}
 		return
 	}
 	old.Replica = r
-	old.draining = old.draining || r.Leaving // an incarnation never stops draining
+	old.draining = old.draining || r.Draining // an incarnation never stops draining
 	old.unlisted = false
 }
 
@@ -91,7 +91,9 @@
 }
 
 // acceptsWork reports whether a replica may get new work at all.
-func (r *replica) acceptsWork() bool { return !r.draining && !r.unlisted && !r.Emptied && !r.Withheld }
+func (r *replica) acceptsWork() bool {
+	return !r.draining && !r.unlisted && !r.HallDrained && !r.HeldByRollout
+}
 
 func (r *replica) isIdle(now time.Duration) bool {
 	return r.call == nil && r.acceptsWork() && now >= r.pausedUntil && now >= r.backoffUntil && now >= r.nextSendAt
@@ -100,7 +102,7 @@
 // allowsWarmUpCall reports whether a replica has warmed up or may get another call before it
 // has.
 func (p *pool) allowsWarmUpCall(now time.Duration, r *replica) bool {
-	return p.warmUpRate == 0 || now >= r.ColdUntil || p.warmUpCalls.Free(now, r.ID, p.warmUpRate) <= now
+	return p.warmUpRate == 0 || now >= r.WarmingUntil || p.warmUpCalls.Free(now, r.ID, p.warmUpRate) <= now
 }
 
 // capacityHorizon is how long a replica may be paused and still count as capacity. Such a
@@ -175,7 +177,7 @@
 // recordCallTime updates the estimates with the duration of a call; allSucceeded says whether
 // all of its items have results.
 func (p *pool) recordCallTime(r *replica, c *call, took time.Duration, allSucceeded bool) {
-	fixed := p.def.CallTime.Seconds()
+	fixed := p.def.BatchTime.Seconds()
 	counts := make(map[int64]float64)
 	for _, x := range c.items {
 		counts[x.stage.def.ResultBytes] += p.def.ItemTime.Seconds()
@@ -203,9 +205,9 @@
 
 // batchLimit returns how many items with results of this size a call can hold.
 func (p *pool) batchLimit(bytes int64) int {
-	n := p.def.Batch
-	if bytes > 0 && p.def.Room > 0 {
-		n = min(n, int(p.def.Room/bytes))
+	n := p.def.MaxBatch
+	if bytes > 0 && p.def.ResultMemory > 0 {
+		n = min(n, int(p.def.ResultMemory/bytes))
 	}
 	return max(n, 1)
 }
@@ -218,7 +220,7 @@
 // expectedCallTime returns the time that a call with these items takes at a replica with
 // slowdown 1.
 func (p *pool) expectedCallTime(items []*stageItem) time.Duration {
-	t := p.def.CallTime.Seconds()
+	t := p.def.BatchTime.Seconds()
 	for _, x := range items {
 		t += p.itemSeconds(x.stage.def.ResultBytes)
 	}
--- a/coordination/pipeline/random_test.go
+++ b/coordination/pipeline/random_test.go
@@ -65,7 +65,7 @@
 	if id, busy := w.runningCall[c.Replica]; busy {
 		w.t.Fatalf("%s gets call %d while %d is running", c.Replica, c.ID, id)
 	}
-	if len(c.Items) == 0 || len(c.Items) > w.s.pools[c.Service].def.Batch {
+	if len(c.Items) == 0 || len(c.Items) > w.s.pools[c.Service].def.MaxBatch {
 		w.t.Fatalf("a call of %d items", len(c.Items))
 	}
 	seen := make(map[string]bool)
--- a/coordination/pipeline/room.go
+++ b/coordination/pipeline/room.go
@@ -54,7 +54,7 @@
 	p.memory.capacity = 0
 	for _, r := range p.replicasByID {
 		if r.isServing(now) {
-			p.memory.capacity += float64(p.def.Room)
+			p.memory.capacity += float64(p.def.ResultMemory)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 		}
 		holdFor := time.Duration(0)
 		for _, n := range j.memoryNeeds {
-			holdFor = max(holdFor, n.pool.def.HoldFor)
+			holdFor = max(holdFor, n.pool.def.ResultTTL)
 		}
 		if now-j.deliveredAt > holdFor {
 			j.releaseMemory()
--- a/coordination/pipeline/room_test.go
+++ b/coordination/pipeline/room_test.go
@@ -128,7 +128,7 @@
 func TestWhoNeverReadsKeepsOthersOutForAWhileOnly(t *testing.T) {
 	is := is.New(t)
 	h := newFullHarness(t)
-	h.tick(services()["read"].Pool.HoldFor + time.Second)
+	h.tick(services()["read"].Pool.ResultTTL + time.Second)
 	is.Equal(h.s.pools["read"].memory.reserved, int64(0))
 	is.True(h.submit(newTestJob("next", 4)).Admitted)
 	is.True(h.busyReplica("read") != "")
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -94,7 +94,7 @@
 
 // itemWork returns the work of one item of the stage in a full call.
 func (st *stage) itemWork() float64 {
-	return st.pool.def.CallTime.Seconds()/float64(st.pool.batchLimit(st.def.ResultBytes)) + st.pool.itemSeconds(st.def.ResultBytes)
+	return st.pool.def.BatchTime.Seconds()/float64(st.pool.batchLimit(st.def.ResultBytes)) + st.pool.itemSeconds(st.def.ResultBytes)
 }
 
 // throttle demotes the waiting jobs of customers that ask for more than their share, beyond
--- a/coordination/pipeline/times.go
+++ b/coordination/pipeline/times.go
@@ -25,8 +25,8 @@
 	}
 	const batchPart = 0.6 // share of a full batch that runs before a given item ends, including its own job's items
 	full := float64(st.pool.batchLimit(st.def.ResultBytes))
-	items := max(full*batchPart, float64(min(len(st.items), st.pool.def.Batch)))
-	t := st.pool.def.CallTime.Seconds() + items*st.pool.itemSeconds(st.def.ResultBytes)
+	items := max(full*batchPart, float64(min(len(st.items), st.pool.def.MaxBatch)))
+	t := st.pool.def.BatchTime.Seconds() + items*st.pool.itemSeconds(st.def.ResultBytes)
 	return time.Duration(t * float64(time.Second))
 }
 
@@ -37,7 +37,7 @@
 	if st.def.ResultBytes < localityBytes || !st.isIsolated() {
 		return false
 	}
-	return st.job.remainingTime() > st.duration()+st.pool.def.CallTime
+	return st.job.remainingTime() > st.duration()+st.pool.def.BatchTime
 }
 
 // isIsolated reports whether a stage neither reads results of other stages nor is read by
