--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -34,7 +34,7 @@
 func BenchmarkLimitsAreLookedAt(b *testing.B) {
 	n := fleetNode(b, 295, 287)
 	for i := range 57 {
-		n.hearLimit(pace.Word{Life: fmt.Sprintf("i-%08x", i), Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
+		n.hearLimit(pace.Report{Incarnation: fmt.Sprintf("i-%08x", i), Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -22,35 +22,35 @@
 	case h.Unclear != "":
 		n.noteUnread(from.service, h.Unclear, "answer")
 	case h.Limit.Stated, !from.aside && n.statements.paced.Load():
-		n.hearLimit(pace.Word{Life: from.life, Limit: h.Limit}, itsOwn)
+		n.hearLimit(pace.Report{Incarnation: from.life, Limit: h.Limit}, itsOwn)
 	}
 }
 
 // hearLimit takes in what a replica states, to this instance or to the one named,
 // and tells the others what is new.
-func (n *Node) hearLimit(w pace.Word, by string) {
+func (n *Node) hearLimit(w pace.Report, by string) {
 	var was pace.Limit
-	change, isNoted := pace.Nothing, false
-	n.statements.withPaces(func(b *pace.Book) {
-		was = b.Limit(w.Life)
-		change = b.Hear(n.now(), w)
-		isNoted = change != pace.Nothing && b.WorthALine(n.now(), w.Life)
+	change, isNoted := pace.Unchanged, false
+	n.statements.withPaces(func(b *pace.Tracker) {
+		was = b.Limit(w.Incarnation)
+		change = b.Record(n.now(), w)
+		isNoted = change != pace.Unchanged && b.ShouldLog(n.now(), w.Incarnation)
 	})
-	if change != pace.Nothing && by == itsOwn {
-		n.tellKeeper(w.Life)
+	if change != pace.Unchanged && by == itsOwn {
+		n.tellKeeper(w.Incarnation)
 	}
 	if !isNoted {
 		return
 	}
 	switch change {
-	case pace.Began, pace.Moved:
+	case pace.Added, pace.Updated:
 		before := -1.0
 		if was.Stated {
 			before = was.PerSecond
 		}
-		event.NodeReplicaLimits.Log(n.log, "replica", w.Life, "service", n.serviceOf(w.Life), "per_second", w.Limit.PerSecond, "was", before, "by", by)
-	case pace.Ended:
-		event.NodeReplicaUnlimited.Log(n.log, "replica", w.Life, "by", by)
+		event.NodeReplicaLimits.Log(n.log, "replica", w.Incarnation, "service", n.serviceOf(w.Incarnation), "per_second", w.Limit.PerSecond, "was", before, "by", by)
+	case pace.Removed:
+		event.NodeReplicaUnlimited.Log(n.log, "replica", w.Incarnation, "by", by)
 	}
 	if by == itsOwn {
 		n.tell()
@@ -78,8 +78,8 @@
 // limitWord is what this instance knows of a replica's limit, as it is told.
 func (n *Node) limitWord(life string) *pb.ReplicaLimit {
 	out := &pb.ReplicaLimit{Id: life}
-	n.statements.withPaces(func(b *pace.Book) {
-		for _, w := range b.Words(n.now(), life) {
+	n.statements.withPaces(func(b *pace.Tracker) {
+		for _, w := range b.Reports(n.now(), life) {
 			out = limitOf(w)
 		}
 	})
@@ -89,29 +89,29 @@
 // limitNews returns what is worth telling others of limits.
 func (n *Node) limitNews() []*pb.ReplicaLimit {
 	var out []*pb.ReplicaLimit
-	n.statements.withPaces(func(b *pace.Book) {
-		for _, w := range b.News(n.now(), freshLimit, mostLimits) {
+	n.statements.withPaces(func(b *pace.Tracker) {
+		for _, w := range b.Updates(n.now(), freshLimit, mostLimits) {
 			out = append(out, limitOf(w))
 		}
 	})
 	return out
 }
 
-func limitOf(w pace.Word) *pb.ReplicaLimit {
-	return &pb.ReplicaLimit{Id: w.Life, PerSecond: w.Limit.PerSecond, Ended: !w.Limit.Stated, AgeMs: uint32(w.Age.Milliseconds())}
+func limitOf(w pace.Report) *pb.ReplicaLimit {
+	return &pb.ReplicaLimit{Id: w.Incarnation, PerSecond: w.Limit.PerSecond, Ended: !w.Limit.Stated, AgeMs: uint32(w.Age.Milliseconds())}
 }
 
 // takeLimits takes in what a peer tells of limits.
 func (n *Node) takeLimits(from string, all []*pb.ReplicaLimit) {
 	for _, l := range all {
-		if l.GetId() == "" || len(l.GetId()) > mostLife || !pace.Proper(l.GetPerSecond()) {
+		if l.GetId() == "" || len(l.GetId()) > mostLife || !pace.IsValidRate(l.GetPerSecond()) {
 			continue
 		}
 		limit := pace.Limit{}
 		if !l.Ended {
 			limit = pace.Limit{PerSecond: l.PerSecond, Stated: true}
 		}
-		n.hearLimit(pace.Word{Life: l.Id, Limit: limit, Age: time.Duration(l.AgeMs) * time.Millisecond}, from)
+		n.hearLimit(pace.Report{Incarnation: l.Id, Limit: limit, Age: time.Duration(l.AgeMs) * time.Millisecond}, from)
 	}
 }
 
@@ -136,7 +136,7 @@
 func (n *Node) sweepLimits() {
 	s := n.statements
 	was := s.unlimited
-	s.withPaces(func(b *pace.Book) { s.unlimited = b.Empty() })
+	s.withPaces(func(b *pace.Tracker) { s.unlimited = b.Empty() })
 	if s.unlimited && was {
 		return
 	}
@@ -146,10 +146,10 @@
 		listed[r.ID] = r
 	}
 	var lives []string
-	s.withPaces(func(b *pace.Book) {
-		s.told.Forget(now)
+	s.withPaces(func(b *pace.Tracker) {
+		s.told.Prune(now)
 		b.Sweep(now, func(life string) bool { _, ok := listed[life]; return ok })
-		lives = b.Lives()
+		lives = b.LimitedIncarnations()
 	})
 	limited := make(map[string]int64)
 	who := n.keepers()
@@ -160,7 +160,7 @@
 		}
 		limited[r.Service]++
 		keeps := who.isSelf(&r)
-		s.withPaces(func(b *pace.Book) { b.Keep(now, life, keeps) })
+		s.withPaces(func(b *pace.Tracker) { b.SetGrantor(now, life, keeps) })
 	}
 	n.counters.stated("limited", limited)
 }
@@ -169,7 +169,7 @@
 // gives their turns.
 func (n *Node) limitedStates(w *world) map[string]string {
 	var limited map[string]float64
-	n.statements.withPaces(func(b *pace.Book) { limited = b.Limited() })
+	n.statements.withPaces(func(b *pace.Tracker) { limited = b.Limits() })
 	who := n.keepers()
 	out := make(map[string]string, len(limited))
 	for life, perSecond := range limited {
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -33,11 +33,11 @@
 )
 
 // withPaces runs f on what replicas state that they take.
-func (s *statements) withPaces(f func(*pace.Book)) {
+func (s *statements) withPaces(f func(*pace.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.paces)
-	s.paced.Store(s.paces.Any())
+	s.paced.Store(s.paces.HasLimits())
 }
 
 // limits reports whether a life states how much it takes.
@@ -46,7 +46,7 @@
 		return false
 	}
 	stated := false
-	s.withPaces(func(b *pace.Book) { stated = b.Limit(life).Stated })
+	s.withPaces(func(b *pace.Tracker) { stated = b.Limit(life).Stated })
 	return stated
 }
 
@@ -66,7 +66,7 @@
 func (k *keepers) of(r *catalog.Replica) (gossip.Instance, bool) {
 	cell, pooled := k.world.cellHolding(r.ID)
 	if !pooled {
-		return pace.Keeper(k.alive, r.ID, pace.Place{Hall: r.Hall, Region: r.Region})
+		return pace.SelectGrantor(k.alive, r.ID, pace.Location{Hall: r.Hall, Region: r.Region})
 	}
 	owners, known := k.owners[cell]
 	if !known {
@@ -117,9 +117,9 @@
 		n.counters.paced.Inc(1)
 		return true
 	case err == nil:
-		n.statements.withPaces(func(b *pace.Book) { b.None(r.ID, now+max(free, restLook)) })
+		n.statements.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+max(free, restLook)) })
 	case errors.Is(err, errNotKeeper):
-		n.statements.withPaces(func(b *pace.Book) { b.None(r.ID, now+keeperLost) })
+		n.statements.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+keeperLost) })
 	default:
 		n.logAside("turn at a limited replica", r.ID, err)
 		return n.takeAlone(r.ID)
@@ -139,15 +139,15 @@
 	for _, r := range replicas {
 		perSecond += s.paces.Limit(r.ID).PerSecond
 	}
-	return max(s.told.Promise(service, rest.until, perSecond, instances, newRandom().Float64())-rest.now, backSoon)
+	return max(s.told.Reserve(service, rest.until, perSecond, instances, newRandom().Float64())-rest.now, backSoon)
 }
 
 // takeAlone has a turn of this instance's own part of a limit.
 func (n *Node) takeAlone(life string) bool {
 	instances, now, ok := n.size(), n.now(), false
-	n.statements.withPaces(func(b *pace.Book) {
-		if ok = b.TakeAlone(now, life, instances); !ok {
-			b.None(life, now+keeperLost)
+	n.statements.withPaces(func(b *pace.Tracker) {
+		if ok = b.TryLocalGrant(now, life, instances); !ok {
+			b.RecordDenial(life, now+keeperLost)
 		}
 	})
 	if ok {
@@ -212,10 +212,10 @@
 // givePace gives a turn of a replica, or says how long there is none.
 func (n *Node) givePace(r *catalog.Replica) (free time.Duration, ok bool) {
 	now := n.now()
-	n.statements.withPaces(func(b *pace.Book) {
-		b.Keep(now, r.ID, true)
-		if ok = b.Take(now, r.ID); !ok {
-			free = max(b.Free(now, r.ID)-now, time.Microsecond)
+	n.statements.withPaces(func(b *pace.Tracker) {
+		b.SetGrantor(now, r.ID, true)
+		if ok = b.TryGrant(now, r.ID); !ok {
+			free = max(b.NextGrant(now, r.ID)-now, time.Microsecond)
 		}
 	})
 	return free, ok
@@ -240,7 +240,7 @@
 // countAside counts a call beside requests: it is made, and requests wait for it.
 func (n *Node) countAside(life string) {
 	if n.statements.limits(life) {
-		n.statements.withPaces(func(b *pace.Book) { b.Spend(n.now(), life) })
+		n.statements.withPaces(func(b *pace.Tracker) { b.Consume(n.now(), life) })
 	}
 }
 
@@ -257,24 +257,24 @@
 type cellTurns struct{ node *Node }
 
 // Any reports whether any replica states a limit.
-func (t cellTurns) Any() bool { return t.node.statements.paced.Load() }
+func (t cellTurns) HasLimits() bool { return t.node.statements.paced.Load() }
 
 // Free returns when a replica may get the next request.
-func (t cellTurns) Free(now time.Duration, life string) (free time.Duration) {
-	t.node.statements.withPaces(func(b *pace.Book) {
-		b.Keep(now, life, true)
-		free = b.Free(now, life)
+func (t cellTurns) NextGrant(now time.Duration, life string) (free time.Duration) {
+	t.node.statements.withPaces(func(b *pace.Tracker) {
+		b.SetGrantor(now, life, true)
+		free = b.NextGrant(now, life)
 	})
 	return free
 }
 
 // Gap returns the time between two requests at a replica; 0: it takes any number.
-func (t cellTurns) Gap(life string) (gap time.Duration) {
-	t.node.statements.withPaces(func(b *pace.Book) { gap = b.Gap(life) })
+func (t cellTurns) Interval(life string) (gap time.Duration) {
+	t.node.statements.withPaces(func(b *pace.Tracker) { gap = b.Interval(life) })
 	return gap
 }
 
 // Spend counts a request that goes to a replica.
-func (t cellTurns) Spend(now time.Duration, life string) {
-	t.node.statements.withPaces(func(b *pace.Book) { b.Spend(now, life) })
+func (t cellTurns) Consume(now time.Duration, life string) {
+	t.node.statements.withPaces(func(b *pace.Tracker) { b.Consume(now, life) })
 }
--- a/cmd/node/pace_test.go
+++ b/cmd/node/pace_test.go
@@ -23,10 +23,10 @@
 func TestALimitThatComesBackIsNoNews(t *testing.T) {
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n1", Hall: "h1"}, hclog.NewNullLogger())
-	word := pace.Word{Life: "r", Limit: pace.Limit{PerSecond: 1.2, Stated: true}}
+	word := pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 1.2, Stated: true}}
 	n.hearLimit(word, "peer")
 	n.takeLimits("peer", n.limitNews())
-	n.statements.withPaces(func(b *pace.Book) { is.Equal(b.Limit("r"), word.Limit) })
+	n.statements.withPaces(func(b *pace.Tracker) { is.Equal(b.Limit("r"), word.Limit) })
 }
 
 // Whatever a peer tells of limits ends nothing and holds nobody.
@@ -50,10 +50,10 @@
 	n.replicas.log.Replace(map[string][]byte{"r": replicaEntry(t, &catalog.Replica{Service: "s", Address: "10.1.1.1:1", Hall: "h1", Slots: 1})}, 1)
 	n.publish()
 	gauge := func() int64 { return metrics.GetOrRegisterGauge("node.replicas_limited.s", n.registry).Value() }
-	n.hearLimit(pace.Word{Life: "r", Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
+	n.hearLimit(pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
 	n.sweepLimits()
 	is.Equal(gauge(), int64(1))
-	n.hearLimit(pace.Word{Life: "r"}, "peer")
+	n.hearLimit(pace.Report{Incarnation: "r"}, "peer")
 	n.sweepLimits()
 	is.Equal(gauge(), int64(0))
 }
@@ -66,7 +66,7 @@
 	is.NoErr(err)
 	defer listener.Close()
 	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1"}, hclog.NewNullLogger())
-	n.hearLimit(pace.Word{Life: "r", Limit: pace.Limit{PerSecond: 5, Stated: true}}, "peer")
+	n.hearLimit(pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 5, Stated: true}}, "peer")
 	began := time.Now()
 	_, err = n.askKeeper(context.Background(), listener.Addr().String(), "r")
 	t.Logf("after %v", time.Since(began))
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -200,7 +200,7 @@
 	ok := false
 	n.statements.with(func(b *stated.Book) {
 		if ok, _ = b.May(n.now(), s.job.engine); ok && !s.job.paced {
-			ok = n.statements.paces.Free(n.now(), s.job.engine) <= n.now()
+			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -45,7 +45,7 @@
 func (s *serving) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
 	first, fresh, paced := stated.Never, false, false
 	s.node.statements.with(func(b *stated.Book) {
-		if b.Empty() && !s.node.statements.paces.Any() {
+		if b.Empty() && !s.node.statements.paces.HasLimits() {
 			may, fresh = all, true
 			return
 		}
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -25,8 +25,8 @@
 	free map[string]*pipeline.Free // by life that rests: results nobody reads any more
 
 	unread *stated.Unread
-	paces  *pace.Book
-	told   *pace.Promises
+	paces  *pace.Tracker
+	told   *pace.RetrySchedule
 	paced  atomic.Bool // some replica states a limit
 
 	quiet     bool // nothing was stated at the last sweep; of the sweeps alone
@@ -34,7 +34,7 @@
 }
 
 func newStatements() *statements {
-	return &statements{book: stated.New(stated.Standard()), free: make(map[string]*pipeline.Free), unread: stated.NewUnread(), paces: pace.New(pace.Standard()), told: pace.NewPromises(), quiet: true, unlimited: true}
+	return &statements{book: stated.New(stated.Standard()), free: make(map[string]*pipeline.Free), unread: stated.NewUnread(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
 }
 
 // with runs f on the book.
@@ -55,7 +55,7 @@
 	if ok, from = s.book.May(now, life); !ok {
 		return false, from
 	}
-	from = s.paces.Free(now, life)
+	from = s.paces.NextGrant(now, life)
 	return from <= now, from
 }
 
@@ -217,7 +217,7 @@
 	defer s.mu.Unlock()
 	until, rests := s.book.RestsTo(now, f.Replica)
 	if !rests {
-		each := freesEach(s.paces.Gap(f.Replica))
+		each := freesEach(s.paces.Interval(f.Replica))
 		if each == 0 {
 			return false
 		}
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -29,8 +29,8 @@
 		c.next++
 		r.wants = c.next
 		q := c.turnsOf(r.request.Service)
-		wait = q.Wait(now, r.wants, int(r.ask.Rank), supply)
-		q.Join(r.wants, int(r.ask.Rank))
+		wait = q.ExpectedWait(now, r.wants, int(r.ask.Rank), supply)
+		q.Add(r.wants, int(r.ask.Rank))
 	}
 	c.mu.Unlock()
 	if wait <= r.mayWait() || !n.allLimited(r) {
@@ -74,7 +74,7 @@
 // leaveTurns takes a request out of those that want turns. It needs the cell's lock.
 func (r *ownedRequest) leaveTurns() {
 	if r.wants != 0 {
-		r.cell.turnsOf(r.request.Service).Leave(r.wants)
+		r.cell.turnsOf(r.request.Service).Remove(r.wants)
 		r.wants = 0
 	}
 }
@@ -112,10 +112,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.turnsOf(r.request.Service)
-	q.Ready(r.wants)
+	q.MarkReady(r.wants)
 	supply := c.engines.Supply(now, r.request)
-	if isFirst = q.First(r.wants); isFirst {
+	if isFirst = q.IsFirst(r.wants); isFirst {
 		return max(supply.Next-now, 0), true
 	}
-	return q.Wait(now, r.wants, int(r.ask.Rank), supply), false
+	return q.ExpectedWait(now, r.wants, int(r.ask.Rank), supply), false
 }
--- a/coordination/pace/fleet_test.go
+++ b/coordination/pace/fleet_test.go
@@ -48,7 +48,7 @@
 type modelInstance struct {
 	name    string
 	hall    string
-	book    *Book
+	book    *Tracker
 	dead    bool
 	cut     bool
 	since   time.Duration // when that, or the start, was
@@ -61,7 +61,7 @@
 
 type modelReplica struct {
 	life  string
-	place Place
+	place Location
 	limit Limit
 	named time.Duration // since when it states one
 	came  []arrival
@@ -98,7 +98,7 @@
 		x.start()
 	}
 	for i := range p.replicas {
-		m.replicas = append(m.replicas, &modelReplica{life: fmt.Sprint("r", i), place: Place{Hall: fmt.Sprint("h", i%3)}})
+		m.replicas = append(m.replicas, &modelReplica{life: fmt.Sprint("r", i), place: Location{Hall: fmt.Sprint("h", i%3)}})
 	}
 	return m
 }
@@ -136,7 +136,7 @@
 		x.keepers = make(map[string]*modelInstance)
 		view := m.view(x)
 		for _, r := range m.replicas[:m.limited] {
-			k, _ := Keeper(view, r.life, r.place)
+			k, _ := SelectGrantor(view, r.life, r.place)
 			for _, y := range m.instances {
 				if y.name == k.Name {
 					x.keepers[r.life] = y
@@ -154,7 +154,7 @@
 	}
 	var may []int
 	for i, r := range m.replicas {
-		if x.book.Free(m.now, r.life) <= m.now {
+		if x.book.NextGrant(m.now, r.life) <= m.now {
 			may = append(may, i)
 		}
 	}
@@ -171,31 +171,31 @@
 	k := m.keeper(x, r)
 	if k == nil || !m.reaches(x, k) {
 		m.after(4*m.delay, func() {
-			if x.book.TakeAlone(m.now, r.life, len(m.view(x))) {
+			if x.book.TryLocalGrant(m.now, r.life, len(m.view(x))) {
 				m.send(x, i)
 				return
 			}
-			x.book.None(r.life, m.now+300*time.Millisecond)
+			x.book.RecordDenial(r.life, m.now+300*time.Millisecond)
 			m.request(x, tries-1)
 		})
 		return
 	}
 	m.after(m.delay, func() {
-		for _, w := range x.book.Words(m.now, r.life) {
-			k.book.Hear(m.now, w)
+		for _, w := range x.book.Reports(m.now, r.life) {
+			k.book.Record(m.now, w)
 		}
 		gives := m.keeper(k, r) == k && !k.dead
 		if gives {
-			k.book.Keep(m.now, r.life, true)
+			k.book.SetGrantor(m.now, r.life, true)
 		}
-		ok := gives && k.book.Take(m.now, r.life)
-		free := max(k.book.Free(m.now, r.life)-m.now, retryIn)
+		ok := gives && k.book.TryGrant(m.now, r.life)
+		free := max(k.book.NextGrant(m.now, r.life)-m.now, retryIn)
 		m.after(m.delay, func() {
 			switch {
 			case ok:
 				m.send(x, i)
 			default:
-				x.book.None(r.life, m.now+free)
+				x.book.RecordDenial(r.life, m.now+free)
 				m.request(x, tries-1)
 			}
 		})
@@ -229,7 +229,7 @@
 	} else if _, ok := x.told[i]; !ok {
 		x.told[i] = m.now
 	}
-	if x.book.Hear(m.now, Word{Life: r.life, Limit: limit}) == Nothing {
+	if x.book.Record(m.now, Report{Incarnation: r.life, Limit: limit}) == Unchanged {
 		return
 	}
 	if k := m.keeper(x, r); k != nil && m.random.Float64() >= m.lost {
@@ -239,13 +239,13 @@
 }
 
 func (m *model) tell(x, y *modelInstance) {
-	words := x.book.News(m.now, 3*time.Second, 16)
+	words := x.book.Updates(m.now, 3*time.Second, 16)
 	m.after(m.delay, func() {
 		if !m.reaches(x, y) {
 			return
 		}
 		for _, w := range words {
-			y.book.Hear(m.now, w)
+			y.book.Record(m.now, w)
 		}
 	})
 }
@@ -262,7 +262,7 @@
 	}
 	x.book.Sweep(m.now, func(string) bool { return true })
 	for _, r := range m.replicas[:m.limited] {
-		x.book.Keep(m.now, r.life, m.keeper(x, r) == x)
+		x.book.SetGrantor(m.now, r.life, m.keeper(x, r) == x)
 	}
 }
 
--- a/coordination/pace/keeper.go
+++ b/coordination/pace/grantor.go
@@ -6,7 +6,7 @@
 )
 
 // Place is where a replica is.
-type Place struct {
+type Location struct {
 	Hall   string
 	Region string
 }
@@ -19,7 +19,7 @@
 	isLeaving
 )
 
-func (p Place) distance(i *gossip.Instance) int {
+func (p Location) distance(i *gossip.Instance) int {
 	switch {
 	case i.Leaving:
 		return isLeaving
@@ -34,7 +34,7 @@
 // Keeper returns which of some instances gives a replica's turns: one near the
 // replica before others, as most of its requests come from there; one that leaves
 // only where all do. All with the same view agree; false where there is none.
-func Keeper(alive []gossip.Instance, life string, at Place) (gossip.Instance, bool) {
+func SelectGrantor(alive []gossip.Instance, life string, at Location) (gossip.Instance, bool) {
 	best, least, most := -1, 0, uint64(0)
 	for i := range alive {
 		x := &alive[i]
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -24,23 +24,23 @@
 
 // Options are the book's constants.
 type Options struct {
-	Ahead   time.Duration // that a turn may be given before it is due: so much of what was not used is kept
-	AskEach time.Duration // the longest time between two turns: a replica that gets nothing tells nobody that its limit has ended
-	Forget  time.Duration // that an ended limit is remembered, so that an older word does not bring it back
-	Unheard time.Duration // that a word of a life is kept which is not listed: entries that lapse with a silent store are back within seconds of its return
-	Most    int           // lives; a bound against a peer that names many
-	LogEach time.Duration // between two changes of one limit that are worth a log line, and a round of heartbeats of their own
+	Burst             time.Duration // that a turn may be given before it is due: so much of what was not used is kept
+	MaxInterval       time.Duration // the longest time between two turns: a replica that gets nothing tells nobody that its limit has ended
+	RemovedRetention  time.Duration // that an ended limit is remembered, so that an older word does not bring it back
+	UnlistedRetention time.Duration // that a word of a life is kept which is not listed: entries that lapse with a silent store are back within seconds of its return
+	MaxIncarnations   int           // lives; a bound against a peer that names many
+	LogInterval       time.Duration // between two changes of one limit that are worth a log line, and a round of heartbeats of their own
 }
 
 // Standard returns the constants in use.
 func Standard() Options {
 	return Options{
-		Ahead:   250 * time.Millisecond,
-		AskEach: 10 * time.Second,
-		Forget:  10 * time.Second,
-		Unheard: 2 * time.Minute,
-		Most:    4096,
-		LogEach: 5 * time.Second,
+		Burst:             250 * time.Millisecond,
+		MaxInterval:       10 * time.Second,
+		RemovedRetention:  10 * time.Second,
+		UnlistedRetention: 2 * time.Minute,
+		MaxIncarnations:   4096,
+		LogInterval:       5 * time.Second,
 	}
 }
 
@@ -51,14 +51,14 @@
 }
 
 // Word is a statement of a life, as one instance tells it to another.
-type Word struct {
-	Life  string
-	Limit Limit
-	Age   time.Duration // since the answer came
+type Report struct {
+	Incarnation string
+	Limit       Limit
+	Age         time.Duration // since the answer came
 }
 
 // Book is not safe for concurrent use. Replicas are named by their lives.
-type Book struct {
+type Tracker struct {
 	opts    Options
 	rows    map[string]*row
 	limited int // rows whose limit is stated
@@ -79,36 +79,36 @@
 }
 
 // New returns an empty book.
-func New(o Options) *Book { return &Book{opts: o, rows: make(map[string]*row)} }
+func New(o Options) *Tracker { return &Tracker{opts: o, rows: make(map[string]*row)} }
 
 // Change is what a word has changed.
 type Change int
 
 // The changes.
 const (
-	Nothing Change = iota
-	Began
-	Moved // to another number
-	Ended
+	Unchanged Change = iota
+	Added
+	Updated // to another number
+	Removed
 )
 
 // Hear takes in what a life states, in an answer that came so long ago.
-func (b *Book) Hear(now time.Duration, w Word) Change {
+func (b *Tracker) Record(now time.Duration, w Report) Change {
 	at := now - max(w.Age, 0)
-	r := b.rows[w.Life]
+	r := b.rows[w.Incarnation]
 	switch {
-	case r == nil && !w.Limit.Stated, r == nil && len(b.rows) >= b.opts.Most:
-		return Nothing
+	case r == nil && !w.Limit.Stated, r == nil && len(b.rows) >= b.opts.MaxIncarnations:
+		return Unchanged
 	case r == nil:
 		r = &row{listed: now}
-		b.rows[w.Life] = r
+		b.rows[w.Incarnation] = r
 	case at < r.heard:
-		return Nothing
+		return Unchanged
 	}
 	was := r.limit
 	r.limit, r.heard = w.Limit, at
 	if was == w.Limit {
-		return Nothing
+		return Unchanged
 	}
 	r.fresh = now
 	begins := b.begins(now, w.Limit)
@@ -118,19 +118,19 @@
 		b.limited++
 		r.next = begins
 		r.alone, r.known = 0, 0
-		return Began
+		return Added
 	case !w.Limit.Stated:
 		b.limited--
-		return Ended
+		return Removed
 	}
-	return Moved
+	return Updated
 }
 
 // WorthALine reports whether a change of a life's limit is worth a log line now, and
 // counts it: a replica may state another limit in each answer.
-func (b *Book) WorthALine(now time.Duration, life string) bool {
+func (b *Tracker) ShouldLog(now time.Duration, life string) bool {
 	r := b.rows[life]
-	if r == nil || r.noted != 0 && now-r.noted < b.opts.LogEach {
+	if r == nil || r.noted != 0 && now-r.noted < b.opts.LogInterval {
 		return false
 	}
 	r.noted = max(now, 1)
@@ -138,25 +138,27 @@
 }
 
 // gap is the time between two turns.
-func (b *Book) gap(l Limit) time.Duration {
+func (b *Tracker) gap(l Limit) time.Duration {
 	if !l.Stated {
 		return 0
 	}
-	return time.Duration(min(1/max(l.PerSecond, 0), b.opts.AskEach.Seconds()) * float64(time.Second))
+	return time.Duration(min(1/max(l.PerSecond, 0), b.opts.MaxInterval.Seconds()) * float64(time.Second))
 }
 
 // begins is when the first turn is due of who has given none: what the life got
 // until now was not counted, or by another one.
-func (b *Book) begins(now time.Duration, l Limit) time.Duration { return now + b.gap(l) + b.opts.Ahead }
+func (b *Tracker) begins(now time.Duration, l Limit) time.Duration {
+	return now + b.gap(l) + b.opts.Burst
+}
 
 // Any reports whether any limit is stated.
-func (b *Book) Any() bool { return b.limited > 0 }
+func (b *Tracker) HasLimits() bool { return b.limited > 0 }
 
 // Empty reports whether nothing is known, ended limits included.
-func (b *Book) Empty() bool { return len(b.rows) == 0 }
+func (b *Tracker) Empty() bool { return len(b.rows) == 0 }
 
 // Limit returns what a life states.
-func (b *Book) Limit(life string) Limit {
+func (b *Tracker) Limit(life string) Limit {
 	if r := b.rows[life]; r != nil {
 		return r.limit
 	}
@@ -164,11 +166,11 @@
 }
 
 // Gap returns the time between two turns at a life; 0: it takes any number.
-func (b *Book) Gap(life string) time.Duration { return b.gap(b.Limit(life)) }
+func (b *Tracker) Interval(life string) time.Duration { return b.gap(b.Limit(life)) }
 
 // Keep takes in whether this instance gives a life's turns. Who begins to does not
 // know what was given, and gives none for the time of one.
-func (b *Book) Keep(now time.Duration, life string, keeps bool) {
+func (b *Tracker) SetGrantor(now time.Duration, life string, keeps bool) {
 	r := b.rows[life]
 	if r == nil || r.keeps == keeps {
 		return
@@ -181,39 +183,39 @@
 
 // Free returns from when on a life may get a request, as far as is known here:
 // now, or later.
-func (b *Book) Free(now time.Duration, life string) time.Duration {
+func (b *Tracker) NextGrant(now time.Duration, life string) time.Duration {
 	r := b.rows[life]
 	switch {
 	case r == nil || !r.limit.Stated:
 		return now
 	case r.keeps:
-		return max(now, r.next-b.opts.Ahead)
+		return max(now, r.next-b.opts.Burst)
 	}
 	return max(now, r.known)
 }
 
 // Take gives a turn, which the keeper alone may, and reports whether there was one.
-func (b *Book) Take(now time.Duration, life string) bool {
+func (b *Tracker) TryGrant(now time.Duration, life string) bool {
 	r := b.rows[life]
 	if r == nil || !r.limit.Stated {
 		return true
 	}
-	if !r.keeps || b.Free(now, life) > now {
+	if !r.keeps || b.NextGrant(now, life) > now {
 		return false
 	}
-	b.Spend(now, life)
+	b.Consume(now, life)
 	return true
 }
 
 // Spend counts a turn that is used whether it was due or not.
-func (b *Book) Spend(now time.Duration, life string) {
+func (b *Tracker) Consume(now time.Duration, life string) {
 	if r := b.rows[life]; r != nil && r.limit.Stated {
 		r.next = max(r.next, now) + b.gap(r.limit)
 	}
 }
 
 // None takes in that a life's keeper has no turn until then.
-func (b *Book) None(life string, until time.Duration) {
+func (b *Tracker) RecordDenial(life string, until time.Duration) {
 	if r := b.rows[life]; r != nil {
 		r.known = until
 	}
@@ -221,7 +223,7 @@
 
 // TakeAlone gives a turn of the own part of a limit, for when the keeper can't be
 // asked, among so many instances.
-func (b *Book) TakeAlone(now time.Duration, life string, instances int) bool {
+func (b *Tracker) TryLocalGrant(now time.Duration, life string, instances int) bool {
 	r := b.rows[life]
 	if r == nil || !r.limit.Stated {
 		return true
@@ -239,10 +241,10 @@
 
 // News returns the words that are worth telling others, at most so many: those
 // learned a moment ago, and the others in turn.
-func (b *Book) News(now, fresh time.Duration, most int) []Word {
-	var out, older []Word
+func (b *Tracker) Updates(now, fresh time.Duration, most int) []Report {
+	var out, older []Report
 	for life, r := range b.rows {
-		w := Word{Life: life, Limit: r.limit, Age: max(now-r.heard, 0)}
+		w := Report{Incarnation: life, Limit: r.limit, Age: max(now-r.heard, 0)}
 		switch {
 		case now-r.fresh < fresh:
 			out = append(out, w)
@@ -250,7 +252,7 @@
 			older = append(older, w)
 		}
 	}
-	byLife := func(x, y Word) int { return cmp.Compare(x.Life, y.Life) }
+	byLife := func(x, y Report) int { return cmp.Compare(x.Incarnation, y.Incarnation) }
 	slices.SortFunc(out, byLife)
 	slices.SortFunc(older, byLife)
 	for range min(len(older), max(most-len(out), 0), olderTold) {
@@ -261,12 +263,12 @@
 }
 
 // Words returns what is known of a life: one word, none where it stated nothing.
-func (b *Book) Words(now time.Duration, life string) []Word {
+func (b *Tracker) Reports(now time.Duration, life string) []Report {
 	r := b.rows[life]
 	if r == nil {
 		return nil
 	}
-	return []Word{{Life: life, Limit: r.limit, Age: max(now-r.heard, 0)}}
+	return []Report{{Incarnation: life, Limit: r.limit, Age: max(now-r.heard, 0)}}
 }
 
 // olderTold is how many words that are not new one heartbeat tells.
@@ -274,18 +276,18 @@
 
 // Sweep forgets what is of no use any more: ended limits after a while, and words of
 // lives that have not been listed for long.
-func (b *Book) Sweep(now time.Duration, listed func(life string) bool) {
+func (b *Tracker) Sweep(now time.Duration, listed func(life string) bool) {
 	for life, r := range b.rows {
 		if listed(life) {
 			r.listed = now
 		}
-		if now-r.listed > b.opts.Unheard || !r.limit.Stated && now-r.fresh > b.opts.Forget {
+		if now-r.listed > b.opts.UnlistedRetention || !r.limit.Stated && now-r.fresh > b.opts.RemovedRetention {
 			b.forget(life)
 		}
 	}
 }
 
-func (b *Book) forget(life string) {
+func (b *Tracker) forget(life string) {
 	if b.rows[life].limit.Stated {
 		b.limited--
 	}
@@ -293,7 +295,7 @@
 }
 
 // Limited returns the lives that state a limit, and which.
-func (b *Book) Limited() map[string]float64 {
+func (b *Tracker) Limits() map[string]float64 {
 	out := make(map[string]float64, b.limited)
 	for life, r := range b.rows {
 		if r.limit.Stated {
@@ -304,7 +306,7 @@
 }
 
 // Lives returns the lives that state a limit, in order.
-func (b *Book) Lives() []string { return slices.Sorted(maps.Keys(b.Limited())) }
+func (b *Tracker) LimitedIncarnations() []string { return slices.Sorted(maps.Keys(b.Limits())) }
 
 // Proper reports whether a number can be a limit.
-func Proper(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
+func IsValidRate(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
--- a/coordination/pace/pace_test.go
+++ b/coordination/pace/pace_test.go
@@ -13,16 +13,16 @@
 func TestTurnsAreSpaced(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	is.True(b.Take(0, "r")) // any number
-	is.Equal(b.Hear(0, Word{Life: "r", Limit: stated(2)}), Began)
-	is.True(!b.Take(time.Hour, "r")) // another one keeps it
-	b.Keep(0, "r", true)
+	is.True(b.TryGrant(0, "r")) // any number
+	is.Equal(b.Record(0, Report{Incarnation: "r", Limit: stated(2)}), Added)
+	is.True(!b.TryGrant(time.Hour, "r")) // another one keeps it
+	b.SetGrantor(0, "r", true)
 	given := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-		if b.Take(now, "r") {
+		if b.TryGrant(now, "r") {
 			given++
 		} else {
-			is.True(b.Free(now, "r") > now)
+			is.True(b.NextGrant(now, "r") > now)
 		}
 	}
 	is.True(given >= 18 && given <= 20)
@@ -32,10 +32,10 @@
 func TestTurnsAreNotSavedUp(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	b.Hear(0, Word{Life: "r", Limit: stated(20)})
-	b.Keep(0, "r", true)
+	b.Record(0, Report{Incarnation: "r", Limit: stated(20)})
+	b.SetGrantor(0, "r", true)
 	given := 0
-	for b.Take(time.Hour, "r") {
+	for b.TryGrant(time.Hour, "r") {
 		given++
 	}
 	is.True(given <= 1+5) // a quarter of a second's
@@ -45,11 +45,11 @@
 func TestANewKeeperBeginsWithNothing(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	b.Hear(0, Word{Life: "r", Limit: stated(1)})
+	b.Record(0, Report{Incarnation: "r", Limit: stated(1)})
 	for now := time.Duration(0); now < 100*time.Second; now += 500 * time.Millisecond {
-		b.Keep(now, "r", true)
-		is.True(!b.Take(now, "r")) // each time it begins anew
-		b.Keep(now, "r", false)
+		b.SetGrantor(now, "r", true)
+		is.True(!b.TryGrant(now, "r")) // each time it begins anew
+		b.SetGrantor(now, "r", false)
 	}
 }
 
@@ -57,15 +57,15 @@
 func TestTheNewestWordCounts(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	is.Equal(b.Hear(5*time.Second, Word{Life: "r"}), Nothing) // it never stated any
-	is.Equal(b.Hear(5*time.Second, Word{Life: "r", Limit: stated(1), Age: time.Second}), Began)
-	is.Equal(b.Hear(5*time.Second, Word{Life: "r", Age: 2 * time.Second}), Nothing)
-	is.True(b.Any())
-	is.Equal(b.Hear(6*time.Second, Word{Life: "r"}), Ended)
-	is.Equal(b.Hear(7*time.Second, Word{Life: "r", Limit: stated(1), Age: 2 * time.Second}), Nothing)
-	is.True(!b.Any())
-	is.Equal(b.Hear(8*time.Second, Word{Life: "r", Limit: stated(3)}), Began)
-	is.Equal(b.Hear(9*time.Second, Word{Life: "r", Limit: stated(4)}), Moved)
+	is.Equal(b.Record(5*time.Second, Report{Incarnation: "r"}), Unchanged) // it never stated any
+	is.Equal(b.Record(5*time.Second, Report{Incarnation: "r", Limit: stated(1), Age: time.Second}), Added)
+	is.Equal(b.Record(5*time.Second, Report{Incarnation: "r", Age: 2 * time.Second}), Unchanged)
+	is.True(b.HasLimits())
+	is.Equal(b.Record(6*time.Second, Report{Incarnation: "r"}), Removed)
+	is.Equal(b.Record(7*time.Second, Report{Incarnation: "r", Limit: stated(1), Age: 2 * time.Second}), Unchanged)
+	is.True(!b.HasLimits())
+	is.Equal(b.Record(8*time.Second, Report{Incarnation: "r", Limit: stated(3)}), Added)
+	is.Equal(b.Record(9*time.Second, Report{Incarnation: "r", Limit: stated(4)}), Updated)
 	is.Equal(b.Limit("r"), stated(4))
 }
 
@@ -74,14 +74,14 @@
 func TestChangesOfALimitAreNotedNowAndThen(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	is.True(!b.WorthALine(0, "r")) // it stated nothing
+	is.True(!b.ShouldLog(0, "r")) // it stated nothing
 	noted := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
 		limit := stated(1)
 		if now%(20*time.Millisecond) != 0 {
 			limit = Limit{}
 		}
-		if b.Hear(now, Word{Life: "r", Limit: limit}) != Nothing && b.WorthALine(now, "r") {
+		if b.Record(now, Report{Incarnation: "r", Limit: limit}) != Unchanged && b.ShouldLog(now, "r") {
 			noted++
 		}
 	}
@@ -94,11 +94,11 @@
 	is := is.New(t)
 	for _, perSecond := range []float64{0, 0.001} {
 		b := New(Standard())
-		b.Hear(0, Word{Life: "r", Limit: stated(perSecond)})
-		b.Keep(0, "r", true)
+		b.Record(0, Report{Incarnation: "r", Limit: stated(perSecond)})
+		b.SetGrantor(0, "r", true)
 		given := 0
 		for now := time.Duration(0); now < 100*time.Second; now += 100 * time.Millisecond {
-			if b.Take(now, "r") {
+			if b.TryGrant(now, "r") {
 				given++
 			}
 		}
@@ -110,17 +110,17 @@
 	is := is.New(t)
 	b := New(Standard())
 	all, none := func(string) bool { return true }, func(string) bool { return false }
-	b.Hear(0, Word{Life: "r", Limit: stated(1)})
+	b.Record(0, Report{Incarnation: "r", Limit: stated(1)})
 	b.Sweep(time.Hour, all)
-	is.True(b.Any()) // for as long as it says so
-	b.Sweep(time.Hour+b.opts.Unheard, none)
-	is.True(b.Any())
-	b.Sweep(time.Hour+b.opts.Unheard+1, none)
+	is.True(b.HasLimits()) // for as long as it says so
+	b.Sweep(time.Hour+b.opts.UnlistedRetention, none)
+	is.True(b.HasLimits())
+	b.Sweep(time.Hour+b.opts.UnlistedRetention+1, none)
 	is.Equal(len(b.rows), 0)
-	is.True(!b.Any())
-	b.Hear(0, Word{Life: "r", Limit: stated(1)})
-	b.Hear(1, Word{Life: "r"})
-	b.Sweep(b.opts.Forget+2, all)
+	is.True(!b.HasLimits())
+	b.Record(0, Report{Incarnation: "r", Limit: stated(1)})
+	b.Record(1, Report{Incarnation: "r"})
+	b.Sweep(b.opts.RemovedRetention+2, all)
 	is.Equal(len(b.rows), 0)
 }
 
@@ -128,13 +128,13 @@
 	is := is.New(t)
 	b := New(Standard())
 	for i := range 20 {
-		b.Hear(0, Word{Life: string(rune('a' + i)), Limit: stated(1)})
+		b.Record(0, Report{Incarnation: string(rune('a' + i)), Limit: stated(1)})
 	}
-	is.Equal(len(b.News(0, time.Second, 16)), 16)
+	is.Equal(len(b.Updates(0, time.Second, 16)), 16)
 	seen := make(map[string]bool)
 	for range 5 {
-		for _, w := range b.News(2*time.Second, time.Second, 16) {
-			seen[w.Life] = true
+		for _, w := range b.Updates(2*time.Second, time.Second, 16) {
+			seen[w.Incarnation] = true
 			is.Equal(w.Age, 2*time.Second)
 		}
 	}
@@ -144,9 +144,9 @@
 func TestWhatCanBeALimit(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []float64{0, 0.01, 1e300} {
-		is.True(Proper(x))
+		is.True(IsValidRate(x))
 	}
 	for _, x := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
-		is.True(!Proper(x))
+		is.True(!IsValidRate(x))
 	}
 }
--- a/coordination/pace/queue.go
+++ b/coordination/pace/queue.go
@@ -4,11 +4,11 @@
 
 // Turns are what replicas get that state how many requests a second they take from
 // all instances.
-type Turns interface {
-	Any() bool                                                // some replica states a limit
-	Free(now time.Duration, life string) (from time.Duration) // when one may get the next request
-	Gap(life string) time.Duration                            // between two of its requests; 0: it states none
-	Spend(now time.Duration, life string)                     // counts one
+type Limiter interface {
+	HasLimits() bool                                               // some replica states a limit
+	NextGrant(now time.Duration, life string) (from time.Duration) // when one may get the next request
+	Interval(life string) time.Duration                            // between two of its requests; 0: it states none
+	Consume(now time.Duration, life string)                        // counts one
 }
 
 // Supply is what the replicas that may run a request give of turns.
@@ -52,24 +52,24 @@
 func NewQueue() *Queue { return &Queue{rows: make(map[uint64]*waiting)} }
 
 // Join adds a request; ids rise as requests come.
-func (q *Queue) Join(id uint64, rank int) { q.rows[id] = &waiting{rank: rank} }
+func (q *Queue) Add(id uint64, rank int) { q.rows[id] = &waiting{rank: rank} }
 
 // Ready notes that a request can use a turn now.
-func (q *Queue) Ready(id uint64) {
+func (q *Queue) MarkReady(id uint64) {
 	if w := q.rows[id]; w != nil {
 		w.now = true
 	}
 }
 
 // Leave takes a request out.
-func (q *Queue) Leave(id uint64) { delete(q.rows, id) }
+func (q *Queue) Remove(id uint64) { delete(q.rows, id) }
 
 func (w *waiting) before(id uint64, other *waiting, otherID uint64) bool {
 	return w.rank < other.rank || w.rank == other.rank && id < otherID
 }
 
 // First reports whether no other request that can use a turn now goes before one.
-func (q *Queue) First(id uint64) bool {
+func (q *Queue) IsFirst(id uint64) bool {
 	own := q.rows[id]
 	if own == nil {
 		return true
@@ -84,7 +84,7 @@
 
 // Wait returns how long a request of a rank waits for its turn: all that go before
 // it have theirs first, those included whose stages are not done yet.
-func (q *Queue) Wait(now time.Duration, id uint64, rank int, s Supply) time.Duration {
+func (q *Queue) ExpectedWait(now time.Duration, id uint64, rank int, s Supply) time.Duration {
 	if !s.Limited {
 		return 0
 	}
--- a/coordination/pace/promises_test.go
+++ b/coordination/pace/retryschedule_test.go
@@ -14,9 +14,9 @@
 	const instances, perSecond = 6, 3.0
 	var all []time.Duration
 	for i := range instances {
-		p := NewPromises()
+		p := NewRetrySchedule()
 		for range 10 {
-			all = append(all, p.Promise("s", time.Second, perSecond, instances, float64(i)/instances))
+			all = append(all, p.Reserve("s", time.Second, perSecond, instances, float64(i)/instances))
 		}
 	}
 	in := func(from, to time.Duration) (n int) {
@@ -31,9 +31,9 @@
 	for from := time.Second; from < 21*time.Second; from += 2 * time.Second {
 		is.Equal(in(from, from+2*time.Second), 2*int(perSecond))
 	}
-	p := NewPromises()
-	p.Promise("s", time.Second, perSecond, instances, 0)
-	p.Forget(4 * time.Second)
+	p := NewRetrySchedule()
+	p.Reserve("s", time.Second, perSecond, instances, 0)
+	p.Prune(4 * time.Second)
 	is.Equal(len(p.next), 0)
-	is.Equal(p.Promise("s", 9*time.Second, perSecond, instances, 0), 9*time.Second)
+	is.Equal(p.Reserve("s", 9*time.Second, perSecond, instances, 0), 9*time.Second)
 }
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -23,15 +23,15 @@
 // they take. What has stated nothing for long costs nothing.
 func (s *Scheduler) knowTurns(now time.Duration) {
 	t := s.opts.Turns
-	if t == nil || !t.Any() && !s.paced {
+	if t == nil || !t.HasLimits() && !s.paced {
 		return
 	}
-	s.paced = t.Any()
+	s.paced = t.HasLimits()
 	for _, p := range s.order {
 		for _, r := range p.order {
-			r.turnGap, r.turnFrom = t.Gap(r.ID), 0
+			r.turnGap, r.turnFrom = t.Interval(r.ID), 0
 			if r.turnGap > 0 {
-				r.turnFrom = t.Free(now, r.ID)
+				r.turnFrom = t.NextGrant(now, r.ID)
 			}
 		}
 	}
@@ -173,8 +173,8 @@
 		p.sent.Sent(now, r.ID)
 	}
 	if r.turnGap > 0 {
-		s.opts.Turns.Spend(now, r.ID)
-		r.turnFrom = s.opts.Turns.Free(now, r.ID)
+		s.opts.Turns.Consume(now, r.ID)
+		r.turnFrom = s.opts.Turns.NextGrant(now, r.ID)
 	}
 	r.call = c
 	r.held += c.bytes
--- a/coordination/pipeline/options.go
+++ b/coordination/pipeline/options.go
@@ -28,7 +28,7 @@
 	PauseMost        time.Duration // at most: who is back is missed for no longer
 	Unknown          time.Duration // when a job may come back whose pools are not known or gone, or that was given up
 	Cold             warmup.Limit  // of calls to a cold replica
-	Turns            pace.Turns    // nil: none are counted
+	Turns            pace.Limiter  // nil: none are counted
 	SuspectsTogether int           // jobs in a call under which one replica has ended: about the root of the jobs in a full call
 	LeastRetry       time.Duration // until a refused job may come back
 }
@@ -67,7 +67,7 @@
 func Cold(l warmup.Limit) Option { return func(o *Options) { o.Cold = l } }
 
 // Paced has calls counted by turns; a call is one request, whatever it holds.
-func Paced(t pace.Turns) Option { return func(o *Options) { o.Turns = t } }
+func Paced(t pace.Limiter) Option { return func(o *Options) { o.Turns = t } }
 
 // Margin sets the share of the objective that a new job's expected end may take.
 func Margin(share float64) Option { return func(o *Options) { o.Margin = share } }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -59,7 +59,7 @@
 	order   map[string][]*engine // by service, by id
 	speeds  map[string]*speed.Service
 	runs    map[uint64]*run
-	turns   pace.Turns // nil: none are counted
+	turns   pace.Limiter // nil: none are counted
 	cold    warmup.Limit
 	sent    *warmup.Window // to cold engines
 }
@@ -94,7 +94,7 @@
 }
 
 // Paced has a table's requests counted by turns.
-func (t *Table) Paced(turns pace.Turns) *Table {
+func (t *Table) Paced(turns pace.Limiter) *Table {
 	t.turns = turns
 	return t
 }
@@ -239,12 +239,12 @@
 // hasTurn reports whether an engine may get one more request now by what it states
 // that it takes.
 func (t *Table) hasTurn(now time.Duration, e *engine) bool {
-	return t.turns == nil || !t.turns.Any() || t.turns.Free(now, e.ID) <= now
+	return t.turns == nil || !t.turns.HasLimits() || t.turns.NextGrant(now, e.ID) <= now
 }
 
 // Supply returns what the engines that may take a request give of turns.
 func (t *Table) Supply(now time.Duration, r *Request) (s pace.Supply) {
-	if t.turns == nil || !t.turns.Any() {
+	if t.turns == nil || !t.turns.HasLimits() {
 		return s
 	}
 	first := true
@@ -252,7 +252,7 @@
 		if !e.Takes() || r.Avoid[e.ID] {
 			continue
 		}
-		s = s.Add(first, t.turns.Free(now, e.ID), t.turns.Gap(e.ID))
+		s = s.Add(first, t.turns.NextGrant(now, e.ID), t.turns.Interval(e.ID))
 		first = false
 	}
 	return s
--- a/coordination/placement/runs.go
+++ b/coordination/placement/runs.go
@@ -39,8 +39,8 @@
 	if e.most > 0 && n.cold {
 		t.sent.Sent(now, e.ID)
 	}
-	if t.turns != nil && t.turns.Any() {
-		t.turns.Spend(now, e.ID)
+	if t.turns != nil && t.turns.HasLimits() {
+		t.turns.Consume(now, e.ID)
 	}
 	t.runs[r.ID] = n
 }
