--- a/coordination/pace/fleet_test.go
+++ b/coordination/pace/fleet_test.go
@@ -14,188 +14,191 @@
 	"quinceroad/coordination/gossip"
 )
 
-// A model of many instances before the replicas of a plain service, some of which
-// state limits. Its counter is written from the rule's text, not from the mechanism.
+// Simulates many instances that send to the replicas of a service, some of which state
+// rate limits. The check counts arrivals according to the rule itself and shares no
+// code with the package.
 
 const (
-	step     = 5 * time.Millisecond
-	beatEach = 200 * time.Millisecond
-	beatTo   = 3 // instances that a heartbeat goes to
-	missed   = time.Second
-	retryIn  = 20 * time.Millisecond
+	step              = 5 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
+	heartbeatFanout   = 3 // instances that each heartbeat is sent to
+	failureDetection  = time.Second
+	minDenial         = 20 * time.Millisecond
 )
 
-// play is one run of the model.
-type play struct {
+// scenario holds the parameters of one simulation run.
+type scenario struct {
 	seed      uint64
 	instances int
 	replicas  int
-	limited   int     // of the replicas
-	perSecond float64 // of each of them
-	load      float64 // requests a second of each instance
+	limited   int     // number of replicas that state a limit
+	perSecond float64 // limit of each limited replica
+	load      float64 // requests per second at each instance
 	delay     time.Duration
-	lost      float64 // share of heartbeats
-	length    time.Duration
-
-	deaths  time.Duration // one instance dies, and starts again, so often; 0: none
-	cuts    time.Duration // the same, cut off for a while
-	powers  time.Duration // all start anew then; 0: never
-	moves   time.Duration // limits change so often, to between a third and three times
-	flaps   time.Duration // limits end and begin so often
-	ownWord bool          // each instance gives turns by itself: the mechanism switched off
+	lossRate  float64 // fraction of heartbeats lost
+	duration  time.Duration
+
+	crashes       time.Duration // interval at which one instance crashes and restarts; 0: never
+	partitions    time.Duration // interval at which one instance is cut off for a while; 0: never
+	fleetRestarts time.Duration // interval at which all instances restart at once; 0: never
+	limitChanges  time.Duration // interval at which limits change, to between a third and three times the original
+	flaps         time.Duration // interval at which limits are removed and added again
+	noGrantor     bool          // each instance grants by itself, without a common grantor
 }
 
 type modelInstance struct {
-	name    string
-	hall    string
-	book    *Tracker
-	dead    bool
-	cut     bool
-	since   time.Duration // when that, or the start, was
-	excused []excuse
-	told    map[int]time.Duration     // by replica: when it first passed on a statement that still holds
-	keepers map[string]*modelInstance // by replica, as of its last heartbeat
+	name        string
+	hall        string
+	tracker     *Tracker
+	down        bool
+	partitioned bool
+	changedAt   time.Duration // time of the last crash, partition or start
+	exempt      []exemption
+	announced   map[int]time.Duration     // by replica index: when this instance first announced the limit in force
+	grantors    map[string]*modelInstance // by incarnation, computed at the last heartbeat
 }
 
-type excuse struct{ from, to time.Duration }
+type exemption struct{ from, to time.Duration }
 
 type modelReplica struct {
-	life  string
-	place Location
-	limit Limit
-	named time.Duration // since when it states one
-	came  []arrival
-	aim   float64 // requests that its limits allowed, summed over time
+	incarnation string
+	location    Location
+	limit       Limit
+	limitedAt   time.Duration // when the limit was first stated
+	arrivals    []arrival
+	allowance   float64 // requests that the limits allowed, summed over time
 }
 
 type arrival struct {
-	at   time.Duration
-	from *modelInstance
-	told bool // the sender had passed on the statement half a second before
+	at        time.Duration
+	from      *modelInstance
+	announced bool // the sender had announced the limit at least 500 ms before
 }
 
-type happening struct {
+type event struct {
 	at  time.Duration
 	run func()
 }
 
 type model struct {
-	play
+	scenario
 	random    *rand.Rand
 	now       time.Duration
 	instances []*modelInstance
 	replicas  []*modelReplica
-	queue     []happening
+	queue     []event
 	served    int
 	refused   int
 }
 
-func newModel(p play) *model {
-	m := &model{play: p, random: rand.New(rand.NewPCG(p.seed, 1))}
+func newModel(p scenario) *model {
+	m := &model{scenario: p, random: rand.New(rand.NewPCG(p.seed, 1))}
 	for i := range p.instances {
-		x := &modelInstance{name: fmt.Sprint("i", i), hall: fmt.Sprint("h", i%3), since: -time.Hour}
+		x := &modelInstance{name: fmt.Sprint("i", i), hall: fmt.Sprint("h", i%3), changedAt: -time.Hour}
 		m.instances = append(m.instances, x)
 		x.start()
 	}
 	for i := range p.replicas {
-		m.replicas = append(m.replicas, &modelReplica{life: fmt.Sprint("r", i), place: Location{Hall: fmt.Sprint("h", i%3)}})
+		m.replicas = append(m.replicas, &modelReplica{incarnation: fmt.Sprint("r", i), location: Location{Hall: fmt.Sprint("h", i%3)}})
 	}
 	return m
 }
 
 func (x *modelInstance) start() {
-	x.book, x.told, x.keepers = New(Standard()), make(map[int]time.Duration), nil
+	x.tracker, x.announced, x.grantors = New(Standard()), make(map[int]time.Duration), nil
 }
 
 func (m *model) after(d time.Duration, run func()) {
-	h := happening{at: m.now + d, run: run}
-	i, _ := slices.BinarySearchFunc(m.queue, h, func(a, b happening) int { return cmp.Compare(a.at, b.at) })
+	h := event{at: m.now + d, run: run}
+	i, _ := slices.BinarySearchFunc(m.queue, h, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	m.queue = slices.Insert(m.queue, i, h)
 }
 
-func (m *model) reaches(a, b *modelInstance) bool {
-	return !a.dead && !b.dead && (a == b || !a.cut && !b.cut)
+func (m *model) canReach(a, b *modelInstance) bool {
+	return !a.down && !b.down && (a == b || !a.partitioned && !b.partitioned)
 }
 
-// view is whom an instance hears of: those it reaches, and who was lost a moment ago.
+// view returns the instances that x considers alive: those that it can reach, and those
+// lost less than failureDetection ago.
 func (m *model) view(x *modelInstance) []gossip.Instance {
 	var out []gossip.Instance
 	for _, y := range m.instances {
-		if m.reaches(x, y) || m.now-max(x.since, y.since) < missed && (y.dead || y.cut || x.cut) {
+		if m.canReach(x, y) || m.now-max(x.changedAt, y.changedAt) < failureDetection && (y.down || y.partitioned || x.partitioned) {
 			out = append(out, gossip.Instance{Name: y.name, Hall: y.hall})
 		}
 	}
 	return out
 }
 
-func (m *model) keeper(x *modelInstance, r *modelReplica) *modelInstance {
-	if m.ownWord {
+func (m *model) grantor(x *modelInstance, r *modelReplica) *modelInstance {
+	if m.noGrantor {
 		return x
 	}
-	if x.keepers == nil {
-		x.keepers = make(map[string]*modelInstance)
+	if x.grantors == nil {
+		x.grantors = make(map[string]*modelInstance)
 		view := m.view(x)
 		for _, r := range m.replicas[:m.limited] {
-			k, _ := SelectGrantor(view, r.life, r.place)
+			k, _ := SelectGrantor(view, r.incarnation, r.location)
 			for _, y := range m.instances {
 				if y.name == k.Name {
-					x.keepers[r.life] = y
+					x.grantors[r.incarnation] = y
 				}
 			}
 		}
 	}
-	return x.keepers[r.life]
+	return x.grantors[r.incarnation]
 }
 
-// request is one caller's request at an instance: any replica that may, then another.
+// request sends one request from an instance to a random eligible replica, and tries
+// another one when it is denied.
 func (m *model) request(x *modelInstance, tries int) {
-	if x.dead {
+	if x.down {
 		return
 	}
-	var may []int
+	var eligible []int
 	for i, r := range m.replicas {
-		if x.book.NextGrant(m.now, r.life) <= m.now {
-			may = append(may, i)
+		if x.tracker.NextGrant(m.now, r.incarnation) <= m.now {
+			eligible = append(eligible, i)
 		}
 	}
-	if len(may) == 0 || tries == 0 {
+	if len(eligible) == 0 || tries == 0 {
 		m.refused++
 		return
 	}
-	i := may[m.random.IntN(len(may))]
+	i := eligible[m.random.IntN(len(eligible))]
 	r := m.replicas[i]
-	if !x.book.Limit(r.life).Stated {
+	if !x.tracker.Limit(r.incarnation).Stated {
 		m.send(x, i)
 		return
 	}
-	k := m.keeper(x, r)
-	if k == nil || !m.reaches(x, k) {
+	k := m.grantor(x, r)
+	if k == nil || !m.canReach(x, k) {
 		m.after(4*m.delay, func() {
-			if x.book.TryLocalGrant(m.now, r.life, len(m.view(x))) {
+			if x.tracker.TryLocalGrant(m.now, r.incarnation, len(m.view(x))) {
 				m.send(x, i)
 				return
 			}
-			x.book.RecordDenial(r.life, m.now+300*time.Millisecond)
+			x.tracker.RecordDenial(r.incarnation, m.now+300*time.Millisecond)
 			m.request(x, tries-1)
 		})
 		return
 	}
 	m.after(m.delay, func() {
-		for _, w := range x.book.Reports(m.now, r.life) {
-			k.book.Record(m.now, w)
+		for _, w := range x.tracker.Reports(m.now, r.incarnation) {
+			k.tracker.Record(m.now, w)
 		}
-		gives := m.keeper(k, r) == k && !k.dead
-		if gives {
-			k.book.SetGrantor(m.now, r.life, true)
+		isGrantor := m.grantor(k, r) == k && !k.down
+		if isGrantor {
+			k.tracker.SetGrantor(m.now, r.incarnation, true)
 		}
-		ok := gives && k.book.TryGrant(m.now, r.life)
-		free := max(k.book.NextGrant(m.now, r.life)-m.now, retryIn)
+		ok := isGrantor && k.tracker.TryGrant(m.now, r.incarnation)
+		denied := max(k.tracker.NextGrant(m.now, r.incarnation)-m.now, minDenial)
 		m.after(m.delay, func() {
 			switch {
 			case ok:
 				m.send(x, i)
 			default:
-				x.book.RecordDenial(r.life, m.now+free)
+				x.tracker.RecordDenial(r.incarnation, m.now+denied)
 				m.request(x, tries-1)
 			}
 		})
@@ -206,11 +209,11 @@
 	r := m.replicas[i]
 	m.served++
 	m.after(m.delay, func() {
-		if x.dead {
+		if x.down {
 			return
 		}
-		told, ok := x.told[i]
-		r.came = append(r.came, arrival{at: m.now, from: x, told: ok && m.now-told >= 500*time.Millisecond})
+		announced, ok := x.announced[i]
+		r.arrivals = append(r.arrivals, arrival{at: m.now, from: x, announced: ok && m.now-announced >= 500*time.Millisecond})
 		work := time.Duration(m.random.Float64()*300) * time.Millisecond
 		m.after(work, func() {
 			limit := r.limit
@@ -220,77 +223,77 @@
 }
 
 func (m *model) answered(x *modelInstance, i int, limit Limit) {
-	if x.dead {
+	if x.down {
 		return
 	}
 	r := m.replicas[i]
 	if !limit.Stated {
-		delete(x.told, i)
-	} else if _, ok := x.told[i]; !ok {
-		x.told[i] = m.now
+		delete(x.announced, i)
+	} else if _, ok := x.announced[i]; !ok {
+		x.announced[i] = m.now
 	}
-	if x.book.Record(m.now, Report{Incarnation: r.life, Limit: limit}) == Unchanged {
+	if x.tracker.Record(m.now, Report{Incarnation: r.incarnation, Limit: limit}) == Unchanged {
 		return
 	}
-	if k := m.keeper(x, r); k != nil && m.random.Float64() >= m.lost {
-		m.tell(x, k)
+	if k := m.grantor(x, r); k != nil && m.random.Float64() >= m.lossRate {
+		m.announce(x, k)
 	}
-	m.beat(x)
+	m.heartbeat(x)
 }
 
-func (m *model) tell(x, y *modelInstance) {
-	words := x.book.Updates(m.now, 3*time.Second, 16)
+func (m *model) announce(x, y *modelInstance) {
+	reports := x.tracker.Updates(m.now, 3*time.Second, 16)
 	m.after(m.delay, func() {
-		if !m.reaches(x, y) {
+		if !m.canReach(x, y) {
 			return
 		}
-		for _, w := range words {
-			y.book.Record(m.now, w)
+		for _, w := range reports {
+			y.tracker.Record(m.now, w)
 		}
 	})
 }
 
-func (m *model) beat(x *modelInstance) {
-	if x.dead {
+func (m *model) heartbeat(x *modelInstance) {
+	if x.down {
 		return
 	}
-	x.keepers = nil
-	for range beatTo {
-		if m.random.Float64() >= m.lost {
-			m.tell(x, m.instances[m.random.IntN(len(m.instances))])
+	x.grantors = nil
+	for range heartbeatFanout {
+		if m.random.Float64() >= m.lossRate {
+			m.announce(x, m.instances[m.random.IntN(len(m.instances))])
 		}
 	}
-	x.book.Sweep(m.now, func(string) bool { return true })
+	x.tracker.Sweep(m.now, func(string) bool { return true })
 	for _, r := range m.replicas[:m.limited] {
-		x.book.SetGrantor(m.now, r.life, m.keeper(x, r) == x)
+		x.tracker.SetGrantor(m.now, r.incarnation, m.grantor(x, r) == x)
 	}
 }
 
-func (m *model) state(r *modelReplica, l Limit) {
+func (m *model) setLimit(r *modelReplica, l Limit) {
 	if l.Stated && !r.limit.Stated {
-		r.named = m.now
-		r.came = nil // the rule counts from here
+		r.limitedAt = m.now
+		r.arrivals = nil // arrivals are counted from this moment
 	}
 	r.limit = l
 }
 
-// trouble strikes some instance, unless one is struck already.
-func (m *model) trouble(strike func(*modelInstance)) {
+// disrupt applies a fault to a random instance, unless another fault is in effect.
+func (m *model) disrupt(fault func(*modelInstance)) {
 	for _, x := range m.instances {
-		if x.dead || x.cut {
+		if x.down || x.partitioned {
 			return
 		}
 	}
 	x := m.instances[m.random.IntN(len(m.instances))]
-	x.since = m.now
-	strike(x)
-	length := time.Duration(1+3*m.random.Float64()) * time.Second
-	x.excused = append(x.excused, excuse{from: m.now, to: m.now + length + 3*time.Second})
-	m.after(length, func() {
-		if x.dead {
+	x.changedAt = m.now
+	fault(x)
+	duration := time.Duration(1+3*m.random.Float64()) * time.Second
+	x.exempt = append(x.exempt, exemption{from: m.now, to: m.now + duration + 3*time.Second})
+	m.after(duration, func() {
+		if x.down {
 			x.start()
 		}
-		x.dead, x.cut, x.since = false, false, m.now
+		x.down, x.partitioned, x.changedAt = false, false, m.now
 	})
 }
 
@@ -301,7 +304,7 @@
 }
 
 func (m *model) run() {
-	for ; m.now < m.length; m.now += step {
+	for ; m.now < m.duration; m.now += step {
 		for len(m.queue) > 0 && m.queue[0].at <= m.now {
 			h := m.queue[0]
 			m.queue = m.queue[1:]
@@ -309,55 +312,55 @@
 		}
 		if m.now == time.Second {
 			for _, r := range m.replicas[:m.limited] {
-				m.state(r, stated(m.perSecond))
+				m.setLimit(r, stated(m.perSecond))
 			}
 		}
 		for i, x := range m.instances {
 			if m.random.Float64() < m.load*step.Seconds() {
 				m.request(x, 4)
 			}
-			if (m.now+time.Duration(i)*step)%beatEach == 0 {
-				m.beat(x)
+			if (m.now+time.Duration(i)*step)%heartbeatInterval == 0 {
+				m.heartbeat(x)
 			}
 		}
-		m.every(m.deaths, func() { m.trouble(func(x *modelInstance) { x.dead = true }) })
-		m.every(m.cuts, func() { m.trouble(func(x *modelInstance) { x.cut = true }) })
-		m.every(m.powers, func() {
+		m.every(m.crashes, func() { m.disrupt(func(x *modelInstance) { x.down = true }) })
+		m.every(m.partitions, func() { m.disrupt(func(x *modelInstance) { x.partitioned = true }) })
+		m.every(m.fleetRestarts, func() {
 			for _, x := range m.instances {
 				x.start()
-				x.excused = append(x.excused, excuse{from: m.now, to: m.now + 3*time.Second})
+				x.exempt = append(x.exempt, exemption{from: m.now, to: m.now + 3*time.Second})
 			}
 		})
-		m.every(m.moves, func() {
+		m.every(m.limitChanges, func() {
 			for _, r := range m.replicas[:m.limited] {
-				m.state(r, stated(m.perSecond*(1+m.random.Float64()*2)/(1+m.random.Float64()*2)))
+				m.setLimit(r, stated(m.perSecond*(1+m.random.Float64()*2)/(1+m.random.Float64()*2)))
 			}
 		})
 		m.every(m.flaps, func() {
 			for _, r := range m.replicas[:m.limited] {
-				m.state(r, Limit{PerSecond: m.perSecond, Stated: !r.limit.Stated})
+				m.setLimit(r, Limit{PerSecond: m.perSecond, Stated: !r.limit.Stated})
 			}
 		})
 		for _, r := range m.replicas {
-			r.aim += r.limit.PerSecond * step.Seconds()
+			r.allowance += r.limit.PerSecond * step.Seconds()
 		}
 	}
 }
 
-// worst returns by how many times a replica got what the rule allows in some 4 s,
-// at most: 1 and below keeps it.
-func (m *model) worst() float64 {
+// worstRatio returns the highest ratio of arrivals to the allowed number over any 4 s
+// at one replica; a value up to 1 keeps the limit.
+func (m *model) worstRatio() float64 {
 	const span = 4 * time.Second
-	worst := 0.0
+	worstRatio := 0.0
 	for _, r := range m.replicas[:m.limited] {
 		var counted []time.Duration
-		for _, a := range r.came {
-			excused := slices.ContainsFunc(a.from.excused, func(e excuse) bool { return a.at >= e.from && a.at <= e.to })
-			if a.told && !excused && a.at >= r.named+3*time.Second {
+		for _, a := range r.arrivals {
+			exempt := slices.ContainsFunc(a.from.exempt, func(e exemption) bool { return a.at >= e.from && a.at <= e.to })
+			if a.announced && !exempt && a.at >= r.limitedAt+3*time.Second {
 				counted = append(counted, a.at)
 			}
 		}
-		allowed := 1.5*m.most(r)*span.Seconds() + 5
+		allowed := 1.5*m.maxLimit(r)*span.Seconds() + 5
 		for i, from := range counted {
 			n := 0
 			for _, at := range counted[i:] {
@@ -366,95 +369,94 @@
 				}
 				n++
 			}
-			worst = max(worst, float64(n)/allowed)
+			worstRatio = max(worstRatio, float64(n)/allowed)
 		}
 	}
-	return worst
+	return worstRatio
 }
 
-// most is the largest limit that the replica may have stated.
-func (m *model) most(*modelReplica) float64 {
-	if m.moves > 0 {
+// maxLimit is the highest limit that the replica may have stated.
+func (m *model) maxLimit(*modelReplica) float64 {
+	if m.limitChanges > 0 {
 		return 3 * m.perSecond
 	}
 	return m.perSecond
 }
 
-// got is what limited replicas got, against what they stated, once all had time to
-// hear of it.
-func (m *model) got() float64 {
-	came, stated := 0, 0.0
+// usage returns the ratio of arrivals to stated limits, leaving out the first 3 s, in
+// which the limits are announced.
+func (m *model) usage() float64 {
+	arrivals, stated := 0, 0.0
 	for _, r := range m.replicas[:m.limited] {
-		for _, a := range r.came {
-			if a.at > r.named+3*time.Second {
-				came++
+		for _, a := range r.arrivals {
+			if a.at > r.limitedAt+3*time.Second {
+				arrivals++
 			}
 		}
-		stated += m.perSecond * (m.length - r.named - 3*time.Second).Seconds()
+		stated += m.perSecond * (m.duration - r.limitedAt - 3*time.Second).Seconds()
 	}
-	return float64(came) / stated
+	return float64(arrivals) / stated
 }
 
 var fleets = []struct{ instances, replicas, limited int }{{6, 4, 1}, {6, 4, 4}, {30, 10, 2}, {60, 20, 20}}
 
-func plays(seed uint64) []play {
-	var out []play
+func scenarios(seed uint64) []scenario {
+	var out []scenario
 	for _, f := range fleets {
 		for _, perSecond := range []float64{0.3, 1.2, 8, 50} {
-			base := play{
+			base := scenario{
 				seed: seed, instances: f.instances, replicas: f.replicas, limited: f.limited, perSecond: perSecond,
-				load: 4 + 2*perSecond*float64(f.limited)/float64(f.instances), delay: time.Millisecond, lost: 0.05, length: 20 * time.Second,
+				load: 4 + 2*perSecond*float64(f.limited)/float64(f.instances), delay: time.Millisecond, lossRate: 0.05, duration: 20 * time.Second,
 			}
-			deaths, cuts, powers, moves, flaps, far := base, base, base, base, base, base
-			deaths.deaths = 3 * time.Second
-			cuts.cuts = 3 * time.Second
-			powers.powers = 9 * time.Second
-			moves.moves = 2 * time.Second
+			crashes, partitions, fleetRestarts, limitChanges, flaps, slowLinks := base, base, base, base, base, base
+			crashes.crashes = 3 * time.Second
+			partitions.partitions = 3 * time.Second
+			fleetRestarts.fleetRestarts = 9 * time.Second
+			limitChanges.limitChanges = 2 * time.Second
 			flaps.flaps = 4 * time.Second
-			far.delay, far.lost = 20*time.Millisecond, 0.3
-			out = append(out, base, deaths, cuts, powers, moves, flaps, far)
+			slowLinks.delay, slowLinks.lossRate = 20*time.Millisecond, 0.3
+			out = append(out, base, crashes, partitions, fleetRestarts, limitChanges, flaps, slowLinks)
 		}
 	}
 	return out
 }
 
-// seeds is how many seeds are played; by hand more than in CI.
-var seeds = flag.Uint64("seeds", 1, "seeds of the fleets that are played")
+// seeds is the number of seeds to simulate; CI runs one, a run by hand may use more.
+var seeds = flag.Uint64("seeds", 1, "number of seeds to simulate")
 
-// Whatever befalls instances, their heartbeats and the limits: no replica gets
-// more than it states, by the rule's count.
+// No replica receives more than its limit allows while instances crash, lose heartbeats
+// or are partitioned, and while limits change.
 func TestLimitsHoldOverAFleet(t *testing.T) {
 	for seed := range *seeds {
-		for _, p := range plays(seed) {
+		for _, p := range scenarios(seed) {
 			m := newModel(p)
 			m.run()
-			if worst := m.worst(); worst > 1 {
-				t.Errorf("%+v: %.2f times what is allowed", p, worst)
+			if worstRatio := m.worstRatio(); worstRatio > 1 {
+				t.Errorf("%+v: %.2f times the allowed number of requests", p, worstRatio)
 			}
 		}
 	}
 }
 
-// With nothing else wrong a limited replica gets what it states, no more and hardly
-// less where that much is asked for.
+// Without faults and with enough load, a limited replica receives close to its limit.
 func TestALimitIsUsed(t *testing.T) {
-	for _, p := range plays(7) {
-		if p.deaths+p.cuts+p.powers+p.moves+p.flaps > 0 {
+	for _, p := range scenarios(7) {
+		if p.crashes+p.partitions+p.fleetRestarts+p.limitChanges+p.flaps > 0 {
 			continue
 		}
 		m := newModel(p)
 		m.run()
-		if got := m.got(); got > 1.1 || got < 0.6 {
-			t.Errorf("%+v: %.2f of its limit", p, got)
+		if usage := m.usage(); usage > 1.1 || usage < 0.6 {
+			t.Errorf("%+v: %.2f of the limit was used", p, usage)
 		}
 	}
 }
 
-// The counter notices what the rule forbids: with each instance giving turns by
-// itself a limit is not one over all.
-func TestTheCounterNoticesASumOfOwnTurns(t *testing.T) {
+// The check must fail without a common grantor: when each instance grants on its own,
+// the total exceeds the limit.
+func TestTheModelDetectsMissingCoordination(t *testing.T) {
 	is := is.New(t)
-	m := newModel(play{seed: 1, instances: 12, replicas: 4, limited: 1, perSecond: 1.2, load: 4, delay: time.Millisecond, length: 20 * time.Second, ownWord: true})
+	m := newModel(scenario{seed: 1, instances: 12, replicas: 4, limited: 1, perSecond: 1.2, load: 4, delay: time.Millisecond, duration: 20 * time.Second, noGrantor: true})
 	m.run()
-	is.True(m.worst() > 1)
+	is.True(m.worstRatio() > 1)
 }
--- a/coordination/pace/grantor.go
+++ b/coordination/pace/grantor.go
@@ -5,46 +5,47 @@
 	"quinceroad/coordination/rendezvous"
 )
 
-// Place is where a replica is.
+// Location is the hall and region of a replica.
 type Location struct {
 	Hall   string
 	Region string
 }
 
-// distances of an instance from a replica whose turns it may give, the best first.
+// Distances between an instance and a replica, most preferred grantor first.
 const (
 	sameHall = iota
 	sameRegion
-	elsewhere
-	isLeaving
+	otherRegion
+	leaving
 )
 
 func (p Location) distance(i *gossip.Instance) int {
 	switch {
 	case i.Leaving:
-		return isLeaving
+		return leaving
 	case i.Region != p.Region:
-		return elsewhere
+		return otherRegion
 	case i.Hall != p.Hall:
 		return sameRegion
 	}
 	return sameHall
 }
 
-// Keeper returns which of some instances gives a replica's turns: one near the
-// replica before others, as most of its requests come from there; one that leaves
-// only where all do. All with the same view agree; false where there is none.
-func SelectGrantor(alive []gossip.Instance, life string, at Location) (gossip.Instance, bool) {
-	best, least, most := -1, 0, uint64(0)
+// SelectGrantor returns the instance that issues a replica's send grants. It prefers
+// instances close to the replica, where most of its requests come from, and picks an
+// instance that is leaving only when all are. Instances with the same view select the
+// same grantor. It returns false when no instance is alive.
+func SelectGrantor(alive []gossip.Instance, incarnation string, replica Location) (gossip.Instance, bool) {
+	best, bestDistance, bestWeight := -1, 0, uint64(0)
 	for i := range alive {
 		x := &alive[i]
-		far := at.distance(x)
-		if best >= 0 && far > least {
+		distance := replica.distance(x)
+		if best >= 0 && distance > bestDistance {
 			continue
 		}
-		weight := rendezvous.Weight(life, x.Name)
-		if best < 0 || far < least || weight > most || weight == most && x.Name < alive[best].Name {
-			best, least, most = i, far, weight
+		weight := rendezvous.Weight(incarnation, x.Name)
+		if best < 0 || distance < bestDistance || weight > bestWeight || weight == bestWeight && x.Name < alive[best].Name {
+			best, bestDistance, bestWeight = i, distance, weight
 		}
 	}
 	if best < 0 {
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -1,17 +1,18 @@
-// Package pace keeps what replicas get that state how many requests a second they
-// take from all instances together.
+// Package pace enforces the rate limits that replicas state, in requests per second
+// from all instances together.
 //
-// A limit of one request a second can't be cut into parts for hundreds of
-// instances. So each limited replica has one keeper, an instance that all others
-// name by the same rule, and who sends has a turn from it first. Turns are spaced:
-// what is not used is not saved up but for a moment. A new keeper doesn't know
-// what the last one gave, and begins as if it had just given a turn. Where no
-// keeper can be asked, an instance goes by its own part of the limit.
+// A limit of one request per second can't be divided among hundreds of instances. Each
+// limited replica therefore has one grantor, an instance that all others select by the
+// same rule, and a sender obtains a grant from it before each request. Grants are
+// spaced evenly; unused grants accumulate for Options.Burst only. A new grantor doesn't
+// know what its predecessor granted, so it starts as if it had just issued a grant. An
+// instance that can't reach the grantor uses its own fraction of the limit.
 //
-// A statement holds until the replica answers without it, whoever hears that: of
-// several words of a life the newest counts, by ages and not by the time of day.
+// A limit holds until the replica answers without it, whichever instance receives that
+// answer. Among several reports on an incarnation the newest wins, compared by age
+// rather than by wall clock time.
 //
-// The package is pure: event and time in, decision out.
+// The package is pure: it maps events and times to decisions.
 package pace
 
 import (
@@ -22,17 +23,17 @@
 	"time"
 )
 
-// Options are the book's constants.
+// Options are the constants of a Tracker.
 type Options struct {
-	Burst             time.Duration // that a turn may be given before it is due: so much of what was not used is kept
-	MaxInterval       time.Duration // the longest time between two turns: a replica that gets nothing tells nobody that its limit has ended
-	RemovedRetention  time.Duration // that an ended limit is remembered, so that an older word does not bring it back
-	UnlistedRetention time.Duration // that a word of a life is kept which is not listed: entries that lapse with a silent store are back within seconds of its return
-	MaxIncarnations   int           // lives; a bound against a peer that names many
-	LogInterval       time.Duration // between two changes of one limit that are worth a log line, and a round of heartbeats of their own
+	Burst             time.Duration // how long before it is due a grant may be issued; bounds the unused grants that accumulate
+	MaxInterval       time.Duration // longest time between two grants: only an answer can tell that a limit has been removed, so a replica with a limit of 0 still gets requests
+	RemovedRetention  time.Duration // how long a removed limit is remembered, so that an older report doesn't restore it
+	UnlistedRetention time.Duration // how long the limit of an unlisted incarnation is kept; entries that expire while the store is unavailable reappear within seconds of its return
+	MaxIncarnations   int           // bounds memory against a peer that reports many incarnations
+	LogInterval       time.Duration // minimum time between two changes of one limit that are logged and trigger extra heartbeats
 }
 
-// Standard returns the constants in use.
+// Standard returns the options used in production.
 func Standard() Options {
 	return Options{
 		Burst:             250 * time.Millisecond,
@@ -44,269 +45,270 @@
 	}
 }
 
-// Limit is what a replica states of how much it takes.
+// Limit is the request rate that a replica accepts.
 type Limit struct {
-	PerSecond float64 // requests, from all instances together
-	Stated    bool    // false: any number
+	PerSecond float64 // requests per second from all instances together
+	Stated    bool    // false: no limit
 }
 
-// Word is a statement of a life, as one instance tells it to another.
+// Report is the limit of one incarnation, as exchanged between instances.
 type Report struct {
 	Incarnation string
 	Limit       Limit
-	Age         time.Duration // since the answer came
+	Age         time.Duration // time since the replica's answer arrived
 }
 
-// Book is not safe for concurrent use. Replicas are named by their lives.
+// Tracker holds the limits of replicas, by incarnation, and schedules their send
+// grants. It is not safe for concurrent use.
 type Tracker struct {
-	opts    Options
-	rows    map[string]*row
-	limited int // rows whose limit is stated
-	turn    int // of the words, whose turn it is to be told
+	opts         Options
+	entries      map[string]*entry
+	limitedCount int // entries with a stated limit
+	cursor       int // position of the next report to repeat
 }
 
-type row struct {
-	limit  Limit
-	heard  time.Duration // when the answer came that said so
-	fresh  time.Duration // when this instance learned it
-	listed time.Duration // when it was listed last
-	noted  time.Duration // when a change was last worth a line; 0: none was
-
-	keeps bool          // this instance gives the turns
-	next  time.Duration // when the next turn is due
-	known time.Duration // until when the keeper has none, as it said
-	alone time.Duration // when the next turn is due where nobody can be asked; 0: not asked for yet
+type entry struct {
+	limit      Limit
+	answeredAt time.Duration // when the answer that stated the limit arrived
+	learnedAt  time.Duration // when this instance learned of the limit
+	listedAt   time.Duration // when the incarnation was last listed
+	loggedAt   time.Duration // when a change was last logged; 0: never
+
+	isGrantor      bool          // this instance issues the grants
+	nextGrant      time.Duration // when the next grant is due
+	deniedUntil    time.Duration // the grantor reported that it has no grant before this time
+	nextLocalGrant time.Duration // when the next grant without the grantor is due; 0: none requested yet
 }
 
-// New returns an empty book.
-func New(o Options) *Tracker { return &Tracker{opts: o, rows: make(map[string]*row)} }
+// New returns an empty tracker.
+func New(o Options) *Tracker { return &Tracker{opts: o, entries: make(map[string]*entry)} }
 
-// Change is what a word has changed.
+// Change is the effect of a report on a limit.
 type Change int
 
-// The changes.
+// Possible changes.
 const (
 	Unchanged Change = iota
 	Added
-	Updated // to another number
+	Updated // to another rate
 	Removed
 )
 
-// Hear takes in what a life states, in an answer that came so long ago.
-func (b *Tracker) Record(now time.Duration, w Report) Change {
-	at := now - max(w.Age, 0)
-	r := b.rows[w.Incarnation]
+// Record processes the limit that a replica stated in an answer of the given age.
+func (t *Tracker) Record(now time.Duration, w Report) Change {
+	answeredAt := now - max(w.Age, 0)
+	r := t.entries[w.Incarnation]
 	switch {
-	case r == nil && !w.Limit.Stated, r == nil && len(b.rows) >= b.opts.MaxIncarnations:
+	case r == nil && !w.Limit.Stated, r == nil && len(t.entries) >= t.opts.MaxIncarnations:
 		return Unchanged
 	case r == nil:
-		r = &row{listed: now}
-		b.rows[w.Incarnation] = r
-	case at < r.heard:
+		r = &entry{listedAt: now}
+		t.entries[w.Incarnation] = r
+	case answeredAt < r.answeredAt:
 		return Unchanged
 	}
-	was := r.limit
-	r.limit, r.heard = w.Limit, at
-	if was == w.Limit {
+	previous := r.limit
+	r.limit, r.answeredAt = w.Limit, answeredAt
+	if previous == w.Limit {
 		return Unchanged
 	}
-	r.fresh = now
-	begins := b.begins(now, w.Limit)
-	r.next = min(r.next, begins)
+	r.learnedAt = now
+	firstGrant := t.firstGrant(now, w.Limit)
+	r.nextGrant = min(r.nextGrant, firstGrant)
 	switch {
-	case !was.Stated:
-		b.limited++
-		r.next = begins
-		r.alone, r.known = 0, 0
+	case !previous.Stated:
+		t.limitedCount++
+		r.nextGrant = firstGrant
+		r.nextLocalGrant, r.deniedUntil = 0, 0
 		return Added
 	case !w.Limit.Stated:
-		b.limited--
+		t.limitedCount--
 		return Removed
 	}
 	return Updated
 }
 
-// WorthALine reports whether a change of a life's limit is worth a log line now, and
-// counts it: a replica may state another limit in each answer.
-func (b *Tracker) ShouldLog(now time.Duration, life string) bool {
-	r := b.rows[life]
-	if r == nil || r.noted != 0 && now-r.noted < b.opts.LogInterval {
+// ShouldLog reports whether to log a change of an incarnation's limit now, and counts
+// the log line: a replica may state a different limit in each answer.
+func (t *Tracker) ShouldLog(now time.Duration, incarnation string) bool {
+	r := t.entries[incarnation]
+	if r == nil || r.loggedAt != 0 && now-r.loggedAt < t.opts.LogInterval {
 		return false
 	}
-	r.noted = max(now, 1)
+	r.loggedAt = max(now, 1)
 	return true
 }
 
-// gap is the time between two turns.
-func (b *Tracker) gap(l Limit) time.Duration {
+// interval is the time between two grants.
+func (t *Tracker) interval(l Limit) time.Duration {
 	if !l.Stated {
 		return 0
 	}
-	return time.Duration(min(1/max(l.PerSecond, 0), b.opts.MaxInterval.Seconds()) * float64(time.Second))
+	return time.Duration(min(1/max(l.PerSecond, 0), t.opts.MaxInterval.Seconds()) * float64(time.Second))
 }
 
-// begins is when the first turn is due of who has given none: what the life got
-// until now was not counted, or by another one.
-func (b *Tracker) begins(now time.Duration, l Limit) time.Duration {
-	return now + b.gap(l) + b.opts.Burst
+// firstGrant is when a new grantor may issue its first grant: requests sent before were
+// not counted, or were counted by another grantor.
+func (t *Tracker) firstGrant(now time.Duration, l Limit) time.Duration {
+	return now + t.interval(l) + t.opts.Burst
 }
 
-// Any reports whether any limit is stated.
-func (b *Tracker) HasLimits() bool { return b.limited > 0 }
+// HasLimits reports whether any limit is in force.
+func (t *Tracker) HasLimits() bool { return t.limitedCount > 0 }
 
-// Empty reports whether nothing is known, ended limits included.
-func (b *Tracker) Empty() bool { return len(b.rows) == 0 }
+// Empty reports whether there are no entries, removed limits included.
+func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
-// Limit returns what a life states.
-func (b *Tracker) Limit(life string) Limit {
-	if r := b.rows[life]; r != nil {
+// Limit returns the limit of an incarnation.
+func (t *Tracker) Limit(incarnation string) Limit {
+	if r := t.entries[incarnation]; r != nil {
 		return r.limit
 	}
 	return Limit{}
 }
 
-// Gap returns the time between two turns at a life; 0: it takes any number.
-func (b *Tracker) Interval(life string) time.Duration { return b.gap(b.Limit(life)) }
+// Interval returns the time between two grants for an incarnation; 0: no limit.
+func (t *Tracker) Interval(incarnation string) time.Duration { return t.interval(t.Limit(incarnation)) }
 
-// Keep takes in whether this instance gives a life's turns. Who begins to does not
-// know what was given, and gives none for the time of one.
-func (b *Tracker) SetGrantor(now time.Duration, life string, keeps bool) {
-	r := b.rows[life]
-	if r == nil || r.keeps == keeps {
+// SetGrantor sets whether this instance issues an incarnation's grants. A new grantor
+// doesn't know what was granted before and waits for one interval.
+func (t *Tracker) SetGrantor(now time.Duration, incarnation string, isGrantor bool) {
+	r := t.entries[incarnation]
+	if r == nil || r.isGrantor == isGrantor {
 		return
 	}
-	r.keeps = keeps
-	if keeps {
-		r.next = max(r.next, b.begins(now, r.limit))
+	r.isGrantor = isGrantor
+	if isGrantor {
+		r.nextGrant = max(r.nextGrant, t.firstGrant(now, r.limit))
 	}
 }
 
-// Free returns from when on a life may get a request, as far as is known here:
-// now, or later.
-func (b *Tracker) NextGrant(now time.Duration, life string) time.Duration {
-	r := b.rows[life]
+// NextGrant returns the earliest time, now or later, at which an incarnation may
+// receive a request, as far as this instance knows.
+func (t *Tracker) NextGrant(now time.Duration, incarnation string) time.Duration {
+	r := t.entries[incarnation]
 	switch {
 	case r == nil || !r.limit.Stated:
 		return now
-	case r.keeps:
-		return max(now, r.next-b.opts.Burst)
+	case r.isGrantor:
+		return max(now, r.nextGrant-t.opts.Burst)
 	}
-	return max(now, r.known)
+	return max(now, r.deniedUntil)
 }
 
-// Take gives a turn, which the keeper alone may, and reports whether there was one.
-func (b *Tracker) TryGrant(now time.Duration, life string) bool {
-	r := b.rows[life]
+// TryGrant issues a grant if one is due. Only the grantor may issue any.
+func (t *Tracker) TryGrant(now time.Duration, incarnation string) bool {
+	r := t.entries[incarnation]
 	if r == nil || !r.limit.Stated {
 		return true
 	}
-	if !r.keeps || b.NextGrant(now, life) > now {
+	if !r.isGrantor || t.NextGrant(now, incarnation) > now {
 		return false
 	}
-	b.Consume(now, life)
+	t.Consume(now, incarnation)
 	return true
 }
 
-// Spend counts a turn that is used whether it was due or not.
-func (b *Tracker) Consume(now time.Duration, life string) {
-	if r := b.rows[life]; r != nil && r.limit.Stated {
-		r.next = max(r.next, now) + b.gap(r.limit)
+// Consume counts a grant, whether or not it was due.
+func (t *Tracker) Consume(now time.Duration, incarnation string) {
+	if r := t.entries[incarnation]; r != nil && r.limit.Stated {
+		r.nextGrant = max(r.nextGrant, now) + t.interval(r.limit)
 	}
 }
 
-// None takes in that a life's keeper has no turn until then.
-func (b *Tracker) RecordDenial(life string, until time.Duration) {
-	if r := b.rows[life]; r != nil {
-		r.known = until
+// RecordDenial records that the grantor has no grant until the given time.
+func (t *Tracker) RecordDenial(incarnation string, until time.Duration) {
+	if r := t.entries[incarnation]; r != nil {
+		r.deniedUntil = until
 	}
 }
 
-// TakeAlone gives a turn of the own part of a limit, for when the keeper can't be
-// asked, among so many instances.
-func (b *Tracker) TryLocalGrant(now time.Duration, life string, instances int) bool {
-	r := b.rows[life]
+// TryLocalGrant issues a grant from this instance's own fraction of the limit, for when
+// the grantor can't be reached; instances is the number that share the limit.
+func (t *Tracker) TryLocalGrant(now time.Duration, incarnation string, instances int) bool {
+	r := t.entries[incarnation]
 	if r == nil || !r.limit.Stated {
 		return true
 	}
-	part := time.Duration(max(instances, 1)) * b.gap(r.limit)
-	if r.alone == 0 {
-		r.alone = now + part
+	localInterval := time.Duration(max(instances, 1)) * t.interval(r.limit)
+	if r.nextLocalGrant == 0 {
+		r.nextLocalGrant = now + localInterval
 	}
-	if now < r.alone {
+	if now < r.nextLocalGrant {
 		return false
 	}
-	r.alone = now + part
+	r.nextLocalGrant = now + localInterval
 	return true
 }
 
-// News returns the words that are worth telling others, at most so many: those
-// learned a moment ago, and the others in turn.
-func (b *Tracker) Updates(now, fresh time.Duration, most int) []Report {
-	var out, older []Report
-	for life, r := range b.rows {
-		w := Report{Incarnation: life, Limit: r.limit, Age: max(now-r.heard, 0)}
+// Updates returns at most maxReports reports to announce: those learned less than fresh
+// ago, and some of the others in turn.
+func (t *Tracker) Updates(now, fresh time.Duration, maxReports int) []Report {
+	var out, repeated []Report
+	for incarnation, r := range t.entries {
+		w := Report{Incarnation: incarnation, Limit: r.limit, Age: max(now-r.answeredAt, 0)}
 		switch {
-		case now-r.fresh < fresh:
+		case now-r.learnedAt < fresh:
 			out = append(out, w)
 		case r.limit.Stated:
-			older = append(older, w)
+			repeated = append(repeated, w)
 		}
 	}
-	byLife := func(x, y Report) int { return cmp.Compare(x.Incarnation, y.Incarnation) }
-	slices.SortFunc(out, byLife)
-	slices.SortFunc(older, byLife)
-	for range min(len(older), max(most-len(out), 0), olderTold) {
-		b.turn = (b.turn + 1) % len(older)
-		out = append(out, older[b.turn])
+	byIncarnation := func(x, y Report) int { return cmp.Compare(x.Incarnation, y.Incarnation) }
+	slices.SortFunc(out, byIncarnation)
+	slices.SortFunc(repeated, byIncarnation)
+	for range min(len(repeated), max(maxReports-len(out), 0), maxRepeated) {
+		t.cursor = (t.cursor + 1) % len(repeated)
+		out = append(out, repeated[t.cursor])
 	}
-	return out[:min(len(out), most)]
+	return out[:min(len(out), maxReports)]
 }
 
-// Words returns what is known of a life: one word, none where it stated nothing.
-func (b *Tracker) Reports(now time.Duration, life string) []Report {
-	r := b.rows[life]
+// Reports returns the report on one incarnation, or none if it never stated a limit.
+func (t *Tracker) Reports(now time.Duration, incarnation string) []Report {
+	r := t.entries[incarnation]
 	if r == nil {
 		return nil
 	}
-	return []Report{{Incarnation: life, Limit: r.limit, Age: max(now-r.heard, 0)}}
+	return []Report{{Incarnation: incarnation, Limit: r.limit, Age: max(now-r.answeredAt, 0)}}
 }
 
-// olderTold is how many words that are not new one heartbeat tells.
-const olderTold = 4
+// maxRepeated is the number of older reports that one heartbeat repeats.
+const maxRepeated = 4
 
-// Sweep forgets what is of no use any more: ended limits after a while, and words of
-// lives that have not been listed for long.
-func (b *Tracker) Sweep(now time.Duration, listed func(life string) bool) {
-	for life, r := range b.rows {
-		if listed(life) {
-			r.listed = now
+// Sweep removes limits that ended RemovedRetention ago and entries of incarnations that
+// have been unlisted for UnlistedRetention.
+func (t *Tracker) Sweep(now time.Duration, listed func(incarnation string) bool) {
+	for incarnation, r := range t.entries {
+		if listed(incarnation) {
+			r.listedAt = now
 		}
-		if now-r.listed > b.opts.UnlistedRetention || !r.limit.Stated && now-r.fresh > b.opts.RemovedRetention {
-			b.forget(life)
+		if now-r.listedAt > t.opts.UnlistedRetention || !r.limit.Stated && now-r.learnedAt > t.opts.RemovedRetention {
+			t.forget(incarnation)
 		}
 	}
 }
 
-func (b *Tracker) forget(life string) {
-	if b.rows[life].limit.Stated {
-		b.limited--
+func (t *Tracker) forget(incarnation string) {
+	if t.entries[incarnation].limit.Stated {
+		t.limitedCount--
 	}
-	delete(b.rows, life)
+	delete(t.entries, incarnation)
 }
 
-// Limited returns the lives that state a limit, and which.
-func (b *Tracker) Limits() map[string]float64 {
-	out := make(map[string]float64, b.limited)
-	for life, r := range b.rows {
+// Limits returns the limits in force by incarnation, in requests per second.
+func (t *Tracker) Limits() map[string]float64 {
+	out := make(map[string]float64, t.limitedCount)
+	for incarnation, r := range t.entries {
 		if r.limit.Stated {
-			out[life] = r.limit.PerSecond
+			out[incarnation] = r.limit.PerSecond
 		}
 	}
 	return out
 }
 
-// Lives returns the lives that state a limit, in order.
-func (b *Tracker) LimitedIncarnations() []string { return slices.Sorted(maps.Keys(b.Limits())) }
+// LimitedIncarnations returns the incarnations that state a limit, sorted.
+func (t *Tracker) LimitedIncarnations() []string { return slices.Sorted(maps.Keys(t.Limits())) }
 
-// Proper reports whether a number can be a limit.
+// IsValidRate reports whether a number is a possible limit.
 func IsValidRate(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
--- a/coordination/pace/queue.go
+++ b/coordination/pace/queue.go
@@ -2,95 +2,94 @@
 
 import "time"
 
-// Turns are what replicas get that state how many requests a second they take from
-// all instances.
+// Limiter schedules the send grants of replicas with rate limits.
 type Limiter interface {
-	HasLimits() bool                                               // some replica states a limit
-	NextGrant(now time.Duration, life string) (from time.Duration) // when one may get the next request
-	Interval(life string) time.Duration                            // between two of its requests; 0: it states none
-	Consume(now time.Duration, life string)                        // counts one
+	HasLimits() bool                                                      // whether any replica has a limit
+	NextGrant(now time.Duration, incarnation string) (from time.Duration) // earliest time of the next request
+	Interval(incarnation string) time.Duration                            // time between two requests; 0: no limit
+	Consume(now time.Duration, incarnation string)                        // counts one request
 }
 
-// Supply is what the replicas that may run a request give of turns.
+// Supply is the rate of grants from the replicas that may run a request.
 type Supply struct {
-	Next      time.Duration // when the first of them has one
-	PerSecond float64       // of all of them
-	Limited   bool          // all state limits; else there is no need to wait
+	Next      time.Duration // earliest grant of any replica
+	PerSecond float64       // grants of all replicas together
+	Limited   bool          // all replicas have limits; otherwise no request has to wait
 }
 
-// Add counts one more replica, the first one with first.
-func (s Supply) Add(first bool, free, gap time.Duration) Supply {
+// Add adds a replica; first marks the first one added.
+func (s Supply) Add(first bool, free, interval time.Duration) Supply {
 	if first {
-		return Supply{Next: free, PerSecond: perSecond(gap), Limited: gap > 0}
+		return Supply{Next: free, PerSecond: perSecond(interval), Limited: interval > 0}
 	}
 	s.Next = min(s.Next, free)
-	s.PerSecond += perSecond(gap)
-	s.Limited = s.Limited && gap > 0
+	s.PerSecond += perSecond(interval)
+	s.Limited = s.Limited && interval > 0
 	return s
 }
 
-func perSecond(gap time.Duration) float64 {
-	if gap <= 0 {
+func perSecond(interval time.Duration) float64 {
+	if interval <= 0 {
 		return 0
 	}
-	return 1 / gap.Seconds()
+	return 1 / interval.Seconds()
 }
 
-// Queue is the requests that want turns of a service's replicas: those that wait,
-// and those that will once their stages are done. The most urgent go first, then
-// those that came first. It is not safe for concurrent use.
+// Queue holds the requests that need grants from a service's replicas: those waiting
+// for one, and those whose stages are still running. It orders them by rank, the most
+// urgent first, then by arrival. It is not safe for concurrent use.
 type Queue struct {
-	rows map[uint64]*waiting
+	waiters map[uint64]*waiter
 }
 
-type waiting struct {
-	rank int
-	now  bool // it can use a turn now
+type waiter struct {
+	rank  int
+	ready bool // the request can use a grant now
 }
 
 // NewQueue returns an empty queue.
-func NewQueue() *Queue { return &Queue{rows: make(map[uint64]*waiting)} }
+func NewQueue() *Queue { return &Queue{waiters: make(map[uint64]*waiter)} }
 
-// Join adds a request; ids rise as requests come.
-func (q *Queue) Add(id uint64, rank int) { q.rows[id] = &waiting{rank: rank} }
+// Add adds a request; ids increase in order of arrival.
+func (q *Queue) Add(id uint64, rank int) { q.waiters[id] = &waiter{rank: rank} }
 
-// Ready notes that a request can use a turn now.
+// MarkReady records that a request can use a grant now.
 func (q *Queue) MarkReady(id uint64) {
-	if w := q.rows[id]; w != nil {
-		w.now = true
+	if w := q.waiters[id]; w != nil {
+		w.ready = true
 	}
 }
 
-// Leave takes a request out.
-func (q *Queue) Remove(id uint64) { delete(q.rows, id) }
+// Remove removes a request.
+func (q *Queue) Remove(id uint64) { delete(q.waiters, id) }
 
-func (w *waiting) before(id uint64, other *waiting, otherID uint64) bool {
+func (w *waiter) before(id uint64, other *waiter, otherID uint64) bool {
 	return w.rank < other.rank || w.rank == other.rank && id < otherID
 }
 
-// First reports whether no other request that can use a turn now goes before one.
+// IsFirst reports whether no other ready request precedes the given one.
 func (q *Queue) IsFirst(id uint64) bool {
-	own := q.rows[id]
+	own := q.waiters[id]
 	if own == nil {
 		return true
 	}
-	for other, w := range q.rows {
-		if w.now && w.before(other, own, id) {
+	for other, w := range q.waiters {
+		if w.ready && w.before(other, own, id) {
 			return false
 		}
 	}
 	return true
 }
 
-// Wait returns how long a request of a rank waits for its turn: all that go before
-// it have theirs first, those included whose stages are not done yet.
+// ExpectedWait returns how long a request will wait for a grant. All requests that
+// precede it are served first, including those whose stages are still running.
 func (q *Queue) ExpectedWait(now time.Duration, id uint64, rank int, s Supply) time.Duration {
 	if !s.Limited {
 		return 0
 	}
-	own := &waiting{rank: rank}
+	own := &waiter{rank: rank}
 	ahead := 0
-	for other, w := range q.rows {
+	for other, w := range q.waiters {
 		if other != id && w.before(other, own, id) {
 			ahead++
 		}
--- a/coordination/pace/retryschedule.go
+++ b/coordination/pace/retryschedule.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Promises are the moments at which callers that had no turn are told to come back.
-// Each gets one of its own, as far apart as turns come to this instance: told the
-// same moment, all but one would come for nothing. It is not safe for concurrent use.
+// RetrySchedule assigns retry times to callers that got no grant. It spaces them at the
+// rate at which this instance gets grants: with a common retry time all callers but one
+// would be denied again. It is not safe for concurrent use.
 type RetrySchedule struct {
-	next map[string]time.Duration // by service
+	next map[string]time.Duration // by service: start of the next free slot
 }
 
-// NewPromises returns none.
+// NewRetrySchedule returns an empty schedule.
 func NewRetrySchedule() *RetrySchedule { return &RetrySchedule{next: make(map[string]time.Duration)} }
 
-// Promise returns when a caller may come back to a service whose first turn is free
-// at a time, and whose replicas give all instances so many turns a second; random,
-// from 0 to 1, is where between two of these, so that instances don't all name the
-// same moments.
-func (p *RetrySchedule) Reserve(service string, first time.Duration, perSecond float64, instances int, random float64) time.Duration {
-	at := max(p.next[service], first)
-	each := float64(max(instances, 1)) / max(perSecond, leastPerSecond) * float64(time.Second)
-	p.next[service] = at + time.Duration(each)
-	return at + time.Duration(random*each)
+// Reserve returns when a caller may retry a service whose next grant is due at
+// firstGrant and whose replicas grant perSecond requests to all instances together.
+// random, from 0 to 1, is the position within the slot, so that instances don't all
+// choose the same times.
+func (p *RetrySchedule) Reserve(service string, firstGrant time.Duration, perSecond float64, instances int, random float64) time.Duration {
+	at := max(p.next[service], firstGrant)
+	interval := float64(max(instances, 1)) / max(perSecond, minPerSecond) * float64(time.Second)
+	p.next[service] = at + time.Duration(interval)
+	return at + time.Duration(random*interval)
 }
 
-// Forget drops the moments that have passed.
+// Prune removes reservations that have passed.
 func (p *RetrySchedule) Prune(now time.Duration) {
 	for service, next := range p.next {
 		if next < now {
@@ -32,5 +32,5 @@
 	}
 }
 
-// leastPerSecond bounds how far away a promise is.
-const leastPerSecond = 0.1
+// minPerSecond bounds how far ahead a reservation may be.
+const minPerSecond = 0.1
--- a/coordination/pace/retryschedule_test.go
+++ b/coordination/pace/retryschedule_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Callers of several instances that have no turn come back one after the other, no
-// faster than turns come.
-func TestCallersComeBackAsTurnsDo(t *testing.T) {
+// Callers of several instances that got no grant retry one after the other, no faster
+// than grants are issued.
+func TestRetriesMatchTheGrantRate(t *testing.T) {
 	is := is.New(t)
 	const instances, perSecond = 6, 3.0
 	var all []time.Duration
@@ -19,7 +19,7 @@
 			all = append(all, p.Reserve("s", time.Second, perSecond, instances, float64(i)/instances))
 		}
 	}
-	in := func(from, to time.Duration) (n int) {
+	countBetween := func(from, to time.Duration) (n int) {
 		for _, at := range all {
 			if at >= from && at < to {
 				n++
@@ -27,9 +27,9 @@
 		}
 		return n
 	}
-	is.Equal(in(0, time.Second), 0)
+	is.Equal(countBetween(0, time.Second), 0)
 	for from := time.Second; from < 21*time.Second; from += 2 * time.Second {
-		is.Equal(in(from, from+2*time.Second), 2*int(perSecond))
+		is.Equal(countBetween(from, from+2*time.Second), 2*int(perSecond))
 	}
 	p := NewRetrySchedule()
 	p.Reserve("s", time.Second, perSecond, instances, 0)
