--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -40,7 +40,7 @@
 	conn    *upstream.Conn
 	x       *upstream.Exchange
 	head    platform.Head
-	turn    stated.Turn
+	turn    stated.Attempt
 	cut     atomic.Pointer[error] // why this instance ended it; nil: it did not
 	sent    time.Duration
 	asleep  time.Duration // that the machine had been when it was sent
@@ -240,7 +240,7 @@
 	}
 	late := a.stater()
 	late.aside = true
-	a.node.takeHead(late, stated.Turn{}, h)
+	a.node.takeHead(late, stated.Attempt{}, h)
 	return false
 }
 
--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -26,7 +26,7 @@
 	from := stater{life: "i-7f3a91c2", service: "s"}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.takeHead(from, stated.Turn{}, &h)
+		n.takeHead(from, stated.Attempt{}, &h)
 	}
 }
 
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -198,8 +198,8 @@
 func (s *serving) mayUseChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.with(func(b *stated.Book) {
-		if ok, _ = b.May(n.now(), s.job.engine); ok && !s.job.paced {
+	n.statements.with(func(b *stated.Tracker) {
+		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.paced {
 			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -181,15 +181,15 @@
 
 // mayCall reports, right before a call is sent, whether what its replica states
 // allows it: one that leaves is still told what nobody reads any more.
-func (n *Node) mayCall(c ownCall) (stated.Turn, bool) {
+func (n *Node) mayCall(c ownCall) (stated.Attempt, bool) {
 	if c.work {
 		return n.statements.begin(n.now(), c.from.life)
 	}
 	if _, rests := n.statements.restsTo(n.now(), c.from.life); rests {
-		return stated.Turn{}, false
+		return stated.Attempt{}, false
 	}
 	n.countAside(c.from.life)
-	return stated.Turn{}, true
+	return stated.Attempt{}, true
 }
 
 // connect returns a connection to a replica, a kept one if there is one.
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -44,7 +44,7 @@
 // when what they state forbids all of them that this one has not met yet.
 func (s *serving) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
 	first, fresh, paced := stated.Never, false, false
-	s.node.statements.with(func(b *stated.Book) {
+	s.node.statements.with(func(b *stated.Tracker) {
 		if b.Empty() && !s.node.statements.paces.HasLimits() {
 			may, fresh = all, true
 			return
@@ -57,7 +57,7 @@
 				fresh = fresh || !met
 			} else if !met && from < first {
 				first = from
-				paced, _ = b.May(now, r.ID)
+				paced, _ = b.CanSend(now, r.ID)
 			}
 		}
 	})
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -127,9 +127,9 @@
 		LinkedTo:  n.links.Len(),
 		Customers: n.customers.counts(),
 	}
-	n.statements.with(func(b *stated.Book) {
-		s.Leaving = b.Left()
-		for life, until := range b.Resting(n.now()) {
+	n.statements.with(func(b *stated.Tracker) {
+		s.Leaving = b.Draining()
+		for life, until := range b.Backoffs(n.now()) {
 			s.Resting[life] = (until - n.now()).Round(time.Millisecond).String()
 		}
 	})
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -21,10 +21,10 @@
 // leaving also to its peers.
 type statements struct {
 	mu   sync.Mutex
-	book *stated.Book
+	book *stated.Tracker
 	free map[string]*pipeline.Free // by life that rests: results nobody reads any more
 
-	unread *stated.Unread
+	unread *stated.UnknownFields
 	paces  *pace.Tracker
 	told   *pace.RetrySchedule
 	paced  atomic.Bool // some replica states a limit
@@ -34,25 +34,25 @@
 }
 
 func newStatements() *statements {
-	return &statements{book: stated.New(stated.Standard()), free: make(map[string]*pipeline.Free), unread: stated.NewUnread(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
+	return &statements{book: stated.New(stated.Standard()), free: make(map[string]*pipeline.Free), unread: stated.NewUnknownFields(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
 }
 
 // with runs f on the book.
-func (s *statements) with(f func(*stated.Book)) {
+func (s *statements) with(f func(*stated.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.book)
 }
 
 func (s *statements) hasLeft(life string) (left bool) {
-	s.with(func(b *stated.Book) { left = b.HasLeft(life) })
+	s.with(func(b *stated.Tracker) { left = b.IsDraining(life) })
 	return left
 }
 
 // mayLocked reports whether a life may get a request now, and from when on it may. The
 // lock is held.
 func (s *statements) mayLocked(now time.Duration, life string) (ok bool, from time.Duration) {
-	if ok, from = s.book.May(now, life); !ok {
+	if ok, from = s.book.CanSend(now, life); !ok {
 		return false, from
 	}
 	from = s.paces.NextGrant(now, life)
@@ -61,18 +61,18 @@
 
 // restsTo returns until when a life wants nothing from this instance.
 func (s *statements) restsTo(now time.Duration, life string) (until time.Duration, rests bool) {
-	s.with(func(b *stated.Book) { until, rests = b.RestsTo(now, life) })
+	s.with(func(b *stated.Tracker) { until, rests = b.BackoffUntil(now, life) })
 	return until, rests
 }
 
 // begin counts a request right before it is sent: a choice may be a second old,
 // and what was stated since forbids it as well.
-func (s *statements) begin(now time.Duration, life string) (turn stated.Turn, ok bool) {
-	s.with(func(b *stated.Book) { turn, ok = b.Begin(now, life) })
+func (s *statements) begin(now time.Duration, life string) (turn stated.Attempt, ok bool) {
+	s.with(func(b *stated.Tracker) { turn, ok = b.Begin(now, life) })
 	return turn, ok
 }
 
-func (s *statements) end(turn stated.Turn) { s.with(func(b *stated.Book) { b.End(turn) }) }
+func (s *statements) end(turn stated.Attempt) { s.with(func(b *stated.Tracker) { b.End(turn) }) }
 
 // stater is who answers: a life of a replica.
 type stater struct {
@@ -83,7 +83,7 @@
 
 // takeHead reads an answer's head and takes in what its replica states in it. All
 // answers go through here, whatever they are to: what is said is said once.
-func (n *Node) takeHead(from stater, turn stated.Turn, header *fasthttp.ResponseHeader) platform.Head {
+func (n *Node) takeHead(from stater, turn stated.Attempt, header *fasthttp.ResponseHeader) platform.Head {
 	h := platform.ParseHead(header.StatusCode(), func(name string) string { return string(header.Peek(name)) })
 	if from.life == "" || h.Stranger { // another replica speaks of itself
 		return h
@@ -100,7 +100,7 @@
 	if h.Rest > 0 {
 		n.takeRest(from, h.Rest)
 	} else {
-		n.statements.with(func(b *stated.Book) { b.Answered(turn) })
+		n.statements.with(func(b *stated.Tracker) { b.RecordAnswer(turn) })
 	}
 	return h
 }
@@ -111,7 +111,7 @@
 	n.counters.wordsUnread.Inc(1)
 	s := n.statements
 	s.mu.Lock()
-	word, isNew := s.unread.Note(service, name)
+	word, isNew := s.unread.Record(service, name)
 	s.mu.Unlock()
 	if isNew {
 		event.NodeWordUnread.Log(n.log, "service", service, "word", word, "in", where)
@@ -122,7 +122,7 @@
 // nothing more from anybody for as long as it is listed.
 func (n *Node) takeLeaving(life, by string) {
 	isNew := false
-	n.statements.with(func(b *stated.Book) { isNew = b.Leaves(n.now(), life) })
+	n.statements.with(func(b *stated.Tracker) { isNew = b.RecordDrain(n.now(), life) })
 	if !isNew {
 		return
 	}
@@ -134,7 +134,7 @@
 // Others may have been told nothing, or their own: to them it is a hint.
 func (n *Node) takeRest(from stater, length time.Duration) {
 	now, isNew := n.now(), false
-	n.statements.with(func(b *stated.Book) { isNew = b.Rests(now, from.life, length) })
+	n.statements.with(func(b *stated.Tracker) { isNew = b.RecordBackoff(now, from.life, length) })
 	n.judgeMu.Lock()
 	n.judge.Rests(now, from.life, length)
 	n.judgeMu.Unlock()
@@ -154,7 +154,7 @@
 	s := n.statements
 	n.sweepLimits()
 	was := s.quiet
-	s.with(func(b *stated.Book) { s.quiet = b.Empty() })
+	s.with(func(b *stated.Tracker) { s.quiet = b.Empty() })
 	if s.quiet && was {
 		return
 	}
@@ -170,19 +170,19 @@
 			by[service]++
 		}
 	}
-	s.with(func(b *stated.Book) {
+	s.with(func(b *stated.Tracker) {
 		changes = b.Sweep(now, func(life string) bool { return listed[life] != "" })
-		for _, life := range b.Left() {
+		for _, life := range b.Draining() {
 			count(leaving, life)
 		}
-		for life := range b.Resting(now) {
+		for life := range b.Backoffs(now) {
 			count(resting, life)
 		}
 	})
-	for _, life := range changes.Rested {
+	for _, life := range changes.BackoffEnded {
 		event.NodeReplicaRested.Log(n.log, "replica", life)
 	}
-	for _, life := range changes.Gone {
+	for _, life := range changes.Removed {
 		event.NodeReplicaLeft.Log(n.log, "replica", life)
 	}
 	n.counters.stated("leaving", leaving)
@@ -194,7 +194,7 @@
 func (n *Node) restingReplicas(service string) []string {
 	now := n.now()
 	resting := make(map[string]time.Duration)
-	n.statements.with(func(b *stated.Book) { resting = b.Resting(now) })
+	n.statements.with(func(b *stated.Tracker) { resting = b.Backoffs(now) })
 	if len(resting) == 0 {
 		return nil
 	}
@@ -215,7 +215,7 @@
 	s := n.statements
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, rests := s.book.RestsTo(now, f.Replica)
+	until, rests := s.book.BackoffUntil(now, f.Replica)
 	if !rests {
 		each := freesEach(s.paces.Interval(f.Replica))
 		if each == 0 {
@@ -241,7 +241,7 @@
 	s.mu.Lock()
 	f := s.free[life]
 	delete(s.free, life)
-	_, rests := s.book.RestsTo(n.now(), life)
+	_, rests := s.book.BackoffUntil(n.now(), life)
 	s.mu.Unlock()
 	if rests { // for longer than its results last, or anew
 		n.logAside("free results", life, errStated)
--- a/coordination/stated/stated.go
+++ b/coordination/stated/stated.go
@@ -20,19 +20,19 @@
 
 // Options are the book's constants.
 type Options struct {
-	Few     int           // answers after a rest, from which a replica gets any number of requests: with one more at once after each answer, some ten requests
-	Each    time.Duration // after the last request, one more may follow although none is answered: long answers must not keep a replica idle
-	Unheard time.Duration // that a statement of a life is kept which neither this instance lists nor anybody who tells of it: entries that lapse with a silent store are back within seconds of its return
-	Most    int           // lives that are not listed; a bound against a peer that names many
+	RampAnswers       int           // answers after a rest, from which a replica gets any number of requests: with one more at once after each answer, some ten requests
+	RampInterval      time.Duration // after the last request, one more may follow although none is answered: long answers must not keep a replica idle
+	UnlistedRetention time.Duration // that a statement of a life is kept which neither this instance lists nor anybody who tells of it: entries that lapse with a silent store are back within seconds of its return
+	MaxUnlisted       int           // lives that are not listed; a bound against a peer that names many
 }
 
 // Standard returns the constants in use.
 func Standard() Options {
-	return Options{Few: 4, Each: 500 * time.Millisecond, Unheard: 2 * time.Minute, Most: 4096}
+	return Options{RampAnswers: 4, RampInterval: 500 * time.Millisecond, UnlistedRetention: 2 * time.Minute, MaxUnlisted: 4096}
 }
 
 // Book is not safe for concurrent use. Replicas are named by their lives.
-type Book struct {
+type Tracker struct {
 	opts Options
 	rows map[string]*row
 	next int // of the lives that leave, whose turn it is to be told
@@ -57,9 +57,9 @@
 }
 
 // New returns an empty book.
-func New(o Options) *Book { return &Book{opts: o, rows: make(map[string]*row)} }
+func New(o Options) *Tracker { return &Tracker{opts: o, rows: make(map[string]*row)} }
 
-func (b *Book) row(now time.Duration, life string) *row {
+func (b *Tracker) row(now time.Duration, life string) *row {
 	r := b.rows[life]
 	if r == nil {
 		r = &row{listed: now}
@@ -69,7 +69,7 @@
 }
 
 // Leaves takes in that a life says it leaves, and reports whether that is new.
-func (b *Book) Leaves(now time.Duration, life string) bool {
+func (b *Tracker) RecordDrain(now time.Duration, life string) bool {
 	r := b.row(now, life)
 	r.listed = now
 	if r.leaves {
@@ -80,7 +80,7 @@
 }
 
 // HasLeft reports whether a life has said that it leaves.
-func (b *Book) HasLeft(life string) bool {
+func (b *Tracker) IsDraining(life string) bool {
 	r := b.rows[life]
 	return r != nil && r.leaves
 }
@@ -88,7 +88,7 @@
 // Rests takes in that a life wants nothing from this instance for so long, and
 // reports whether it did not rest before. Of several rests the longest holds: each
 // was said, and none takes another one back.
-func (b *Book) Rests(now time.Duration, life string, length time.Duration) bool {
+func (b *Tracker) RecordBackoff(now time.Duration, life string, length time.Duration) bool {
 	r := b.row(now, life)
 	isNew := !r.rests
 	r.restTo = max(r.restTo, now+length)
@@ -99,7 +99,7 @@
 
 // May reports whether a life may get a request now, and from when on where it may
 // not: never where it leaves, now where it does once another one is answered.
-func (b *Book) May(now time.Duration, life string) (ok bool, from time.Duration) {
+func (b *Tracker) CanSend(now time.Duration, life string) (ok bool, from time.Duration) {
 	r := b.rows[life]
 	switch {
 	case r == nil:
@@ -108,7 +108,7 @@
 		return false, Never
 	case now < r.restTo:
 		return false, r.restTo
-	case r.ramp == nil || r.ramp.under < r.ramp.most || now >= r.ramp.last+b.opts.Each:
+	case r.ramp == nil || r.ramp.under < r.ramp.most || now >= r.ramp.last+b.opts.RampInterval:
 		return true, now
 	}
 	return false, now
@@ -118,7 +118,7 @@
 const Never = time.Duration(1<<63 - 1)
 
 // RestsTo returns until when a life rests; false where it does not.
-func (b *Book) RestsTo(now time.Duration, life string) (time.Duration, bool) {
+func (b *Tracker) BackoffUntil(now time.Duration, life string) (time.Duration, bool) {
 	r := b.rows[life]
 	if r == nil || now >= r.restTo {
 		return 0, false
@@ -127,39 +127,39 @@
 }
 
 // Turn is a request that may be sent. Answered and End must be called as it goes.
-type Turn struct {
+type Attempt struct {
 	ramp *ramp
 	row  *row
 }
 
 // Begin counts a request right before it is sent; false: it must not be.
-func (b *Book) Begin(now time.Duration, life string) (Turn, bool) {
-	if ok, _ := b.May(now, life); !ok {
-		return Turn{}, false
+func (b *Tracker) Begin(now time.Duration, life string) (Attempt, bool) {
+	if ok, _ := b.CanSend(now, life); !ok {
+		return Attempt{}, false
 	}
 	r := b.rows[life]
 	if r == nil || r.ramp == nil {
-		return Turn{}, true
+		return Attempt{}, true
 	}
 	r.ramp.under++
 	r.ramp.last = now
-	return Turn{ramp: r.ramp, row: r}, true
+	return Attempt{ramp: r.ramp, row: r}, true
 }
 
 // Answered takes in that a request's answer has begun, and did not turn it away.
-func (b *Book) Answered(t Turn) {
+func (b *Tracker) RecordAnswer(t Attempt) {
 	if t.ramp == nil || t.row.ramp != t.ramp { // another rest came meanwhile
 		return
 	}
 	t.ramp.most++
 	t.ramp.answers++
-	if t.ramp.answers >= b.opts.Few {
+	if t.ramp.answers >= b.opts.RampAnswers {
 		t.row.ramp = nil
 	}
 }
 
 // End takes in that a request is over.
-func (b *Book) End(t Turn) {
+func (b *Tracker) End(t Attempt) {
 	if t.ramp != nil {
 		t.ramp.under--
 	}
@@ -167,21 +167,21 @@
 
 // Changes is what time has changed.
 type Changes struct {
-	Rested []string // lives whose rest is over
-	Gone   []string // lives that had said that they leave, and are forgotten
+	BackoffEnded []string // lives whose rest is over
+	Removed      []string // lives that had said that they leave, and are forgotten
 }
 
 // Empty reports whether nothing is stated.
-func (b *Book) Empty() bool { return len(b.rows) == 0 }
+func (b *Tracker) Empty() bool { return len(b.rows) == 0 }
 
 // Sweep forgets what is of no use, and returns what has changed by time alone.
-func (b *Book) Sweep(now time.Duration, listed func(life string) bool) Changes {
+func (b *Tracker) Sweep(now time.Duration, listed func(life string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
 	for life, r := range b.rows {
 		if r.rests && now >= r.restTo {
 			r.rests = false
-			out.Rested = append(out.Rested, life)
+			out.BackoffEnded = append(out.BackoffEnded, life)
 		}
 		r.isHere = listed(life)
 		switch {
@@ -190,26 +190,26 @@
 			if !r.leaves && !r.rests && r.ramp == nil {
 				delete(b.rows, life)
 			}
-		case now-r.listed > b.opts.Unheard:
-			out.Gone = b.forget(out.Gone, life)
+		case now-r.listed > b.opts.UnlistedRetention:
+			out.Removed = b.forget(out.Removed, life)
 		default:
 			unlisted[life] = r.listed
 		}
 	}
-	if over := len(unlisted) - b.opts.Most; over > 0 {
+	if over := len(unlisted) - b.opts.MaxUnlisted; over > 0 {
 		oldest := slices.SortedFunc(maps.Keys(unlisted), func(x, y string) int {
 			return cmp.Or(cmp.Compare(unlisted[x], unlisted[y]), cmp.Compare(x, y))
 		})
 		for _, life := range oldest[:over] {
-			out.Gone = b.forget(out.Gone, life)
+			out.Removed = b.forget(out.Removed, life)
 		}
 	}
-	slices.Sort(out.Rested)
-	slices.Sort(out.Gone)
+	slices.Sort(out.BackoffEnded)
+	slices.Sort(out.Removed)
 	return out
 }
 
-func (b *Book) forget(gone []string, life string) []string {
+func (b *Tracker) forget(gone []string, life string) []string {
 	if b.rows[life].leaves {
 		gone = append(gone, life)
 	}
@@ -222,7 +222,7 @@
 // later or was cut off. The list of replicas may not tell them for as long as the
 // store is silent. Who lists a life no more tells nobody of it: instances that
 // have forgotten it, one after the other, would remind each other for ever.
-func (b *Book) News(now, fresh time.Duration, most int) []string {
+func (b *Tracker) Updates(now, fresh time.Duration, most int) []string {
 	var out, older []string
 	for life, r := range b.rows {
 		switch {
@@ -245,10 +245,10 @@
 // olderTold is how many lives that left long ago one heartbeat tells.
 const olderTold = 2
 
-func (b *Book) turns(room int) int { return min(max(room, 0), olderTold) }
+func (b *Tracker) turns(room int) int { return min(max(room, 0), olderTold) }
 
 // Left returns the lives that have said that they leave, in order.
-func (b *Book) Left() []string {
+func (b *Tracker) Draining() []string {
 	var out []string
 	for life, r := range b.rows {
 		if r.leaves {
@@ -260,7 +260,7 @@
 }
 
 // Resting returns the lives that rest, and until when.
-func (b *Book) Resting(now time.Duration) map[string]time.Duration {
+func (b *Tracker) Backoffs(now time.Duration) map[string]time.Duration {
 	var out map[string]time.Duration
 	for life, r := range b.rows {
 		if now >= r.restTo {
--- a/coordination/stated/stated_test.go
+++ b/coordination/stated/stated_test.go
@@ -15,8 +15,8 @@
 
 func none(string) bool { return false }
 
-func may(b *Book, now time.Duration, life string) bool {
-	ok, _ := b.May(now, life)
+func may(b *Tracker, now time.Duration, life string) bool {
+	ok, _ := b.CanSend(now, life)
 	return ok
 }
 
@@ -26,16 +26,16 @@
 	is := is.New(t)
 	b := New(Standard())
 	is.True(may(b, 0, "r@1"))
-	is.True(b.Leaves(0, "r@1"))
-	is.True(!b.Leaves(second, "r@1")) // said already
+	is.True(b.RecordDrain(0, "r@1"))
+	is.True(!b.RecordDrain(second, "r@1")) // said already
 	for now := second; now < 3600*second; now += second {
-		is.Equal(len(b.Sweep(now, all).Gone), 0)
-		ok, from := b.May(now, "r@1")
+		is.Equal(len(b.Sweep(now, all).Removed), 0)
+		ok, from := b.CanSend(now, "r@1")
 		is.True(!ok && from == Never)
 	}
 	is.True(may(b, 3600*second, "r@2"))
-	is.Equal(len(b.Sweep(3599*second+b.opts.Unheard, none).Gone), 0) // it was listed last at 3,599 s
-	is.Equal(b.Sweep(3600*second+b.opts.Unheard, none).Gone, []string{"r@1"})
+	is.Equal(len(b.Sweep(3599*second+b.opts.UnlistedRetention, none).Removed), 0) // it was listed last at 3,599 s
+	is.Equal(b.Sweep(3600*second+b.opts.UnlistedRetention, none).Removed, []string{"r@1"})
 	is.Equal(len(b.rows), 0)
 }
 
@@ -43,30 +43,30 @@
 func TestTheLongestRestHolds(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	is.True(b.Rests(0, "r", 3*second))
-	is.True(!b.Rests(second, "r", second)) // shortened
-	to, rests := b.RestsTo(second, "r")
+	is.True(b.RecordBackoff(0, "r", 3*second))
+	is.True(!b.RecordBackoff(second, "r", second)) // shortened
+	to, rests := b.BackoffUntil(second, "r")
 	is.True(rests && to == 3*second)
-	b.Rests(2*second, "r", 4*second) // extended
+	b.RecordBackoff(2*second, "r", 4*second) // extended
 	is.True(!may(b, 6*second-1, "r"))
 	is.True(may(b, 6*second, "r"))
-	is.Equal(b.Sweep(6*second-1, all).Rested, nil)
-	is.Equal(b.Sweep(6*second, all).Rested, []string{"r"})
-	is.Equal(b.Sweep(7*second, all).Rested, nil) // said once
+	is.Equal(b.Sweep(6*second-1, all).BackoffEnded, nil)
+	is.Equal(b.Sweep(6*second, all).BackoffEnded, []string{"r"})
+	is.Equal(b.Sweep(7*second, all).BackoffEnded, nil) // said once
 }
 
 // After a rest one request goes, then one more at once after each answer, then all.
 func TestAfterARestOneThenAFew(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	b.Rests(0, "r", second)
+	b.RecordBackoff(0, "r", second)
 	_, ok := b.Begin(second-1, "r")
 	is.True(!ok)
 	first, ok := b.Begin(second, "r")
 	is.True(ok)
 	_, ok = b.Begin(second+1, "r")
 	is.True(!ok)
-	b.Answered(first)
+	b.RecordAnswer(first)
 	second2, ok := b.Begin(second+2, "r") // the first may go on, a stream
 	is.True(ok)
 	b.End(first)
@@ -74,13 +74,13 @@
 	is.True(ok)
 	_, ok = b.Begin(second+4, "r")
 	is.True(!ok)
-	for _, turn := range []Turn{second2, third} {
-		b.Answered(turn)
+	for _, turn := range []Attempt{second2, third} {
+		b.RecordAnswer(turn)
 		b.End(turn)
 	}
 	last, ok := b.Begin(second+5, "r")
 	is.True(ok)
-	b.Answered(last) // the fourth
+	b.RecordAnswer(last) // the fourth
 	b.End(last)
 	for range 100 {
 		_, ok := b.Begin(second+6, "r")
@@ -94,14 +94,14 @@
 func TestASlowAnswerKeepsNobodyAway(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	b.Rests(0, "r", second)
+	b.RecordBackoff(0, "r", second)
 	_, ok := b.Begin(second, "r")
 	is.True(ok)
-	ok, from := b.May(second+1, "r")
+	ok, from := b.CanSend(second+1, "r")
 	is.True(!ok && from == second+1)
-	_, ok = b.Begin(second+b.opts.Each, "r")
+	_, ok = b.Begin(second+b.opts.RampInterval, "r")
 	is.True(ok)
-	_, ok = b.Begin(second+b.opts.Each, "r")
+	_, ok = b.Begin(second+b.opts.RampInterval, "r")
 	is.True(!ok)
 }
 
@@ -109,10 +109,10 @@
 func TestARestAfterARest(t *testing.T) {
 	is := is.New(t)
 	b := New(Standard())
-	b.Rests(0, "r", second)
+	b.RecordBackoff(0, "r", second)
 	old, _ := b.Begin(second, "r")
-	b.Rests(second+1, "r", second)
-	b.Answered(old)
+	b.RecordBackoff(second+1, "r", second)
+	b.RecordAnswer(old)
 	b.End(old)
 	_, ok := b.Begin(2*second+1, "r")
 	is.True(ok)
@@ -126,13 +126,13 @@
 	is := is.New(t)
 	b := New(Standard())
 	for i := range 9 {
-		b.Leaves(0, fmt.Sprint("old", i))
+		b.RecordDrain(0, fmt.Sprint("old", i))
 	}
-	b.Leaves(10*second, "new")
+	b.RecordDrain(10*second, "new")
 	b.Sweep(10*second, all)
 	heard := make(map[string]bool)
 	for range 5 {
-		news := b.News(10*second, 3*second, 16)
+		news := b.Updates(10*second, 3*second, 16)
 		is.Equal(len(news), 1+olderTold)
 		is.Equal(news[0], "new")
 		for _, life := range news {
@@ -140,8 +140,8 @@
 		}
 	}
 	is.Equal(len(heard), 10)
-	is.Equal(len(b.News(10*second, 3*second, 1)), 1)
-	is.Equal(len(b.News(10*second, 20*second, 4)), 4)
+	is.Equal(len(b.Updates(10*second, 3*second, 1)), 1)
+	is.Equal(len(b.Updates(10*second, 20*second, 4)), 4)
 }
 
 // Two instances that tell each other of a life don't remind each other of it for
@@ -149,16 +149,16 @@
 func TestALifeThatIsGoneIsForgottenByAll(t *testing.T) {
 	is := is.New(t)
 	a, b := New(Standard()), New(Standard())
-	a.Leaves(0, "r@1")
+	a.RecordDrain(0, "r@1")
 	forgotten := 0
 	for now := time.Duration(0); now < 3600*second; now += 200 * time.Millisecond {
 		listedBy := func(until time.Duration) func(string) bool { return func(string) bool { return now < until } }
-		for _, pair := range [][2]*Book{{a, b}, {b, a}} {
-			for _, life := range pair[0].News(now, 3*second, 16) {
-				pair[1].Leaves(now, life)
+		for _, pair := range [][2]*Tracker{{a, b}, {b, a}} {
+			for _, life := range pair[0].Updates(now, 3*second, 16) {
+				pair[1].RecordDrain(now, life)
 			}
 		}
-		forgotten += len(a.Sweep(now, listedBy(60*second)).Gone) + len(b.Sweep(now, listedBy(100*second)).Gone) // a cut from the store
+		forgotten += len(a.Sweep(now, listedBy(60*second)).Removed) + len(b.Sweep(now, listedBy(100*second)).Removed) // a cut from the store
 	}
 	is.Equal(forgotten, 2) // each once
 	is.True(a.Empty() && b.Empty())
@@ -169,26 +169,26 @@
 func TestALifeThatOthersListIsKept(t *testing.T) {
 	is := is.New(t)
 	a, b := New(Standard()), New(Standard())
-	a.Leaves(0, "r@1")
+	a.RecordDrain(0, "r@1")
 	for now := 4 * second; now < 3600*second; now += second {
 		a.Sweep(now, all)
-		for _, life := range a.News(now, 3*second, 16) {
-			b.Leaves(now, life)
+		for _, life := range a.Updates(now, 3*second, 16) {
+			b.RecordDrain(now, life)
 		}
 		b.Sweep(now, none)
-		is.True(b.HasLeft("r@1"))
+		is.True(b.IsDraining("r@1"))
 	}
 }
 
 // A peer that names lives which nobody lists does not fill the book.
 func TestUnlistedLivesAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := New(Options{Few: 4, Each: second, Unheard: 100 * second, Most: 10})
+	b := New(Options{RampAnswers: 4, RampInterval: second, UnlistedRetention: 100 * second, MaxUnlisted: 10})
 	for i := range 50 {
-		b.Leaves(time.Duration(i), fmt.Sprint("life", 100+i))
+		b.RecordDrain(time.Duration(i), fmt.Sprint("life", 100+i))
 	}
-	is.Equal(len(b.Sweep(second, none).Gone), 40)
-	is.Equal(b.Left()[0], "life140")
+	is.Equal(len(b.Sweep(second, none).Removed), 40)
+	is.Equal(b.Draining()[0], "life140")
 }
 
 // Whatever is said and sent in whatever order: nothing is sent to a life that has
@@ -198,7 +198,7 @@
 		b := New(Standard())
 		lives := []string{"a", "b", "c"}
 		left, restTo := make(map[string]bool), make(map[string]time.Duration)
-		var turns []Turn
+		var turns []Attempt
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
@@ -206,11 +206,11 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
 				length := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-				b.Rests(now, life, length)
+				b.RecordBackoff(now, life, length)
 				restTo[life] = max(restTo[life], now+length)
 			case 1:
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-					b.Leaves(now, life)
+					b.RecordDrain(now, life)
 					left[life] = true
 				}
 			case 2, 3:
@@ -223,7 +223,7 @@
 				}
 			case 4:
 				if len(turns) > 0 {
-					b.Answered(turns[len(turns)-1])
+					b.RecordAnswer(turns[len(turns)-1])
 				}
 			case 5:
 				if len(turns) > 0 {
--- a/coordination/stated/unread.go
+++ b/coordination/stated/unknownfields.go
@@ -7,7 +7,7 @@
 
 // Unread remembers which words of services' replicas nobody reads, so that each
 // is said once. It is not safe for concurrent use.
-type Unread struct {
+type UnknownFields struct {
 	most  int
 	known map[unreadWord]bool
 }
@@ -21,13 +21,13 @@
 )
 
 // NewUnread returns an empty memory.
-func NewUnread() *Unread {
-	return &Unread{most: mostUnread, known: make(map[unreadWord]bool)}
+func NewUnknownFields() *UnknownFields {
+	return &UnknownFields{most: mostUnread, known: make(map[unreadWord]bool)}
 }
 
 // Note takes in a word that nobody reads. It returns the name as it may be shown,
 // and whether it is new.
-func (u *Unread) Note(service, name string) (shown string, isNew bool) {
+func (u *UnknownFields) Record(service, name string) (shown string, isNew bool) {
 	word := unreadWord{service: service, name: presentable(name)}
 	if u.known[word] || len(u.known) >= u.most {
 		return word.name, false
--- a/coordination/stated/unread_test.go
+++ b/coordination/stated/unknownfields_test.go
@@ -13,19 +13,19 @@
 // fill the memory.
 func TestAWordThatNobodyReadsIsSaidOnce(t *testing.T) {
 	is := is.New(t)
-	u := NewUnread()
-	name, isNew := u.Note("desk", "Server-Mood")
+	u := NewUnknownFields()
+	name, isNew := u.Record("desk", "Server-Mood")
 	is.Equal(name, "Server-Mood")
 	is.True(isNew)
-	_, isNew = u.Note("desk", "Server-Mood")
+	_, isNew = u.Record("desk", "Server-Mood")
 	is.True(!isNew)
-	_, isNew = u.Note("llm", "Server-Mood")
+	_, isNew = u.Record("llm", "Server-Mood")
 	is.True(isNew)
-	name, _ = u.Note("desk", "a\nb\x00\xff"+strings.Repeat("x", 10_000))
+	name, _ = u.Record("desk", "a\nb\x00\xff"+strings.Repeat("x", 10_000))
 	is.True(strings.HasPrefix(name, "a?b??x"))
 	is.True(len(name) <= longestWord)
 	for i := range 10 * mostUnread {
-		u.Note("desk", strconv.Itoa(i))
+		u.Record("desk", strconv.Itoa(i))
 	}
 	is.Equal(len(u.known), mostUnread)
 }
