--- a/coordination/stated/stated.go
+++ b/coordination/stated/stated.go
@@ -1,14 +1,15 @@
-// Package stated keeps what replicas state of themselves in their answers: that
-// they leave, and that they want a rest.
+// Package stated tracks what replicas announce about themselves in their answers:
+// that they are draining, and that they want senders to back off.
 //
-// What is inferred of a replica (package health) may be wrong, so it is bounded:
-// never more than half of a service is left alone for it. A statement is a fact:
-// no bound on shares and no other's choice takes it back. Leaving holds for that
-// life of the replica, whoever heard it; a rest for whom it was said to, until it
-// ends by the clock. After a rest the replica gets one request, then a few, as
-// all that waited for its end would fill it at once again.
+// What is inferred about a replica (package health) may be wrong, so its effect is
+// bounded: it never takes more than half of a service out of use. An announcement by
+// the replica itself is a fact and is not bounded. A drain holds for one incarnation of
+// the replica at all instances, whichever of them received it. A backoff holds for the
+// instance that received it, until it expires. After a backoff the replica gets one
+// request, then a few more: otherwise all requests that waited for the end of the
+// backoff would overload it again at once.
 //
-// The package is pure: event and time in, decision out.
+// The package is pure: it maps events and times to decisions.
 package stated
 
 import (
@@ -18,190 +19,193 @@
 	"time"
 )
 
-// Options are the book's constants.
+// Options are the constants of a Tracker.
 type Options struct {
-	RampAnswers       int           // answers after a rest, from which a replica gets any number of requests: with one more at once after each answer, some ten requests
-	RampInterval      time.Duration // after the last request, one more may follow although none is answered: long answers must not keep a replica idle
-	UnlistedRetention time.Duration // that a statement of a life is kept which neither this instance lists nor anybody who tells of it: entries that lapse with a silent store are back within seconds of its return
-	MaxUnlisted       int           // lives that are not listed; a bound against a peer that names many
+	RampAnswers       int           // answers after a backoff that lift the request limit; as each answer raises the limit by one, a replica has had about ten requests by then
+	RampInterval      time.Duration // time after the last request at which one more may follow although none was answered, so that long answers don't leave a replica idle
+	UnlistedRetention time.Duration // how long an incarnation is kept that neither this instance nor any peer that announces it lists; entries that expire while the store is unavailable reappear within seconds of its return
+	MaxUnlisted       int           // incarnations kept that are not listed; bounds memory against a peer that announces many
 }
 
-// Standard returns the constants in use.
+// Standard returns the options used in production.
 func Standard() Options {
 	return Options{RampAnswers: 4, RampInterval: 500 * time.Millisecond, UnlistedRetention: 2 * time.Minute, MaxUnlisted: 4096}
 }
 
-// Book is not safe for concurrent use. Replicas are named by their lives.
+// Tracker holds the drains and backoffs of replicas by incarnation. It is not safe for
+// concurrent use.
 type Tracker struct {
-	opts Options
-	rows map[string]*row
-	next int // of the lives that leave, whose turn it is to be told
+	opts    Options
+	entries map[string]*entry
+	cursor  int // position of the next drain to repeat
 }
 
-type row struct {
-	leaves bool
-	since  time.Duration // that it leaves, as this instance knows
-	restTo time.Duration
-	rests  bool // restTo is not yet said to be over
-	ramp   *ramp
-	listed time.Duration // when it was listed last, or named by who lists it
-	isHere bool          // it was listed at the last sweep
+type entry struct {
+	draining      bool
+	drainingSince time.Duration // when this instance learned of the drain
+	backoffUntil  time.Duration
+	backingOff    bool // the end at backoffUntil has not been reported yet
+	ramp          *ramp
+	listedAt      time.Duration // when this instance or a peer last listed it
+	isListed      bool          // it was listed at the last sweep
 }
 
-// ramp bounds what a replica gets after a rest; nil: nothing does.
+// ramp limits the requests to a replica after a backoff; nil: no limit.
 type ramp struct {
-	most    int // requests at once
-	under   int // of those that were begun since
-	answers int
-	last    time.Duration // when one was begun; 0: none was
+	limit    int // concurrent requests
+	inFlight int // requests started under this ramp that haven't ended
+	answers  int
+	lastSent time.Duration // when a request was last started; 0: never
 }
 
-// New returns an empty book.
-func New(o Options) *Tracker { return &Tracker{opts: o, rows: make(map[string]*row)} }
+// New returns an empty tracker.
+func New(o Options) *Tracker { return &Tracker{opts: o, entries: make(map[string]*entry)} }
 
-func (b *Tracker) row(now time.Duration, life string) *row {
-	r := b.rows[life]
+func (t *Tracker) entry(now time.Duration, incarnation string) *entry {
+	r := t.entries[incarnation]
 	if r == nil {
-		r = &row{listed: now}
-		b.rows[life] = r
+		r = &entry{listedAt: now}
+		t.entries[incarnation] = r
 	}
 	return r
 }
 
-// Leaves takes in that a life says it leaves, and reports whether that is new.
-func (b *Tracker) RecordDrain(now time.Duration, life string) bool {
-	r := b.row(now, life)
-	r.listed = now
-	if r.leaves {
+// RecordDrain records that an incarnation is draining, and reports whether that is new.
+func (t *Tracker) RecordDrain(now time.Duration, incarnation string) bool {
+	r := t.entry(now, incarnation)
+	r.listedAt = now
+	if r.draining {
 		return false
 	}
-	r.leaves, r.since = true, now
+	r.draining, r.drainingSince = true, now
 	return true
 }
 
-// HasLeft reports whether a life has said that it leaves.
-func (b *Tracker) IsDraining(life string) bool {
-	r := b.rows[life]
-	return r != nil && r.leaves
+// IsDraining reports whether an incarnation has announced that it is draining.
+func (t *Tracker) IsDraining(incarnation string) bool {
+	r := t.entries[incarnation]
+	return r != nil && r.draining
 }
 
-// Rests takes in that a life wants nothing from this instance for so long, and
-// reports whether it did not rest before. Of several rests the longest holds: each
-// was said, and none takes another one back.
-func (b *Tracker) RecordBackoff(now time.Duration, life string, length time.Duration) bool {
-	r := b.row(now, life)
-	isNew := !r.rests
-	r.restTo = max(r.restTo, now+length)
-	r.rests = true
-	r.ramp = &ramp{most: 1}
+// RecordBackoff records that an incarnation wants no requests from this instance for
+// the given duration, and reports whether it wasn't backing off already. The longest of
+// several backoffs holds, as a later answer doesn't revoke an earlier one.
+func (t *Tracker) RecordBackoff(now time.Duration, incarnation string, duration time.Duration) bool {
+	r := t.entry(now, incarnation)
+	isNew := !r.backingOff
+	r.backoffUntil = max(r.backoffUntil, now+duration)
+	r.backingOff = true
+	r.ramp = &ramp{limit: 1}
 	return isNew
 }
 
-// May reports whether a life may get a request now, and from when on where it may
-// not: never where it leaves, now where it does once another one is answered.
-func (b *Tracker) CanSend(now time.Duration, life string) (ok bool, from time.Duration) {
-	r := b.rows[life]
+// CanSend reports whether an incarnation may get a request now, and if not, from when
+// on: Never while it drains, now if it may once another request is answered.
+func (t *Tracker) CanSend(now time.Duration, incarnation string) (ok bool, from time.Duration) {
+	r := t.entries[incarnation]
 	switch {
 	case r == nil:
 		return true, now
-	case r.leaves:
+	case r.draining:
 		return false, Never
-	case now < r.restTo:
-		return false, r.restTo
-	case r.ramp == nil || r.ramp.under < r.ramp.most || now >= r.ramp.last+b.opts.RampInterval:
+	case now < r.backoffUntil:
+		return false, r.backoffUntil
+	case r.ramp == nil || r.ramp.inFlight < r.ramp.limit || now >= r.ramp.lastSent+t.opts.RampInterval:
 		return true, now
 	}
 	return false, now
 }
 
-// Never is when a life that leaves may get a request again.
+// Never is when a draining incarnation may get a request again.
 const Never = time.Duration(1<<63 - 1)
 
-// RestsTo returns until when a life rests; false where it does not.
-func (b *Tracker) BackoffUntil(now time.Duration, life string) (time.Duration, bool) {
-	r := b.rows[life]
-	if r == nil || now >= r.restTo {
+// BackoffUntil returns the end of an incarnation's backoff, or false if it has none.
+func (t *Tracker) BackoffUntil(now time.Duration, incarnation string) (time.Duration, bool) {
+	r := t.entries[incarnation]
+	if r == nil || now >= r.backoffUntil {
 		return 0, false
 	}
-	return r.restTo, true
+	return r.backoffUntil, true
 }
 
-// Turn is a request that may be sent. Answered and End must be called as it goes.
+// Attempt is a request that may be sent. The caller reports its progress with
+// RecordAnswer and End.
 type Attempt struct {
-	ramp *ramp
-	row  *row
+	ramp  *ramp
+	entry *entry
 }
 
-// Begin counts a request right before it is sent; false: it must not be.
-func (b *Tracker) Begin(now time.Duration, life string) (Attempt, bool) {
-	if ok, _ := b.CanSend(now, life); !ok {
+// Begin counts a request right before it is sent, and returns false if it must not be
+// sent.
+func (t *Tracker) Begin(now time.Duration, incarnation string) (Attempt, bool) {
+	if ok, _ := t.CanSend(now, incarnation); !ok {
 		return Attempt{}, false
 	}
-	r := b.rows[life]
+	r := t.entries[incarnation]
 	if r == nil || r.ramp == nil {
 		return Attempt{}, true
 	}
-	r.ramp.under++
-	r.ramp.last = now
-	return Attempt{ramp: r.ramp, row: r}, true
+	r.ramp.inFlight++
+	r.ramp.lastSent = now
+	return Attempt{ramp: r.ramp, entry: r}, true
 }
 
-// Answered takes in that a request's answer has begun, and did not turn it away.
-func (b *Tracker) RecordAnswer(t Attempt) {
-	if t.ramp == nil || t.row.ramp != t.ramp { // another rest came meanwhile
+// RecordAnswer records that the answer has begun and didn't reject the request.
+func (t *Tracker) RecordAnswer(a Attempt) {
+	if a.ramp == nil || a.entry.ramp != a.ramp { // another backoff has arrived since
 		return
 	}
-	t.ramp.most++
-	t.ramp.answers++
-	if t.ramp.answers >= b.opts.RampAnswers {
-		t.row.ramp = nil
+	a.ramp.limit++
+	a.ramp.answers++
+	if a.ramp.answers >= t.opts.RampAnswers {
+		a.entry.ramp = nil
 	}
 }
 
-// End takes in that a request is over.
-func (b *Tracker) End(t Attempt) {
-	if t.ramp != nil {
-		t.ramp.under--
+// End records that a request has ended.
+func (t *Tracker) End(a Attempt) {
+	if a.ramp != nil {
+		a.ramp.inFlight--
 	}
 }
 
-// Changes is what time has changed.
+// Changes are the effects of a sweep.
 type Changes struct {
-	BackoffEnded []string // lives whose rest is over
-	Removed      []string // lives that had said that they leave, and are forgotten
+	BackoffEnded []string // incarnations whose backoff has ended
+	Removed      []string // draining incarnations that were removed
 }
 
-// Empty reports whether nothing is stated.
-func (b *Tracker) Empty() bool { return len(b.rows) == 0 }
+// Empty reports whether there are no drains, backoffs or ramps.
+func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
-// Sweep forgets what is of no use, and returns what has changed by time alone.
-func (b *Tracker) Sweep(now time.Duration, listed func(life string) bool) Changes {
+// Sweep removes obsolete entries and returns what has changed by the passage of time.
+func (t *Tracker) Sweep(now time.Duration, listedAt func(incarnation string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
-	for life, r := range b.rows {
-		if r.rests && now >= r.restTo {
-			r.rests = false
-			out.BackoffEnded = append(out.BackoffEnded, life)
+	for incarnation, r := range t.entries {
+		if r.backingOff && now >= r.backoffUntil {
+			r.backingOff = false
+			out.BackoffEnded = append(out.BackoffEnded, incarnation)
 		}
-		r.isHere = listed(life)
+		r.isListed = listedAt(incarnation)
 		switch {
-		case r.isHere:
-			r.listed = now
-			if !r.leaves && !r.rests && r.ramp == nil {
-				delete(b.rows, life)
+		case r.isListed:
+			r.listedAt = now
+			if !r.draining && !r.backingOff && r.ramp == nil {
+				delete(t.entries, incarnation)
 			}
-		case now-r.listed > b.opts.UnlistedRetention:
-			out.Removed = b.forget(out.Removed, life)
+		case now-r.listedAt > t.opts.UnlistedRetention:
+			out.Removed = t.remove(out.Removed, incarnation)
 		default:
-			unlisted[life] = r.listed
+			unlisted[incarnation] = r.listedAt
 		}
 	}
-	if over := len(unlisted) - b.opts.MaxUnlisted; over > 0 {
+	if excess := len(unlisted) - t.opts.MaxUnlisted; excess > 0 {
 		oldest := slices.SortedFunc(maps.Keys(unlisted), func(x, y string) int {
 			return cmp.Or(cmp.Compare(unlisted[x], unlisted[y]), cmp.Compare(x, y))
 		})
-		for _, life := range oldest[:over] {
-			out.Removed = b.forget(out.Removed, life)
+		for _, incarnation := range oldest[:excess] {
+			out.Removed = t.remove(out.Removed, incarnation)
 		}
 	}
 	slices.Sort(out.BackoffEnded)
@@ -209,67 +213,68 @@
 	return out
 }
 
-func (b *Tracker) forget(gone []string, life string) []string {
-	if b.rows[life].leaves {
-		gone = append(gone, life)
+func (t *Tracker) remove(removed []string, incarnation string) []string {
+	if t.entries[incarnation].draining {
+		removed = append(removed, incarnation)
 	}
-	delete(b.rows, life)
-	return gone
+	delete(t.entries, incarnation)
+	return removed
 }
 
-// News returns the lives that leave which are worth telling others: those known
-// since a moment ago, and in turn the others that are listed here, for who starts
-// later or was cut off. The list of replicas may not tell them for as long as the
-// store is silent. Who lists a life no more tells nobody of it: instances that
-// have forgotten it, one after the other, would remind each other for ever.
-func (b *Tracker) Updates(now, fresh time.Duration, most int) []string {
-	var out, older []string
-	for life, r := range b.rows {
+// Updates returns the draining incarnations to announce to peers: those learned less
+// than fresh ago, and in turn some of the others that this instance lists, for peers
+// that start later or were partitioned. While the store is unavailable, the list of
+// replicas may not carry them. Incarnations that this instance doesn't list are not
+// repeated: otherwise instances that had removed one would keep announcing it to each
+// other for ever.
+func (t *Tracker) Updates(now, fresh time.Duration, maxUpdates int) []string {
+	var out, repeated []string
+	for incarnation, r := range t.entries {
 		switch {
-		case !r.leaves:
-		case now-r.since < fresh:
-			out = append(out, life)
-		case r.isHere:
-			older = append(older, life)
+		case !r.draining:
+		case now-r.drainingSince < fresh:
+			out = append(out, incarnation)
+		case r.isListed:
+			repeated = append(repeated, incarnation)
 		}
 	}
 	slices.Sort(out)
-	slices.Sort(older)
-	for range min(len(older), b.turns(most-len(out))) {
-		b.next = (b.next + 1) % len(older)
-		out = append(out, older[b.next])
+	slices.Sort(repeated)
+	for range min(len(repeated), t.repeats(maxUpdates-len(out))) {
+		t.cursor = (t.cursor + 1) % len(repeated)
+		out = append(out, repeated[t.cursor])
 	}
-	return out[:min(len(out), most)]
+	return out[:min(len(out), maxUpdates)]
 }
 
-// olderTold is how many lives that left long ago one heartbeat tells.
-const olderTold = 2
+// maxRepeated is the number of older drains that one heartbeat repeats.
+const maxRepeated = 2
 
-func (b *Tracker) turns(room int) int { return min(max(room, 0), olderTold) }
+func (t *Tracker) repeats(available int) int { return min(max(available, 0), maxRepeated) }
 
-// Left returns the lives that have said that they leave, in order.
-func (b *Tracker) Draining() []string {
+// Draining returns the draining incarnations, sorted.
+func (t *Tracker) Draining() []string {
 	var out []string
-	for life, r := range b.rows {
-		if r.leaves {
-			out = append(out, life)
+	for incarnation, r := range t.entries {
+		if r.draining {
+			out = append(out, incarnation)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Resting returns the lives that rest, and until when.
-func (b *Tracker) Backoffs(now time.Duration) map[string]time.Duration {
+// Backoffs returns the ends of the backoffs in force, by incarnation.
+func (t *Tracker) Backoffs(now time.Duration) map[string]time.Duration {
 	var out map[string]time.Duration
-	for life, r := range b.rows {
-		if now >= r.restTo {
+	for incarnation, r := range t.entries {
+		if now >= r.backoffUntil {
 			continue
 		}
 		if out == nil {
 			out = make(map[string]time.Duration)
 		}
-		out[life] = r.restTo
+		out[incarnation] = r.backoffUntil
 	}
 	return out
 }
--- a/coordination/stated/stated_test.go
+++ b/coordination/stated/stated_test.go
@@ -15,229 +15,230 @@
 
 func none(string) bool { return false }
 
-func may(b *Tracker, now time.Duration, life string) bool {
-	ok, _ := b.CanSend(now, life)
+func canSend(tr *Tracker, now time.Duration, incarnation string) bool {
+	ok, _ := tr.CanSend(now, incarnation)
 	return ok
 }
 
-// Leaving holds for as long as the life is listed, however long it drains, and
-// two minutes beyond; another life is not concerned.
-func TestLeavingHoldsForItsLife(t *testing.T) {
+// A drain holds for as long as the incarnation is listed, however long that is, and for
+// two more minutes. Other incarnations are not affected.
+func TestADrainHoldsForOneIncarnation(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
-	is.True(may(b, 0, "r@1"))
-	is.True(b.RecordDrain(0, "r@1"))
-	is.True(!b.RecordDrain(second, "r@1")) // said already
+	tr := New(Standard())
+	is.True(canSend(tr, 0, "r@1"))
+	is.True(tr.RecordDrain(0, "r@1"))
+	is.True(!tr.RecordDrain(second, "r@1")) // already recorded
 	for now := second; now < 3600*second; now += second {
-		is.Equal(len(b.Sweep(now, all).Removed), 0)
-		ok, from := b.CanSend(now, "r@1")
+		is.Equal(len(tr.Sweep(now, all).Removed), 0)
+		ok, from := tr.CanSend(now, "r@1")
 		is.True(!ok && from == Never)
 	}
-	is.True(may(b, 3600*second, "r@2"))
-	is.Equal(len(b.Sweep(3599*second+b.opts.UnlistedRetention, none).Removed), 0) // it was listed last at 3,599 s
-	is.Equal(b.Sweep(3600*second+b.opts.UnlistedRetention, none).Removed, []string{"r@1"})
-	is.Equal(len(b.rows), 0)
+	is.True(canSend(tr, 3600*second, "r@2"))
+	is.Equal(len(tr.Sweep(3599*second+tr.opts.UnlistedRetention, none).Removed), 0) // last listed at 3,599 s
+	is.Equal(tr.Sweep(3600*second+tr.opts.UnlistedRetention, none).Removed, []string{"r@1"})
+	is.Equal(len(tr.entries), 0)
 }
 
-// The longest of several rests holds, in whatever order their answers come.
-func TestTheLongestRestHolds(t *testing.T) {
+// The longest of several backoffs holds, in whatever order the answers arrive.
+func TestTheLongestBackoffHolds(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
-	is.True(b.RecordBackoff(0, "r", 3*second))
-	is.True(!b.RecordBackoff(second, "r", second)) // shortened
-	to, rests := b.BackoffUntil(second, "r")
-	is.True(rests && to == 3*second)
-	b.RecordBackoff(2*second, "r", 4*second) // extended
-	is.True(!may(b, 6*second-1, "r"))
-	is.True(may(b, 6*second, "r"))
-	is.Equal(b.Sweep(6*second-1, all).BackoffEnded, nil)
-	is.Equal(b.Sweep(6*second, all).BackoffEnded, []string{"r"})
-	is.Equal(b.Sweep(7*second, all).BackoffEnded, nil) // said once
+	tr := New(Standard())
+	is.True(tr.RecordBackoff(0, "r", 3*second))
+	is.True(!tr.RecordBackoff(second, "r", second)) // shorter: the first one holds
+	to, backingOff := tr.BackoffUntil(second, "r")
+	is.True(backingOff && to == 3*second)
+	tr.RecordBackoff(2*second, "r", 4*second) // longer
+	is.True(!canSend(tr, 6*second-1, "r"))
+	is.True(canSend(tr, 6*second, "r"))
+	is.Equal(tr.Sweep(6*second-1, all).BackoffEnded, nil)
+	is.Equal(tr.Sweep(6*second, all).BackoffEnded, []string{"r"})
+	is.Equal(tr.Sweep(7*second, all).BackoffEnded, nil) // reported once only
 }
 
-// After a rest one request goes, then one more at once after each answer, then all.
-func TestAfterARestOneThenAFew(t *testing.T) {
+// After a backoff one request may be sent, then one more with each answer, then any
+// number.
+func TestRequestsRampUpAfterABackoff(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
-	b.RecordBackoff(0, "r", second)
-	_, ok := b.Begin(second-1, "r")
+	tr := New(Standard())
+	tr.RecordBackoff(0, "r", second)
+	_, ok := tr.Begin(second-1, "r")
 	is.True(!ok)
-	first, ok := b.Begin(second, "r")
+	first, ok := tr.Begin(second, "r")
 	is.True(ok)
-	_, ok = b.Begin(second+1, "r")
+	_, ok = tr.Begin(second+1, "r")
 	is.True(!ok)
-	b.RecordAnswer(first)
-	second2, ok := b.Begin(second+2, "r") // the first may go on, a stream
+	tr.RecordAnswer(first)
+	second2, ok := tr.Begin(second+2, "r") // the first may still be streaming
 	is.True(ok)
-	b.End(first)
-	third, ok := b.Begin(second+3, "r")
+	tr.End(first)
+	third, ok := tr.Begin(second+3, "r")
 	is.True(ok)
-	_, ok = b.Begin(second+4, "r")
+	_, ok = tr.Begin(second+4, "r")
 	is.True(!ok)
-	for _, turn := range []Attempt{second2, third} {
-		b.RecordAnswer(turn)
-		b.End(turn)
+	for _, attempt := range []Attempt{second2, third} {
+		tr.RecordAnswer(attempt)
+		tr.End(attempt)
 	}
-	last, ok := b.Begin(second+5, "r")
+	last, ok := tr.Begin(second+5, "r")
 	is.True(ok)
-	b.RecordAnswer(last) // the fourth
-	b.End(last)
+	tr.RecordAnswer(last) // the fourth answer
+	tr.End(last)
 	for range 100 {
-		_, ok := b.Begin(second+6, "r")
+		_, ok := tr.Begin(second+6, "r")
 		is.True(ok)
 	}
-	b.Sweep(second+7, all)
-	is.Equal(len(b.rows), 0)
+	tr.Sweep(second+7, all)
+	is.Equal(len(tr.entries), 0)
 }
 
-// One that is not answered keeps the others away for a moment only.
-func TestASlowAnswerKeepsNobodyAway(t *testing.T) {
+// An unanswered request blocks the others for RampInterval only.
+func TestASlowAnswerDoesNotBlockTheRamp(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
-	b.RecordBackoff(0, "r", second)
-	_, ok := b.Begin(second, "r")
+	tr := New(Standard())
+	tr.RecordBackoff(0, "r", second)
+	_, ok := tr.Begin(second, "r")
 	is.True(ok)
-	ok, from := b.CanSend(second+1, "r")
+	ok, from := tr.CanSend(second+1, "r")
 	is.True(!ok && from == second+1)
-	_, ok = b.Begin(second+b.opts.RampInterval, "r")
+	_, ok = tr.Begin(second+tr.opts.RampInterval, "r")
 	is.True(ok)
-	_, ok = b.Begin(second+b.opts.RampInterval, "r")
+	_, ok = tr.Begin(second+tr.opts.RampInterval, "r")
 	is.True(!ok)
 }
 
-// Another rest begins anew; what was sent before it says nothing of it.
-func TestARestAfterARest(t *testing.T) {
+// A second backoff restarts the ramp; requests sent before it don't count.
+func TestASecondBackoffRestartsTheRamp(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
-	b.RecordBackoff(0, "r", second)
-	old, _ := b.Begin(second, "r")
-	b.RecordBackoff(second+1, "r", second)
-	b.RecordAnswer(old)
-	b.End(old)
-	_, ok := b.Begin(2*second+1, "r")
+	tr := New(Standard())
+	tr.RecordBackoff(0, "r", second)
+	old, _ := tr.Begin(second, "r")
+	tr.RecordBackoff(second+1, "r", second)
+	tr.RecordAnswer(old)
+	tr.End(old)
+	_, ok := tr.Begin(2*second+1, "r")
 	is.True(ok)
-	_, ok = b.Begin(2*second+2, "r")
+	_, ok = tr.Begin(2*second+2, "r")
 	is.True(!ok)
 }
 
-// Fresh news is told by each heartbeat, older news in turn, so that who starts
-// later hears of all of it.
-func TestNewsIsToldInTurn(t *testing.T) {
+// Each heartbeat announces fresh drains and some of the older ones in turn, so that
+// instances that start later receive all of them.
+func TestOldUpdatesAreRepeatedInTurn(t *testing.T) {
 	is := is.New(t)
-	b := New(Standard())
+	tr := New(Standard())
 	for i := range 9 {
-		b.RecordDrain(0, fmt.Sprint("old", i))
+		tr.RecordDrain(0, fmt.Sprint("old", i))
 	}
-	b.RecordDrain(10*second, "new")
-	b.Sweep(10*second, all)
-	heard := make(map[string]bool)
+	tr.RecordDrain(10*second, "new")
+	tr.Sweep(10*second, all)
+	announced := make(map[string]bool)
 	for range 5 {
-		news := b.Updates(10*second, 3*second, 16)
-		is.Equal(len(news), 1+olderTold)
-		is.Equal(news[0], "new")
-		for _, life := range news {
-			heard[life] = true
+		updates := tr.Updates(10*second, 3*second, 16)
+		is.Equal(len(updates), 1+maxRepeated)
+		is.Equal(updates[0], "new")
+		for _, incarnation := range updates {
+			announced[incarnation] = true
 		}
 	}
-	is.Equal(len(heard), 10)
-	is.Equal(len(b.Updates(10*second, 3*second, 1)), 1)
-	is.Equal(len(b.Updates(10*second, 20*second, 4)), 4)
+	is.Equal(len(announced), 10)
+	is.Equal(len(tr.Updates(10*second, 3*second, 1)), 1)
+	is.Equal(len(tr.Updates(10*second, 20*second, 4)), 4)
 }
 
-// Two instances that tell each other of a life don't remind each other of it for
-// ever: once nobody lists it, both forget it.
-func TestALifeThatIsGoneIsForgottenByAll(t *testing.T) {
+// Two instances must not keep a removed incarnation alive by announcing it to each
+// other: once neither lists it, both remove it.
+func TestARemovedIncarnationIsForgottenByAll(t *testing.T) {
 	is := is.New(t)
 	a, b := New(Standard()), New(Standard())
 	a.RecordDrain(0, "r@1")
-	forgotten := 0
+	removed := 0
 	for now := time.Duration(0); now < 3600*second; now += 200 * time.Millisecond {
 		listedBy := func(until time.Duration) func(string) bool { return func(string) bool { return now < until } }
 		for _, pair := range [][2]*Tracker{{a, b}, {b, a}} {
-			for _, life := range pair[0].Updates(now, 3*second, 16) {
-				pair[1].RecordDrain(now, life)
+			for _, incarnation := range pair[0].Updates(now, 3*second, 16) {
+				pair[1].RecordDrain(now, incarnation)
 			}
 		}
-		forgotten += len(a.Sweep(now, listedBy(60*second)).Removed) + len(b.Sweep(now, listedBy(100*second)).Removed) // a cut from the store
+		removed += len(a.Sweep(now, listedBy(60*second)).Removed) + len(b.Sweep(now, listedBy(100*second)).Removed) // one of the two has an older list
 	}
-	is.Equal(forgotten, 2) // each once
+	is.Equal(removed, 2) // once at each instance
 	is.True(a.Empty() && b.Empty())
 }
 
-// Who does not list a life hears of it from who does, for as long as that lasts:
-// it starts while the store is away, say.
-func TestALifeThatOthersListIsKept(t *testing.T) {
+// An instance that doesn't list an incarnation keeps it while others list and announce
+// it, for example when it started while the store was unavailable.
+func TestAnIncarnationListedByOthersIsKept(t *testing.T) {
 	is := is.New(t)
 	a, b := New(Standard()), New(Standard())
 	a.RecordDrain(0, "r@1")
 	for now := 4 * second; now < 3600*second; now += second {
 		a.Sweep(now, all)
-		for _, life := range a.Updates(now, 3*second, 16) {
-			b.RecordDrain(now, life)
+		for _, incarnation := range a.Updates(now, 3*second, 16) {
+			b.RecordDrain(now, incarnation)
 		}
 		b.Sweep(now, none)
 		is.True(b.IsDraining("r@1"))
 	}
 }
 
-// A peer that names lives which nobody lists does not fill the book.
-func TestUnlistedLivesAreBounded(t *testing.T) {
+// A peer that announces incarnations which nobody lists must not exhaust the memory.
+func TestUnlistedIncarnationsAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := New(Options{RampAnswers: 4, RampInterval: second, UnlistedRetention: 100 * second, MaxUnlisted: 10})
+	tr := New(Options{RampAnswers: 4, RampInterval: second, UnlistedRetention: 100 * second, MaxUnlisted: 10})
 	for i := range 50 {
-		b.RecordDrain(time.Duration(i), fmt.Sprint("life", 100+i))
+		tr.RecordDrain(time.Duration(i), fmt.Sprint("life", 100+i))
 	}
-	is.Equal(len(b.Sweep(second, none).Removed), 40)
-	is.Equal(b.Draining()[0], "life140")
+	is.Equal(len(tr.Sweep(second, none).Removed), 40)
+	is.Equal(tr.Draining()[0], "life140")
 }
 
-// Whatever is said and sent in whatever order: nothing is sent to a life that has
-// left, nor in a rest, and after all rests everybody that has not left is used.
-func TestAnyOrderKeepsStatements(t *testing.T) {
+// In any order of events, nothing is sent to an incarnation that drains or backs off,
+// and once all backoffs have ended every other incarnation is used.
+func TestAdvisoriesHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(Standard())
-		lives := []string{"a", "b", "c"}
-		left, restTo := make(map[string]bool), make(map[string]time.Duration)
-		var turns []Attempt
+		tr := New(Standard())
+		incarnations := []string{"a", "b", "c"}
+		draining, backoffUntil := make(map[string]bool), make(map[string]time.Duration)
+		var attempts []Attempt
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
-			life := rapid.SampledFrom(lives).Draw(t, "life")
+			incarnation := rapid.SampledFrom(incarnations).Draw(t, "incarnation")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
-				length := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-				b.RecordBackoff(now, life, length)
-				restTo[life] = max(restTo[life], now+length)
+				duration := time.Duration(rapid.IntRange(1, 3000).Draw(t, "backoff")) * time.Millisecond
+				tr.RecordBackoff(now, incarnation, duration)
+				backoffUntil[incarnation] = max(backoffUntil[incarnation], now+duration)
 			case 1:
-				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-					b.RecordDrain(now, life)
-					left[life] = true
+				if rapid.IntRange(0, 9).Draw(t, "drains") == 0 {
+					tr.RecordDrain(now, incarnation)
+					draining[incarnation] = true
 				}
 			case 2, 3:
-				turn, ok := b.Begin(now, life)
-				if ok && (left[life] || now < restTo[life]) {
-					t.Fatalf("sent to %s at %v: left %t, rests to %v", life, now, left[life], restTo[life])
+				attempt, ok := tr.Begin(now, incarnation)
+				if ok && (draining[incarnation] || now < backoffUntil[incarnation]) {
+					t.Fatalf("sent to %s at %v: draining %t, backoff until %v", incarnation, now, draining[incarnation], backoffUntil[incarnation])
 				}
 				if ok {
-					turns = append(turns, turn)
+					attempts = append(attempts, attempt)
 				}
 			case 4:
-				if len(turns) > 0 {
-					b.RecordAnswer(turns[len(turns)-1])
+				if len(attempts) > 0 {
+					tr.RecordAnswer(attempts[len(attempts)-1])
 				}
 			case 5:
-				if len(turns) > 0 {
-					b.End(turns[0])
-					turns = turns[1:]
+				if len(attempts) > 0 {
+					tr.End(attempts[0])
+					attempts = attempts[1:]
 				}
 			case 6:
-				b.Sweep(now, all)
+				tr.Sweep(now, all)
 			}
 		}
 		now += 10 * second
-		for _, life := range lives {
-			if ok := may(b, now, life); ok == left[life] {
-				t.Fatalf("%s: may %t, left %t", life, ok, left[life])
+		for _, incarnation := range incarnations {
+			if ok := canSend(tr, now, incarnation); ok == draining[incarnation] {
+				t.Fatalf("%s: can send %t, draining %t", incarnation, ok, draining[incarnation])
 			}
 		}
 	})
--- a/coordination/stated/unknownfields.go
+++ b/coordination/stated/unknownfields.go
@@ -5,45 +5,45 @@
 	"unicode"
 )
 
-// Unread remembers which words of services' replicas nobody reads, so that each
-// is said once. It is not safe for concurrent use.
+// UnknownFields remembers the unknown fields that replicas send, by service, so that
+// each is logged once. It is not safe for concurrent use.
 type UnknownFields struct {
-	most  int
-	known map[unreadWord]bool
+	maxFields int
+	seen      map[unknownField]bool
 }
 
-type unreadWord struct{ service, name string }
+type unknownField struct{ service, name string }
 
 const (
-	mostUnread     = 128 // words of all services; a bound against a replica that makes names up
-	longestWord    = 64  // bytes of a name that are kept
-	unreadReplaced = '?' // stands for what a log line should not hold
+	maxUnknownFields = 128 // fields of all services; a bound against a replica that invents names
+	maxNameLength    = 64  // bytes
+	replacement      = '?' // for unprintable characters in log lines
 )
 
-// NewUnread returns an empty memory.
+// NewUnknownFields returns an empty set.
 func NewUnknownFields() *UnknownFields {
-	return &UnknownFields{most: mostUnread, known: make(map[unreadWord]bool)}
+	return &UnknownFields{maxFields: maxUnknownFields, seen: make(map[unknownField]bool)}
 }
 
-// Note takes in a word that nobody reads. It returns the name as it may be shown,
-// and whether it is new.
+// Record adds an unknown field. It returns the name in printable form, and whether it
+// is new.
 func (u *UnknownFields) Record(service, name string) (shown string, isNew bool) {
-	word := unreadWord{service: service, name: presentable(name)}
-	if u.known[word] || len(u.known) >= u.most {
-		return word.name, false
+	field := unknownField{service: service, name: printable(name)}
+	if u.seen[field] || len(u.seen) >= u.maxFields {
+		return field.name, false
 	}
-	u.known[word] = true
-	return word.name, true
+	u.seen[field] = true
+	return field.name, true
 }
 
-// presentable cuts a name and replaces what is not printable in it.
-func presentable(name string) string {
-	if len(name) > longestWord {
-		name = name[:longestWord]
+// printable truncates a name and replaces its unprintable characters.
+func printable(name string) string {
+	if len(name) > maxNameLength {
+		name = name[:maxNameLength]
 	}
 	return strings.Map(func(r rune) rune {
 		if r == unicode.ReplacementChar || !unicode.IsPrint(r) {
-			return unreadReplaced
+			return replacement
 		}
 		return r
 	}, name)
--- a/coordination/stated/unknownfields_test.go
+++ b/coordination/stated/unknownfields_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Three words of replicas cost requests before anybody noticed that nobody reads
-// them: each word is said once, whatever its name is made of, and no replica can
-// fill the memory.
-func TestAWordThatNobodyReadsIsSaidOnce(t *testing.T) {
+// Replicas sent three fields that no code read, and requests were lost before anybody
+// noticed. Each unknown field is reported once, whatever its name consists of, and no
+// replica can exhaust the memory with them.
+func TestAnUnknownFieldIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	u := NewUnknownFields()
 	name, isNew := u.Record("desk", "Server-Mood")
@@ -23,9 +23,9 @@
 	is.True(isNew)
 	name, _ = u.Record("desk", "a\nb\x00\xff"+strings.Repeat("x", 10_000))
 	is.True(strings.HasPrefix(name, "a?b??x"))
-	is.True(len(name) <= longestWord)
-	for i := range 10 * mostUnread {
+	is.True(len(name) <= maxNameLength)
+	for i := range 10 * maxUnknownFields {
 		u.Record("desk", strconv.Itoa(i))
 	}
-	is.Equal(len(u.known), mostUnread)
+	is.Equal(len(u.seen), maxUnknownFields)
 }
