--- a/cmd/node/end.go
+++ b/cmd/node/end.go
@@ -77,5 +77,5 @@
 		"attempts", len(s.tried), "replica", s.replica, "took", s.since(), "staged", s.staged, "expected", s.expects.stages,
 		"engine_expected", s.expects.engine, "reads", s.expects.reads, "moves", s.expects.moves,
 		"first", s.first, "gap", s.gap, "tokens", s.req.TokensIn, "fetch", s.fetch, "pieces", s.req.Pieces, "region", s.region,
-		"chosen", s.chosen, "leaves", s.leaves, "short", s.expects.standing.Resource, "asked", s.expects.standing.Asked, "share", s.expects.standing.Share)
+		"chosen", s.chosen, "leaves", s.leaves, "short", s.expects.standing.Resource, "asked", s.expects.standing.Demand, "share", s.expects.standing.Share)
 }
--- a/cmd/node/held.go
+++ b/cmd/node/held.go
@@ -28,7 +28,7 @@
 		if !known {
 			since = now
 			if lines++; lines <= mostHeldLogged {
-				event.NodeCustomerHeld.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Asked, "share", r.Share)
+				event.NodeCustomerHeld.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
 			}
 		}
 		held[h] = since
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -105,7 +105,7 @@
 		c.forgetFingerprint(job.RequestID)
 		n.counters.jobsRefused.Inc(1)
 		event.NodeJobRefused.Log(n.log, "request", job.RequestID, "customer", job.Customer, "rank", job.Rank, "again", job.Again,
-			"short", verdict.Standing.Resource, "asked", verdict.Standing.Asked, "share", verdict.Standing.Share,
+			"short", verdict.Standing.Resource, "asked", verdict.Standing.Demand, "share", verdict.Standing.Share,
 			"expected", verdict.Expected, "wait", verdict.Expected-verdict.Own, "own", verdict.Own, "bound", verdict.Bound, "limit", verdict.Limit,
 			"engine_expected", time.Duration(reply.EngineUs)*time.Microsecond, "reads", reply.Reads, "moves", reply.Moves,
 			"objective", job.Objective, "deadline", job.Deadline, "stages", verdict.Explain(), "pools", c.pools(job))
@@ -278,7 +278,7 @@
 		RequestID: ask.RequestId,
 		Key:       ask.Key,
 		Customer:  ask.Customer,
-		Told:      shares.Told{Part: float64(ask.CustomerPart), Of: float64(ask.CustomerOf)},
+		Told:      shares.UsageReport{Fraction: float64(ask.CustomerPart), Requests: float64(ask.CustomerOf)},
 		Rank:      int(ask.Rank),
 		Objective: time.Duration(ask.ObjectiveUs) * time.Microsecond,
 		Deadline:  time.Duration(ask.DeadlineUs) * time.Microsecond,
--- a/cmd/node/shares.go
+++ b/cmd/node/shares.go
@@ -15,7 +15,7 @@
 	if s.Within {
 		return nil
 	}
-	return &pb.Standing{Resource: s.Resource, Asked: float32(s.Asked), Share: float32(s.Share)}
+	return &pb.Standing{Resource: s.Resource, Asked: float32(s.Demand), Share: float32(s.Share)}
 }
 
 // standingOf reads what an owner tells; one of an older build tells nothing.
@@ -23,7 +23,7 @@
 	if s == nil {
 		return shares.Standing{Within: true}
 	}
-	return shares.Standing{Resource: s.Resource, Asked: float64(s.Asked), Share: float64(s.Share)}
+	return shares.Standing{Resource: s.Resource, Demand: float64(s.Asked), Share: float64(s.Share)}
 }
 
 // mostCustomer bounds a customer's name in messages and logs, in bytes.
--- a/cmd/node/shares_test.go
+++ b/cmd/node/shares_test.go
@@ -19,9 +19,9 @@
 	within := &refusedError{after: time.Second, expects: expectationOf(&pb.StagesReply{Refused: true})}
 	is.True(within.expects.standing.Within)
 	is.True(strings.HasPrefix(within.Error(), "stages refused"))
-	told := &pb.StagesReply{Refused: true, Standing: standingNews(shares.Standing{Resource: "pool", Asked: 8, Share: 2})}
+	told := &pb.StagesReply{Refused: true, Standing: standingNews(shares.Standing{Resource: "pool", Demand: 8, Share: 2})}
 	beyond := &refusedError{after: time.Second, expects: expectationOf(told)}
-	is.Equal(beyond.expects.standing, shares.Standing{Resource: "pool", Asked: 8, Share: 2})
+	is.Equal(beyond.expects.standing, shares.Standing{Resource: "pool", Demand: 8, Share: 2})
 	is.True(strings.HasPrefix(beyond.Error(), "over its customer's share"))
 	is.Equal(standingNews(shares.Standing{Within: true}), nil)
 }
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -76,15 +76,15 @@
 	RequestID string
 	Key       string
 	Customer  string
-	Told      shares.Told   // of that
-	Rank      int           // 0 first
-	Hall      string        // where its results are best made; "" for anywhere
-	Objective time.Duration // from now, by when the stages should be done
-	Deadline  time.Duration // from now, after which they are of no use
-	Again     bool          // it came back after a refusal
-	LateToo   bool          // it may be admitted to be late
-	Ended     int           // replicas that ended under its request
-	Needs     []shares.Need // of other things than pools, that run short too
+	Told      shares.UsageReport // of that
+	Rank      int                // 0 first
+	Hall      string             // where its results are best made; "" for anywhere
+	Objective time.Duration      // from now, by when the stages should be done
+	Deadline  time.Duration      // from now, after which they are of no use
+	Again     bool               // it came back after a refusal
+	LateToo   bool               // it may be admitted to be late
+	Ended     int                // replicas that ended under its request
+	Needs     []shares.Need      // of other things than pools, that run short too
 	Stages    []Stage
 }
 
@@ -160,7 +160,7 @@
 	calls   map[uint64]*call
 	next    uint64
 	returns map[int]*returns // by rank
-	shares  *shares.Table
+	shares  *shares.Allocator
 	out     []Action
 	paced   bool // some replica stated a limit when that was asked last
 }
@@ -262,7 +262,7 @@
 		return verdict, nil
 	}
 	if !job.surplus {
-		s.shares.Serve(job.Customer, job.Rank, job.Needs)
+		s.shares.RecordServed(job.Customer, job.Rank, job.Needs)
 	}
 	s.next++
 	job.id = s.next
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -29,7 +29,7 @@
 // beyond it behind.
 func (s *Scheduler) stand(now time.Duration, j *job) shares.Standing {
 	j.Needs = append(j.Needs, s.needs(now, j)...)
-	standing := s.shares.Ask(now, j.Customer, j.Rank, j.Told, j.Needs)
+	standing := s.shares.RecordDemand(now, j.Customer, j.Rank, j.Told, j.Needs)
 	if !standing.Within {
 		j.surplus = true
 		j.rank += surplusRank
@@ -102,7 +102,7 @@
 // behind, beyond what their share does soon; the least urgent first.
 func (s *Scheduler) holdBack(now time.Duration) {
 	for _, p := range s.order {
-		held := s.shares.Held(now, p.name)
+		held := s.shares.Throttled(now, p.name)
 		p.heed(now, len(held) > 0, &s.opts)
 		waits := p.waitsOf(held)
 		for _, customer := range slices.Sorted(maps.Keys(waits)) {
@@ -199,4 +199,4 @@
 }
 
 // Held returns who is held to a share of which pool.
-func (s *Scheduler) Held(now time.Duration) []shares.Row { return s.shares.HeldRows(now) }
+func (s *Scheduler) Held(now time.Duration) []shares.Row { return s.shares.ThrottledRows(now) }
--- a/coordination/shares/part.go
+++ b/coordination/shares/allocate.go
@@ -14,7 +14,7 @@
 	total := 0.0
 	for _, f := range r.flows {
 		f.share = math.Inf(1)
-		total += f.asked() / r.opts.AskedFor.Seconds()
+		total += f.asked() / r.opts.DemandWindow.Seconds()
 	}
 	r.short = total > r.capacity
 	if !r.short {
@@ -46,7 +46,7 @@
 // before that, by what is told; it reports whether anything is known.
 func (r *resource) findUsual(asks []asking) bool {
 	usual := func(a *asking) float64 { return r.told[a.customer] }
-	if r.learnt >= r.opts.LeastLearnt {
+	if r.learnt >= r.opts.MinLearned {
 		usual = func(a *asking) float64 { return a.flow.usual }
 	}
 	total := 0.0
@@ -64,7 +64,7 @@
 	var out []asking
 	for _, name := range slices.Sorted(maps.Keys(r.flows)) {
 		f := r.flows[name]
-		if a := f.asked() / r.opts.AskedFor.Seconds(); a > 0 {
+		if a := f.asked() / r.opts.DemandWindow.Seconds(); a > 0 {
 			out = append(out, asking{customer: name, flow: f, asked: a})
 		}
 	}
@@ -76,13 +76,13 @@
 // Where all ask for more, ranks decide as ever; and a few requests that happen to
 // come together are no flood.
 func (r *resource) findBeyond(asks []asking, total float64) {
-	few := r.opts.Few * total / max(r.requests, 1)
+	few := r.opts.BurstTolerance * total / max(r.requests, 1)
 	usual := 1.0
 	for found := true; found; {
 		found = false
 		for i := range asks {
 			a := &asks[i]
-			if a.customer != "" && !a.beyond && (a.asked-few)*(usual-a.usual) > r.opts.Beyond*a.weight*(total-a.asked) {
+			if a.customer != "" && !a.beyond && (a.asked-few)*(usual-a.usual) > r.opts.ExcessRatio*a.weight*(total-a.asked) {
 				a.beyond, found = true, true
 				total -= a.asked
 				usual -= a.usual
--- a/coordination/shares/resource.go
+++ b/coordination/shares/resource.go
@@ -77,10 +77,10 @@
 	for i := range f.ranks {
 		a := &f.ranks[i]
 		if a.rank != rank {
-			part = max(part-a.work/o.AskedFor.Seconds(), 0)
+			part = max(part-a.work/o.DemandWindow.Seconds(), 0)
 			continue
 		}
-		a.credit = min(a.credit+part*(now-a.at).Seconds(), part*o.Ahead.Seconds())
+		a.credit = min(a.credit+part*(now-a.at).Seconds(), part*o.Burst.Seconds())
 		a.at = now
 		return a.credit > 0
 	}
@@ -89,7 +89,7 @@
 
 // partIfDue fades the averages and parts the resource anew when it is time.
 func (r *resource) partIfDue(now time.Duration) {
-	if r.partedAt != 0 && now-r.partedAt < r.opts.PartEach {
+	if r.partedAt != 0 && now-r.partedAt < r.opts.AllocationInterval {
 		return
 	}
 	r.fade(now)
@@ -103,12 +103,12 @@
 // known at all, as after a start of all, what is served first has to do.
 func (r *resource) learn(now time.Duration) {
 	r.wasShort = r.wasShort || r.short
-	if now-r.learntAt < r.opts.LearnEach {
+	if now-r.learntAt < r.opts.LearnInterval {
 		return
 	}
-	skip := r.wasShort && (r.learnt >= r.opts.LearnShort || len(r.told) > 0)
+	skip := r.wasShort && (r.learnt >= r.opts.MaxScarceLearning || len(r.told) > 0)
 	if !skip {
-		r.learnt += r.opts.LearnEach
+		r.learnt += r.opts.LearnInterval
 	}
 	for _, f := range r.flows {
 		if skip {
@@ -122,8 +122,8 @@
 }
 
 func (r *resource) fade(now time.Duration) {
-	asked := math.Exp(-(now - r.at).Seconds() / r.opts.AskedFor.Seconds())
-	usual := math.Exp(-(now - r.at).Seconds() / r.opts.UsualFor.Seconds())
+	asked := math.Exp(-(now - r.at).Seconds() / r.opts.DemandWindow.Seconds())
+	usual := math.Exp(-(now - r.at).Seconds() / r.opts.UsageWindow.Seconds())
 	if r.short {
 		usual = 1
 	}
@@ -134,7 +134,7 @@
 			f.ranks[i].work *= asked
 		}
 		f.usual *= usual
-		f.ranks = slices.DeleteFunc(f.ranks, func(a rankAsked) bool { return a.work < r.opts.Forget })
-		return len(f.ranks) == 0 && f.usual+f.before+f.recent < r.opts.Forget
+		f.ranks = slices.DeleteFunc(f.ranks, func(a rankAsked) bool { return a.work < r.opts.MinAverage })
+		return len(f.ranks) == 0 && f.usual+f.before+f.recent < r.opts.MinAverage
 	})
 }
--- a/coordination/shares/rows.go
+++ b/coordination/shares/rows.go
@@ -9,23 +9,25 @@
 // Row is what a table knows of a customer at a resource, for logs and the dump of
 // state.
 type Row struct {
-	Customer string
-	Resource string
-	Asked    float64 // in a second
-	Share    float64 // that it may have, in a second; 0 where it is not held to one
-	Held     bool
+	Customer  string
+	Resource  string
+	Demand    float64 `json:"Asked"` // in a second
+	Share     float64 // that it may have, in a second; 0 where it is not held to one
+	Throttled bool    `json:"Held"`
 }
 
 // Rows returns the customers that ask for most of each resource, so many of each,
 // and all that are held to a share.
-func (t *Table) Rows(now time.Duration, each int) []Row {
+func (t *Allocator) Rows(now time.Duration, each int) []Row {
 	var out []Row
 	for name, r := range t.resources {
 		r.partIfDue(now)
 		rows := r.rows(name)
-		slices.SortFunc(rows, func(a, b Row) int { return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Customer, b.Customer)) })
+		slices.SortFunc(rows, func(a, b Row) int {
+			return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Customer, b.Customer))
+		})
 		for i, row := range rows {
-			if i < each || row.Held {
+			if i < each || row.Throttled {
 				out = append(out, row)
 			}
 		}
@@ -35,12 +37,12 @@
 }
 
 // HeldRows returns who is held to a share, by resource and customer.
-func (t *Table) HeldRows(now time.Duration) []Row {
+func (t *Allocator) ThrottledRows(now time.Duration) []Row {
 	var out []Row
 	for name, r := range t.resources {
 		r.partIfDue(now)
 		if r.short {
-			out = append(out, slices.DeleteFunc(r.rows(name), func(row Row) bool { return !row.Held })...)
+			out = append(out, slices.DeleteFunc(r.rows(name), func(row Row) bool { return !row.Throttled })...)
 		}
 	}
 	slices.SortFunc(out, func(a, b Row) int {
@@ -52,8 +54,8 @@
 func (r *resource) rows(name string) []Row {
 	out := make([]Row, 0, len(r.flows))
 	for customer, f := range r.flows {
-		row := Row{Customer: customer, Resource: name, Asked: f.asked() / r.opts.AskedFor.Seconds(), Held: f.held()}
-		if row.Held {
+		row := Row{Customer: customer, Resource: name, Demand: f.asked() / r.opts.DemandWindow.Seconds(), Throttled: f.held()}
+		if row.Throttled {
 			row.Share = f.share
 		}
 		out = append(out, row)
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -30,66 +30,66 @@
 
 // Told is what is told, where a request was taken in, of how much its customer has
 // usually sent there.
-type Told struct {
-	Part float64 // of all requests
-	Of   float64 // of so many requests lately
+type UsageReport struct {
+	Fraction float64 // of all requests
+	Requests float64 // of so many requests lately
 }
 
 // Standing is how a request stands within its customer's share.
 type Standing struct {
 	Within   bool
 	Resource string  // that runs shortest for it; "" for none
-	Asked    float64 // of that resource by its customer, in a second
+	Demand   float64 // of that resource by its customer, in a second
 	Share    float64 // of that resource that its customer may have, in a second
 }
 
 // Options are the table's constants.
 type Options struct {
-	AskedFor    time.Duration // over which what is asked for is averaged
-	UsualFor    time.Duration // the same of what is usually served
-	Beyond      float64       // times as much as the others, by their weights, that a customer asks for before it is held to its share
-	Few         float64       // requests, over AskedFor, that may come together by chance
-	Ahead       time.Duration // of a share that may be used at once
-	PartEach    time.Duration // between two times that a resource is parted anew
-	LearnEach   time.Duration // the same for what is usual
-	LeastLearnt time.Duration // of what is usual, from which it decides alone
-	LearnShort  time.Duration // that what is usual is learnt although more is asked for than there is, where nothing is known
-	LeastTold   float64       // requests that told is of, from which it counts
-	Forget      float64       // averages below this, in units of a resource a second, are dropped
+	DemandWindow       time.Duration // over which what is asked for is averaged
+	UsageWindow        time.Duration // the same of what is usually served
+	ExcessRatio        float64       // times as much as the others, by their weights, that a customer asks for before it is held to its share
+	BurstTolerance     float64       // requests, over AskedFor, that may come together by chance
+	Burst              time.Duration // of a share that may be used at once
+	AllocationInterval time.Duration // between two times that a resource is parted anew
+	LearnInterval      time.Duration // the same for what is usual
+	MinLearned         time.Duration // of what is usual, from which it decides alone
+	MaxScarceLearning  time.Duration // that what is usual is learnt although more is asked for than there is, where nothing is known
+	MinReported        float64       // requests that told is of, from which it counts
+	MinAverage         float64       // averages below this, in units of a resource a second, are dropped
 }
 
 // Standard returns the constants in use.
 func Standard() Options {
 	return Options{
-		AskedFor:    time.Second,
-		UsualFor:    60 * time.Second,
-		Few:         4,
-		Beyond:      1.5,
-		Ahead:       300 * time.Millisecond,
-		PartEach:    100 * time.Millisecond,
-		LearnEach:   time.Second,
-		LeastLearnt: 2 * time.Second,
-		LearnShort:  10 * time.Second,
-		LeastTold:   40,
-		Forget:      1e-4,
+		DemandWindow:       time.Second,
+		UsageWindow:        60 * time.Second,
+		BurstTolerance:     4,
+		ExcessRatio:        1.5,
+		Burst:              300 * time.Millisecond,
+		AllocationInterval: 100 * time.Millisecond,
+		LearnInterval:      time.Second,
+		MinLearned:         2 * time.Second,
+		MaxScarceLearning:  10 * time.Second,
+		MinReported:        40,
+		MinAverage:         1e-4,
 	}
 }
 
 // Table knows what customers ask for of some resources.
-type Table struct {
+type Allocator struct {
 	opts      Options
 	resources map[string]*resource
 	told      map[string]float64 // by customer: its usual part, as others tell it
 }
 
 // New returns a table that knows no resource.
-func New(opts Options) *Table {
-	return &Table{opts: opts, resources: make(map[string]*resource), told: make(map[string]float64)}
+func New(opts Options) *Allocator {
+	return &Allocator{opts: opts, resources: make(map[string]*resource), told: make(map[string]float64)}
 }
 
 // Ask takes in a request and what it needs, and tells how it stands. Each request
 // counts as asked for, whatever becomes of it; one that is taken is told to Serve.
-func (t *Table) Ask(now time.Duration, customer string, rank int, told Told, needs []Need) Standing {
+func (t *Allocator) RecordDemand(now time.Duration, customer string, rank int, told UsageReport, needs []Need) Standing {
 	t.hear(customer, told)
 	out := Standing{Within: true}
 	for _, n := range needs {
@@ -100,23 +100,23 @@
 		f.of(rank).work += n.Work
 		r.requests++
 		if f.held() && !f.hasCredit(now, rank, &t.opts) {
-			out = Standing{Resource: n.Resource, Asked: f.asked() / t.opts.AskedFor.Seconds(), Share: f.share}
+			out = Standing{Resource: n.Resource, Demand: f.asked() / t.opts.DemandWindow.Seconds(), Share: f.share}
 		}
 	}
 	return out
 }
 
 // hear takes in what is told of a customer.
-func (t *Table) hear(customer string, told Told) {
-	if told.Of < t.opts.LeastTold {
+func (t *Allocator) hear(customer string, told UsageReport) {
+	if told.Requests < t.opts.MinReported {
 		return
 	}
 	part, known := t.told[customer]
 	if !known && len(t.told) < mostTold {
-		part = told.Part
+		part = told.Fraction
 	}
 	if known || len(t.told) < mostTold {
-		t.told[customer] = part + toldRate*(told.Part-part)
+		t.told[customer] = part + toldRate*(told.Fraction-part)
 	}
 }
 
@@ -126,7 +126,7 @@
 )
 
 // Serve counts a request as served within its customer's share.
-func (t *Table) Serve(customer string, rank int, needs []Need) {
+func (t *Allocator) RecordServed(customer string, rank int, needs []Need) {
 	for _, n := range needs {
 		f := t.resource(n.Resource).flow(customer)
 		f.of(rank).credit -= n.Work
@@ -136,7 +136,7 @@
 
 // Held returns the customers that ask for more of a resource than their share of
 // it, and that share, in a second.
-func (t *Table) Held(now time.Duration, resource string) map[string]float64 {
+func (t *Allocator) Throttled(now time.Duration, resource string) map[string]float64 {
 	r := t.resources[resource]
 	if r == nil {
 		return nil
@@ -154,7 +154,7 @@
 	return out
 }
 
-func (t *Table) resource(name string) *resource {
+func (t *Allocator) resource(name string) *resource {
 	r := t.resources[name]
 	if r == nil {
 		r = &resource{opts: &t.opts, told: t.told, flows: make(map[string]*flow)}
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -15,10 +15,10 @@
 // play has customers ask for so many requests a second of one resource, each of
 // them some work at a rank, and returns the part of them within shares.
 type play struct {
-	t     *Table
+	t     *Allocator
 	now   time.Duration
 	needs []Need
-	told  map[string]Told
+	told  map[string]UsageReport
 }
 
 func newPlay(work, capacity float64) *play {
@@ -41,9 +41,9 @@
 			for due[i] += a.each * step.Seconds(); due[i] >= 1; due[i]-- {
 				key := fmt.Sprint(a.customer, a.rank)
 				asked[key]++
-				if p.t.Ask(p.now, a.customer, a.rank, p.told[a.customer], p.needs).Within {
+				if p.t.RecordDemand(p.now, a.customer, a.rank, p.told[a.customer], p.needs).Within {
 					within[key]++
-					p.t.Serve(a.customer, a.rank, p.needs)
+					p.t.RecordServed(a.customer, a.rank, p.needs)
 				}
 			}
 		}
@@ -153,7 +153,7 @@
 func TestANewTableGivesAFloodNoFreshAllowance(t *testing.T) {
 	is := is.New(t)
 	p := newPlay(0.1, 5)
-	p.told = map[string]Told{"a": {0.5, 600}, "b": {0.35, 600}, "c": {0.15, 600}}
+	p.told = map[string]UsageReport{"a": {0.5, 600}, "b": {0.35, 600}, "c": {0.15, 600}}
 	all := []asks{{"a", 0, 135}, {"b", 0, 10}, {"c", 0, 5}}
 	first := p.run(time.Second, all...)
 	is.Equal(first["b0"], 1.0)
@@ -169,7 +169,7 @@
 func TestALargeCustomerIsNotHeldWhereNobodyKnowsWhatIsUsual(t *testing.T) {
 	is := is.New(t)
 	p := newPlay(0.1, 5)
-	p.told = map[string]Told{"a": {1, 3}} // as good as nothing
+	p.told = map[string]UsageReport{"a": {1, 3}} // as good as nothing
 	got := p.run(8*time.Second, asks{"a", 0, 60}, asks{"b", 0, 10}, asks{"c", 0, 5}, asks{"d", 0, 5})
 	is.Equal(got["a0"], 1.0)
 	is.Equal(got["b0"], 1.0)
@@ -190,9 +190,9 @@
 	p := newPlay(0.1, 5)
 	p.run(5*time.Second, asks{"a", 0, 15}, asks{"b", 0, 10})
 	p.run(5*time.Second, asks{"a", 0, 450}, asks{"b", 0, 10})
-	is.True(p.t.Held(p.now, "pool")["a"] > 0)
-	is.Equal(len(p.t.Held(p.now+20*time.Second, "pool")), 0)
-	is.Equal(len(p.t.Held(0, "another")), 0)
+	is.True(p.t.Throttled(p.now, "pool")["a"] > 0)
+	is.Equal(len(p.t.Throttled(p.now+20*time.Second, "pool")), 0)
+	is.Equal(len(p.t.Throttled(0, "another")), 0)
 }
 
 // Customers by the thousand cost what those do that are active.
@@ -200,12 +200,12 @@
 	is := is.New(t)
 	p := newPlay(0.01, 5)
 	for i := range 5400 {
-		p.t.Ask(time.Duration(i)*100*time.Microsecond, fmt.Sprint("customer-", i), 0, Told{}, p.needs)
+		p.t.RecordDemand(time.Duration(i)*100*time.Microsecond, fmt.Sprint("customer-", i), 0, UsageReport{}, p.needs)
 	}
 	is.Equal(len(p.t.resources["pool"].flows), 5400)
 	for range 100 {
 		p.now += 10 * time.Second
-		p.t.Ask(p.now, "one", 0, Told{}, p.needs)
+		p.t.RecordDemand(p.now, "one", 0, UsageReport{}, p.needs)
 	}
 	is.Equal(len(p.t.resources["pool"].flows), 1)
 }
@@ -224,13 +224,13 @@
 				{Resource: "x", Work: rapid.SampledFrom([]float64{0, 1e-9, 0.1, 40}).Draw(t, "work"), Capacity: capacity},
 				{Resource: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "other"), Work: 0.3, Capacity: 5},
 			}
-			told := Told{Part: rapid.Float64Range(0, 1).Draw(t, "part"), Of: rapid.Float64Range(0, 100).Draw(t, "of")}
+			told := UsageReport{Fraction: rapid.Float64Range(0, 1).Draw(t, "part"), Requests: rapid.Float64Range(0, 100).Draw(t, "of")}
 			customer, rank := rapid.SampledFrom(names).Draw(t, "customer"), rapid.IntRange(-1, 3).Draw(t, "rank")
-			if table.Ask(now, customer, rank, told, needs).Within {
-				table.Serve(customer, rank, needs)
+			if table.RecordDemand(now, customer, rank, told, needs).Within {
+				table.RecordServed(customer, rank, needs)
 			}
 			sum := 0.0
-			for name, share := range table.Held(now, "y") {
+			for name, share := range table.Throttled(now, "y") {
 				if !(share >= 0) {
 					t.Fatalf("%q has %v", name, share)
 				}
