--- a/coordination/shares/allocate.go
+++ b/coordination/shares/allocate.go
@@ -7,96 +7,97 @@
 	"slices"
 )
 
-// part gives each customer its share: a level rises for all in proportion to
-// their weights until the resource is used up, and who asks for less than the
-// level gives it leaves the rest to the others.
-func (r *resource) part() {
+// allocate computes each customer's share by progressive filling: shares rise in
+// proportion to the weights until the resource is used up, and a customer that demands
+// less than its share leaves the remainder to the others.
+func (r *resource) allocate() {
 	total := 0.0
 	for _, f := range r.flows {
 		f.share = math.Inf(1)
-		total += f.asked() / r.opts.DemandWindow.Seconds()
+		total += f.demand() / r.opts.DemandWindow.Seconds()
 	}
-	r.short = total > r.capacity
-	if !r.short {
+	r.scarce = total > r.capacity
+	if !r.scarce {
 		return
 	}
-	asks := r.asks()
-	if !r.findUsual(asks) {
+	demands := r.demands()
+	if !r.findUsage(demands) {
 		return
 	}
 	weights := 0.0
-	for i := range asks {
-		asks[i].weight = max(asks[i].usual, 1/float64(len(asks)))
-		weights += asks[i].weight
+	for i := range demands {
+		demands[i].weight = max(demands[i].usageFraction, 1/float64(len(demands)))
+		weights += demands[i].weight
 	}
-	r.findBeyond(asks, total)
-	slices.SortStableFunc(asks, func(a, b asking) int { return cmp.Compare(a.asked*b.weight, b.asked*a.weight) })
-	left := r.capacity
-	for _, a := range asks {
-		fair := left * a.weight / weights
-		if a.asked > fair && a.beyond {
+	r.markExcess(demands, total)
+	slices.SortStableFunc(demands, func(a, b demand) int { return cmp.Compare(a.rate*b.weight, b.rate*a.weight) })
+	remaining := r.capacity
+	for _, a := range demands {
+		fair := remaining * a.weight / weights
+		if a.rate > fair && a.excess {
 			a.flow.share = fair
 		}
-		left -= min(a.asked, fair)
+		remaining -= min(a.rate, fair)
 		weights -= a.weight
 	}
 }
 
-// findUsual sets each customer's part of what is usual, by what was learnt here or,
-// before that, by what is told; it reports whether anything is known.
-func (r *resource) findUsual(asks []asking) bool {
-	usual := func(a *asking) float64 { return r.told[a.customer] }
-	if r.learnt >= r.opts.MinLearned {
-		usual = func(a *asking) float64 { return a.flow.usual }
+// findUsage sets each customer's fraction of the usual load, learned here or, until
+// enough is learned, reported by the instances that accept requests. It returns false
+// when no usage is known.
+func (r *resource) findUsage(demands []demand) bool {
+	usage := func(a *demand) float64 { return r.reported[a.customer] }
+	if r.learnedFor >= r.opts.MinLearned {
+		usage = func(a *demand) float64 { return a.flow.usage }
 	}
 	total := 0.0
-	for i := range asks {
-		total += usual(&asks[i])
+	for i := range demands {
+		total += usage(&demands[i])
 	}
-	for i := range asks {
-		asks[i].usual = usual(&asks[i]) / max(total, math.SmallestNonzeroFloat64)
+	for i := range demands {
+		demands[i].usageFraction = usage(&demands[i]) / max(total, math.SmallestNonzeroFloat64)
 	}
 	return total > 0
 }
 
-// asks returns the customers that ask for something, by name.
-func (r *resource) asks() []asking {
-	var out []asking
+// demands returns the customers with demand, by name.
+func (r *resource) demands() []demand {
+	var out []demand
 	for _, name := range slices.Sorted(maps.Keys(r.flows)) {
 		f := r.flows[name]
-		if a := f.asked() / r.opts.DemandWindow.Seconds(); a > 0 {
-			out = append(out, asking{customer: name, flow: f, asked: a})
+		if a := f.demand() / r.opts.DemandWindow.Seconds(); a > 0 {
+			out = append(out, demand{customer: name, flow: f, rate: a})
 		}
 	}
 	return out
 }
 
-// findBeyond marks the customers that ask for clearly more than the others do,
-// each against what it usually has; those found are no measure for the rest.
-// Where all ask for more, ranks decide as ever; and a few requests that happen to
-// come together are no flood.
-func (r *resource) findBeyond(asks []asking, total float64) {
-	few := r.opts.BurstTolerance * total / max(r.requests, 1)
-	usual := 1.0
-	for found := true; found; {
-		found = false
-		for i := range asks {
-			a := &asks[i]
-			if a.customer != "" && !a.beyond && (a.asked-few)*(usual-a.usual) > r.opts.ExcessRatio*a.weight*(total-a.asked) {
-				a.beyond, found = true, true
-				total -= a.asked
-				usual -= a.usual
+// markExcess marks the customers whose demand clearly exceeds that of the others, each
+// in proportion to its weight. A marked customer no longer counts in the comparison for
+// the rest. When all demand more, nobody is marked and requests are ordered by rank
+// alone; a few requests that arrive together by chance don't count as a flood.
+func (r *resource) markExcess(demands []demand, total float64) {
+	burst := r.opts.BurstTolerance * total / max(r.requests, 1)
+	remainingUsage := 1.0
+	for changed := true; changed; {
+		changed = false
+		for i := range demands {
+			a := &demands[i]
+			if a.customer != "" && !a.excess && (a.rate-burst)*(remainingUsage-a.usageFraction) > r.opts.ExcessRatio*a.weight*(total-a.rate) {
+				a.excess, changed = true, true
+				total -= a.rate
+				remainingUsage -= a.usageFraction
 			}
 		}
 	}
 }
 
-// asking is a customer's part in one parting.
-type asking struct {
-	flow     *flow
-	customer string  // "" where it is not told: by routes that take anybody, and by older builds
-	asked    float64 // in a second
-	usual    float64 // its part of what is usually served
-	weight   float64 // that, or an equal part where it is more
-	beyond   bool
+// demand is one customer's input to an allocation.
+type demand struct {
+	flow          *flow
+	customer      string  // "" when unknown: on routes without authentication, and from older builds
+	rate          float64 // units of work per second
+	usageFraction float64 // fraction of the usual load
+	weight        float64 // usageFraction, or an equal part if that is more
+	excess        bool
 }
--- a/coordination/shares/resource.go
+++ b/coordination/shares/resource.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// resource is what customers ask for of one thing.
+// resource holds the demand for one resource by customer.
 type resource struct {
-	opts     *Options
-	capacity float64
-	requests float64 // asked for, over AskedFor
-	told     map[string]float64
-	flows    map[string]*flow
-	at       time.Duration // when the flows' averages were last faded
-	partedAt time.Duration
-	learntAt time.Duration
-	learnt   time.Duration // for how long what is usual has been learnt
-	wasShort bool          // since learntAt
-	short    bool          // more is asked for than there is
+	opts        *Options
+	capacity    float64
+	requests    float64 // decayed over DemandWindow
+	reported    map[string]float64
+	flows       map[string]*flow
+	decayedAt   time.Duration // when the averages were last decayed
+	allocatedAt time.Duration
+	learnedAt   time.Duration
+	learnedFor  time.Duration // total time over which usage was learned
+	wasScarce   bool          // demand has exceeded capacity since learnedAt
+	scarce      bool          // demand exceeds capacity
 }
 
-// flow is one customer's part of a resource.
+// flow is one customer's use of a resource.
 type flow struct {
-	ranks  []rankAsked // the most urgent first
-	usual  float64     // served within its share, over UsualFor
-	before float64     // served in the LearnEach before the last, not in usual yet
-	recent float64     // and since
-	share  float64     // that it may have, in a second; +Inf where nothing is short
+	ranks    []rankDemand // the most urgent first
+	usage    float64      // work served within the share, over UsageWindow
+	previous float64      // work served in the LearnInterval before the current one, not yet part of usage
+	recent   float64      // work served in the current LearnInterval
+	share    float64      // units of work per second; +Inf unless throttled
 }
 
-// rankAsked is what is asked for at a rank.
-type rankAsked struct {
-	rank   int
-	work   float64       // over AskedFor
-	credit float64       // that its part of the share has left; below 0: it took more at once
-	at     time.Duration // as of when
+// rankDemand is a customer's demand at one rank.
+type rankDemand struct {
+	rank      int
+	work      float64       // decayed over DemandWindow
+	credit    float64       // unused part of the share; negative after a large request
+	updatedAt time.Duration // when credit was last refilled
 }
 
 func (r *resource) flow(customer string) *flow {
@@ -49,19 +49,19 @@
 	return f
 }
 
-func (f *flow) of(rank int) *rankAsked {
-	i, found := slices.BinarySearchFunc(f.ranks, rank, func(a rankAsked, rank int) int { return cmp.Compare(a.rank, rank) })
+func (f *flow) atRank(rank int) *rankDemand {
+	i, found := slices.BinarySearchFunc(f.ranks, rank, func(a rankDemand, rank int) int { return cmp.Compare(a.rank, rank) })
 	if !found {
-		f.ranks = slices.Insert(f.ranks, i, rankAsked{rank: rank})
+		f.ranks = slices.Insert(f.ranks, i, rankDemand{rank: rank})
 	}
 	return &f.ranks[i]
 }
 
-// held reports whether a customer asks for more than its share.
-func (f *flow) held() bool { return !math.IsInf(f.share, 1) }
+// throttled reports whether the customer demands more than its share.
+func (f *flow) throttled() bool { return !math.IsInf(f.share, 1) }
 
-// asked is what a customer asks for, over AskedFor.
-func (f *flow) asked() float64 {
+// demand is the customer's demand at all ranks, over DemandWindow.
+func (f *flow) demand() float64 {
 	sum := 0.0
 	for _, a := range f.ranks {
 		sum += a.work
@@ -69,72 +69,74 @@
 	return sum
 }
 
-// hasCredit reports whether a rank's part of the share has something left: what
-// the more urgent leave of it, as it comes in time. At most what comes in ahead is
-// kept.
+// hasCredit refills a rank's credit and reports whether any is left. A rank gets the
+// part of the share that more urgent ranks leave, and accumulates at most Options.Burst
+// of it.
 func (f *flow) hasCredit(now time.Duration, rank int, o *Options) bool {
-	part := f.share
+	portion := f.share
 	for i := range f.ranks {
 		a := &f.ranks[i]
 		if a.rank != rank {
-			part = max(part-a.work/o.DemandWindow.Seconds(), 0)
+			portion = max(portion-a.work/o.DemandWindow.Seconds(), 0)
 			continue
 		}
-		a.credit = min(a.credit+part*(now-a.at).Seconds(), part*o.Burst.Seconds())
-		a.at = now
+		a.credit = min(a.credit+portion*(now-a.updatedAt).Seconds(), portion*o.Burst.Seconds())
+		a.updatedAt = now
 		return a.credit > 0
 	}
 	return true
 }
 
-// partIfDue fades the averages and parts the resource anew when it is time.
-func (r *resource) partIfDue(now time.Duration) {
-	if r.partedAt != 0 && now-r.partedAt < r.opts.AllocationInterval {
+// allocateIfDue decays the averages and recomputes the shares once per
+// AllocationInterval.
+func (r *resource) allocateIfDue(now time.Duration) {
+	if r.allocatedAt != 0 && now-r.allocatedAt < r.opts.AllocationInterval {
 		return
 	}
-	r.fade(now)
-	r.partedAt = max(now, 1)
-	r.part()
+	r.decay(now)
+	r.allocatedAt = max(now, 1)
+	r.allocate()
 	r.learn(now)
 }
 
-// learn takes over what was served as usual, unless more was asked for than there
-// was then or soon after: else a flood would become what is usual. Where nothing is
-// known at all, as after a start of all, what is served first has to do.
+// learn adds what was served to the usual load, except while demand exceeds capacity
+// and in the interval before that: otherwise a flood would become the usual load. When
+// no usage is known, as after a restart of all instances, it learns during scarcity
+// too.
 func (r *resource) learn(now time.Duration) {
-	r.wasShort = r.wasShort || r.short
-	if now-r.learntAt < r.opts.LearnInterval {
+	r.wasScarce = r.wasScarce || r.scarce
+	if now-r.learnedAt < r.opts.LearnInterval {
 		return
 	}
-	skip := r.wasShort && (r.learnt >= r.opts.MaxScarceLearning || len(r.told) > 0)
+	skip := r.wasScarce && (r.learnedFor >= r.opts.MaxScarceLearning || len(r.reported) > 0)
 	if !skip {
-		r.learnt += r.opts.LearnInterval
+		r.learnedFor += r.opts.LearnInterval
 	}
 	for _, f := range r.flows {
 		if skip {
-			f.before, f.recent = 0, 0
+			f.previous, f.recent = 0, 0
 			continue
 		}
-		f.usual += f.before
-		f.before, f.recent = f.recent, 0
+		f.usage += f.previous
+		f.previous, f.recent = f.recent, 0
 	}
-	r.learntAt, r.wasShort = now, r.short
+	r.learnedAt, r.wasScarce = now, r.scarce
 }
 
-func (r *resource) fade(now time.Duration) {
-	asked := math.Exp(-(now - r.at).Seconds() / r.opts.DemandWindow.Seconds())
-	usual := math.Exp(-(now - r.at).Seconds() / r.opts.UsageWindow.Seconds())
-	if r.short {
-		usual = 1
+func (r *resource) decay(now time.Duration) {
+	demandFactor := math.Exp(-(now - r.decayedAt).Seconds() / r.opts.DemandWindow.Seconds())
+	usageFactor := math.Exp(-(now - r.decayedAt).Seconds() / r.opts.UsageWindow.Seconds())
+	if r.scarce {
+		usageFactor = 1
 	}
-	r.at = now
-	r.requests *= asked
+	r.decayedAt = now
+	r.requests *= demandFactor
 	maps.DeleteFunc(r.flows, func(_ string, f *flow) bool {
 		for i := range f.ranks {
-			f.ranks[i].work *= asked
+			f.ranks[i].work *= demandFactor
 		}
-		f.usual *= usual
-		f.ranks = slices.DeleteFunc(f.ranks, func(a rankAsked) bool { return a.work < r.opts.MinAverage })
-		return len(f.ranks) == 0 && f.usual+f.before+f.recent < r.opts.MinAverage
+		f.usage *= usageFactor
+		f.ranks = slices.DeleteFunc(f.ranks, func(a rankDemand) bool { return a.work < r.opts.MinAverage })
+		return len(f.ranks) == 0 && f.usage+f.previous+f.recent < r.opts.MinAverage
 	})
 }
--- a/coordination/shares/rows.go
+++ b/coordination/shares/rows.go
@@ -6,28 +6,27 @@
 	"time"
 )
 
-// Row is what a table knows of a customer at a resource, for logs and the dump of
-// state.
+// Row is a customer's use of a resource, for logs and the state dump.
 type Row struct {
 	Customer  string
 	Resource  string
-	Demand    float64 `json:"Asked"` // in a second
-	Share     float64 // that it may have, in a second; 0 where it is not held to one
+	Demand    float64 `json:"Asked"` // units of work per second
+	Share     float64 // units of work per second; 0 unless throttled
 	Throttled bool    `json:"Held"`
 }
 
-// Rows returns the customers that ask for most of each resource, so many of each,
-// and all that are held to a share.
-func (t *Allocator) Rows(now time.Duration, each int) []Row {
+// Rows returns the customers with the most demand, up to limit for each resource, and
+// all throttled customers.
+func (t *Allocator) Rows(now time.Duration, limit int) []Row {
 	var out []Row
 	for name, r := range t.resources {
-		r.partIfDue(now)
+		r.allocateIfDue(now)
 		rows := r.rows(name)
 		slices.SortFunc(rows, func(a, b Row) int {
 			return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Customer, b.Customer))
 		})
 		for i, row := range rows {
-			if i < each || row.Throttled {
+			if i < limit || row.Throttled {
 				out = append(out, row)
 			}
 		}
@@ -36,12 +35,12 @@
 	return out
 }
 
-// HeldRows returns who is held to a share, by resource and customer.
+// ThrottledRows returns the throttled customers, sorted by resource and customer.
 func (t *Allocator) ThrottledRows(now time.Duration) []Row {
 	var out []Row
 	for name, r := range t.resources {
-		r.partIfDue(now)
-		if r.short {
+		r.allocateIfDue(now)
+		if r.scarce {
 			out = append(out, slices.DeleteFunc(r.rows(name), func(row Row) bool { return !row.Throttled })...)
 		}
 	}
@@ -54,7 +53,7 @@
 func (r *resource) rows(name string) []Row {
 	out := make([]Row, 0, len(r.flows))
 	for customer, f := range r.flows {
-		row := Row{Customer: customer, Resource: name, Demand: f.asked() / r.opts.DemandWindow.Seconds(), Throttled: f.held()}
+		row := Row{Customer: customer, Resource: name, Demand: f.demand() / r.opts.DemandWindow.Seconds(), Throttled: f.throttled()}
 		if row.Throttled {
 			row.Share = f.share
 		}
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -1,64 +1,66 @@
-// Package shares parts what runs short among customers: weighted max-min
-// fairness (Bertsekas and Gallager, Data Networks, 1987).
+// Package shares divides scarce resources among customers by weighted max-min fairness
+// (Bertsekas and Gallager, Data Networks, 1987).
 //
-// A customer may take all that is free. Where more is asked for than there is,
-// who asks for less than its share is served as though the others weren't there,
-// and what it leaves is parted among the rest. A share is at least the same part
-// for everyone, and at least what a customer has usually been served: when all
-// ask for more at once, all are cut alike, and when one does, that one is. What is
-// usual is learnt here, and before that told by those who take requests in; where
-// nobody knows, nobody is held: a large customer can't be told from one that floods.
+// A customer may use all capacity that is free. When demand exceeds capacity, a
+// customer that demands less than its share is served as if the others weren't there,
+// and the remainder is divided among the rest. A share is at least an equal part, and
+// at least what the customer is usually served. When all customers demand more at once,
+// all are cut alike; when one does, only that one is throttled. Usage is learned here;
+// until enough is learned, it comes from the reports of the instances that accept
+// requests. When no usage is known nobody is throttled, since a large customer can't be
+// told from a flood.
 //
-// Within its share a customer's most urgent requests come first; what is beyond
-// it goes behind everything that is within its sender's share, however urgent.
+// Within its share a customer's most urgent requests go first. Requests over the share
+// queue behind all requests that are within their customers' shares, however urgent
+// they are.
 //
-// Shares follow what is asked for within a second or two. Nothing is saved up
-// while a customer asks for little, and nothing is held against it afterwards.
+// Shares follow demand within one to two seconds. A customer accumulates no credit
+// while it demands little, and is not penalized after a flood.
 //
-// A Table is pure: events and time in, decisions out. It is not safe for
+// An Allocator is pure: it maps events and times to decisions. It is not safe for
 // concurrent use.
 package shares
 
 import "time"
 
-// Need is what a request takes of one resource.
+// Need is the amount of one resource that a request uses.
 type Need struct {
 	Resource string
-	Work     float64 // in units of the resource's own, seconds of its replicas for instance
-	Capacity float64 // that the resource has of these in a second
+	Work     float64 // in units of the resource, such as seconds of its replicas
+	Capacity float64 // units per second
 }
 
-// Told is what is told, where a request was taken in, of how much its customer has
-// usually sent there.
+// UsageReport is a customer's recent part of the load at the instance that accepted a
+// request.
 type UsageReport struct {
-	Fraction float64 // of all requests
-	Requests float64 // of so many requests lately
+	Fraction float64 // of all requests there
+	Requests float64 // number of recent requests that Fraction was measured over
 }
 
-// Standing is how a request stands within its customer's share.
+// Standing is the position of a request relative to its customer's share.
 type Standing struct {
 	Within   bool
-	Resource string  // that runs shortest for it; "" for none
-	Demand   float64 // of that resource by its customer, in a second
-	Share    float64 // of that resource that its customer may have, in a second
+	Resource string  // resource on which the customer is over its share; "" for none
+	Demand   float64 // units of that resource per second that the customer demands
+	Share    float64 // units of that resource per second that the customer may use
 }
 
-// Options are the table's constants.
+// Options are the constants of an Allocator.
 type Options struct {
-	DemandWindow       time.Duration // over which what is asked for is averaged
-	UsageWindow        time.Duration // the same of what is usually served
-	ExcessRatio        float64       // times as much as the others, by their weights, that a customer asks for before it is held to its share
-	BurstTolerance     float64       // requests, over AskedFor, that may come together by chance
-	Burst              time.Duration // of a share that may be used at once
-	AllocationInterval time.Duration // between two times that a resource is parted anew
-	LearnInterval      time.Duration // the same for what is usual
-	MinLearned         time.Duration // of what is usual, from which it decides alone
-	MaxScarceLearning  time.Duration // that what is usual is learnt although more is asked for than there is, where nothing is known
-	MinReported        float64       // requests that told is of, from which it counts
-	MinAverage         float64       // averages below this, in units of a resource a second, are dropped
+	DemandWindow       time.Duration // averaging window of demand
+	UsageWindow        time.Duration // averaging window of usage
+	ExcessRatio        float64       // a customer is throttled when its demand per weight is this many times that of the others
+	BurstTolerance     float64       // requests within DemandWindow that may arrive together by chance
+	Burst              time.Duration // part of a share that may be used at once
+	AllocationInterval time.Duration // between two recomputations of the shares
+	LearnInterval      time.Duration // between two updates of usage
+	MinLearned         time.Duration // time of learning from which on learned usage replaces reports
+	MaxScarceLearning  time.Duration // limit on learning during scarcity when no usage is known
+	MinReported        float64       // requests that a report must cover to count
+	MinAverage         float64       // averages below this, in units of the resource, are dropped
 }
 
-// Standard returns the constants in use.
+// Standard returns the options used in production.
 func Standard() Options {
 	return Options{
 		DemandWindow:       time.Second,
@@ -75,79 +77,80 @@
 	}
 }
 
-// Table knows what customers ask for of some resources.
+// Allocator holds the customers' demand for a set of resources.
 type Allocator struct {
 	opts      Options
 	resources map[string]*resource
-	told      map[string]float64 // by customer: its usual part, as others tell it
+	reported  map[string]float64 // by customer: reported fraction of the usual load
 }
 
-// New returns a table that knows no resource.
+// New returns an allocator without resources.
 func New(opts Options) *Allocator {
-	return &Allocator{opts: opts, resources: make(map[string]*resource), told: make(map[string]float64)}
+	return &Allocator{opts: opts, resources: make(map[string]*resource), reported: make(map[string]float64)}
 }
 
-// Ask takes in a request and what it needs, and tells how it stands. Each request
-// counts as asked for, whatever becomes of it; one that is taken is told to Serve.
-func (t *Allocator) RecordDemand(now time.Duration, customer string, rank int, told UsageReport, needs []Need) Standing {
-	t.hear(customer, told)
+// RecordDemand counts a request and its needs and returns its standing. Each request
+// counts as demand, whether or not it is served; the caller passes those that are
+// served to RecordServed.
+func (t *Allocator) RecordDemand(now time.Duration, customer string, rank int, reported UsageReport, needs []Need) Standing {
+	t.recordReport(customer, reported)
 	out := Standing{Within: true}
 	for _, n := range needs {
 		r := t.resource(n.Resource)
 		r.capacity = n.Capacity
-		r.partIfDue(now)
+		r.allocateIfDue(now)
 		f := r.flow(customer)
-		f.of(rank).work += n.Work
+		f.atRank(rank).work += n.Work
 		r.requests++
-		if f.held() && !f.hasCredit(now, rank, &t.opts) {
-			out = Standing{Resource: n.Resource, Demand: f.asked() / t.opts.DemandWindow.Seconds(), Share: f.share}
+		if f.throttled() && !f.hasCredit(now, rank, &t.opts) {
+			out = Standing{Resource: n.Resource, Demand: f.demand() / t.opts.DemandWindow.Seconds(), Share: f.share}
 		}
 	}
 	return out
 }
 
-// hear takes in what is told of a customer.
-func (t *Allocator) hear(customer string, told UsageReport) {
-	if told.Requests < t.opts.MinReported {
+// recordReport averages the reports on a customer.
+func (t *Allocator) recordReport(customer string, reported UsageReport) {
+	if reported.Requests < t.opts.MinReported {
 		return
 	}
-	part, known := t.told[customer]
-	if !known && len(t.told) < mostTold {
-		part = told.Fraction
+	fraction, known := t.reported[customer]
+	if !known && len(t.reported) < maxReported {
+		fraction = reported.Fraction
 	}
-	if known || len(t.told) < mostTold {
-		t.told[customer] = part + toldRate*(told.Fraction-part)
+	if known || len(t.reported) < maxReported {
+		t.reported[customer] = fraction + reportGain*(reported.Fraction-fraction)
 	}
 }
 
 const (
-	mostTold = 1000 // customers; it matters for heavy ones alone, which ask first
-	toldRate = 0.1  // weight of the last word
+	maxReported = 1000 // customers; only large ones matter, and their reports tend to arrive first
+	reportGain  = 0.1  // weight of a new report in the moving average
 )
 
-// Serve counts a request as served within its customer's share.
+// RecordServed counts a request as served within its customer's share.
 func (t *Allocator) RecordServed(customer string, rank int, needs []Need) {
 	for _, n := range needs {
 		f := t.resource(n.Resource).flow(customer)
-		f.of(rank).credit -= n.Work
+		f.atRank(rank).credit -= n.Work
 		f.recent += n.Work
 	}
 }
 
-// Held returns the customers that ask for more of a resource than their share of
-// it, and that share, in a second.
+// Throttled returns the customers that demand more of a resource than their share, and
+// that share in units per second.
 func (t *Allocator) Throttled(now time.Duration, resource string) map[string]float64 {
 	r := t.resources[resource]
 	if r == nil {
 		return nil
 	}
-	r.partIfDue(now)
-	if !r.short {
+	r.allocateIfDue(now)
+	if !r.scarce {
 		return nil
 	}
 	out := make(map[string]float64)
 	for customer, f := range r.flows {
-		if f.held() {
+		if f.throttled() {
 			out[customer] = f.share
 		}
 	}
@@ -157,7 +160,7 @@
 func (t *Allocator) resource(name string) *resource {
 	r := t.resources[name]
 	if r == nil {
-		r = &resource{opts: &t.opts, told: t.told, flows: make(map[string]*flow)}
+		r = &resource{opts: &t.opts, reported: t.reported, flows: make(map[string]*flow)}
 		t.resources[name] = r
 	}
 	return r
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -12,131 +12,131 @@
 
 const ms = time.Millisecond
 
-// play has customers ask for so many requests a second of one resource, each of
-// them some work at a rank, and returns the part of them within shares.
-type play struct {
-	t     *Allocator
-	now   time.Duration
-	needs []Need
-	told  map[string]UsageReport
+// simulation sends requests of customers for one resource at constant rates. Its run
+// method returns the fraction of requests within their shares, by customer and rank.
+type simulation struct {
+	t        *Allocator
+	now      time.Duration
+	needs    []Need
+	reported map[string]UsageReport
 }
 
-func newPlay(work, capacity float64) *play {
-	return &play{t: New(Standard()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
+func newSimulation(work, capacity float64) *simulation {
+	return &simulation{t: New(Standard()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
 }
 
-// asks is how many requests a customer sends in a second.
-type asks struct {
-	customer string
-	rank     int
-	each     float64
+// traffic is the request rate of a customer at one rank.
+type traffic struct {
+	customer  string
+	rank      int
+	perSecond float64
 }
 
-func (p *play) run(d time.Duration, all ...asks) map[string]float64 {
+func (p *simulation) run(d time.Duration, all ...traffic) map[string]float64 {
 	const step = 10 * ms
-	asked, within := make(map[string]float64), make(map[string]float64)
+	sent, within := make(map[string]float64), make(map[string]float64)
 	due := make([]float64, len(all))
 	for end := p.now + d; p.now < end; p.now += step {
 		for i, a := range all {
-			for due[i] += a.each * step.Seconds(); due[i] >= 1; due[i]-- {
+			for due[i] += a.perSecond * step.Seconds(); due[i] >= 1; due[i]-- {
 				key := fmt.Sprint(a.customer, a.rank)
-				asked[key]++
-				if p.t.RecordDemand(p.now, a.customer, a.rank, p.told[a.customer], p.needs).Within {
+				sent[key]++
+				if p.t.RecordDemand(p.now, a.customer, a.rank, p.reported[a.customer], p.needs).Within {
 					within[key]++
 					p.t.RecordServed(a.customer, a.rank, p.needs)
 				}
 			}
 		}
 	}
-	for key := range asked {
-		within[key] /= asked[key]
+	for key := range sent {
+		within[key] /= sent[key]
 	}
 	return within
 }
 
-func TestACustomerAloneIsNotHeld(t *testing.T) {
+func TestASingleCustomerIsNotThrottled(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	is.Equal(p.run(10*time.Second, asks{"a", 0, 500})["a0"], 1.0)
+	p := newSimulation(0.1, 5)
+	is.Equal(p.run(10*time.Second, traffic{"a", 0, 500})["a0"], 1.0)
 }
 
-func TestWhoFloodsIsHeldToWhatTheOthersLeave(t *testing.T) {
+func TestAFloodIsThrottledToTheExcessCapacity(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5) // 50 requests a second
-	p.run(5*time.Second, asks{"a", 0, 15}, asks{"b", 0, 10}, asks{"c", 0, 5})
-	p.run(time.Second, asks{"a", 0, 135}, asks{"b", 0, 10}, asks{"c", 0, 5})
-	got := p.run(8*time.Second, asks{"a", 0, 135}, asks{"b", 0, 10}, asks{"c", 0, 5})
+	p := newSimulation(0.1, 5) // 50 requests per second
+	p.run(5*time.Second, traffic{"a", 0, 15}, traffic{"b", 0, 10}, traffic{"c", 0, 5})
+	p.run(time.Second, traffic{"a", 0, 135}, traffic{"b", 0, 10}, traffic{"c", 0, 5})
+	got := p.run(8*time.Second, traffic{"a", 0, 135}, traffic{"b", 0, 10}, traffic{"c", 0, 5})
 	is.Equal(got["b0"], 1.0)
 	is.Equal(got["c0"], 1.0)
-	is.True(math.Abs(got["a0"]*135-35) < 5) // all that b and c leave
+	is.True(math.Abs(got["a0"]*135-35) < 5) // gets all that b and c leave
 }
 
-func TestNobodyIsHeldWhereAllAskForMore(t *testing.T) {
+func TestNobodyIsThrottledWhenAllSendMore(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(5*time.Second, asks{"a", 0, 20}, asks{"b", 0, 10}, asks{"c", 0, 5})
-	got := p.run(8*time.Second, asks{"a", 0, 80}, asks{"b", 0, 40}, asks{"c", 0, 20})
+	p := newSimulation(0.1, 5)
+	p.run(5*time.Second, traffic{"a", 0, 20}, traffic{"b", 0, 10}, traffic{"c", 0, 5})
+	got := p.run(8*time.Second, traffic{"a", 0, 80}, traffic{"b", 0, 40}, traffic{"c", 0, 20})
 	is.Equal(got["a0"], 1.0)
 	is.Equal(got["b0"], 1.0)
 }
 
-// Requests of older builds and of routes that take anybody name no customer: they
-// are many customers', and held to nobody's share.
-func TestRequestsWithoutACustomerAreNotHeld(t *testing.T) {
+// Requests from older builds and on routes without authentication carry no customer.
+// They belong to many customers and are not throttled.
+func TestAnonymousRequestsAreNotThrottled(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(2*time.Second, asks{"a", 0, 10}, asks{"b", 0, 10})
-	got := p.run(5*time.Second, asks{"", 0, 100}, asks{"a", 0, 10}, asks{"b", 0, 10})
+	p := newSimulation(0.1, 5)
+	p.run(2*time.Second, traffic{"a", 0, 10}, traffic{"b", 0, 10})
+	got := p.run(5*time.Second, traffic{"", 0, 100}, traffic{"a", 0, 10}, traffic{"b", 0, 10})
 	is.Equal(got["0"], 1.0)
 	is.Equal(got["a0"], 1.0)
 }
 
-func TestTwoThatFloodAreHeld(t *testing.T) {
+func TestTwoFloodsAreThrottled(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(5*time.Second, asks{"a", 0, 15}, asks{"b", 0, 5}, asks{"c", 0, 8})
-	p.run(time.Second, asks{"a", 0, 135}, asks{"b", 0, 45}, asks{"c", 0, 8})
-	got := p.run(8*time.Second, asks{"a", 0, 135}, asks{"b", 0, 45}, asks{"c", 0, 8})
+	p := newSimulation(0.1, 5)
+	p.run(5*time.Second, traffic{"a", 0, 15}, traffic{"b", 0, 5}, traffic{"c", 0, 8})
+	p.run(time.Second, traffic{"a", 0, 135}, traffic{"b", 0, 45}, traffic{"c", 0, 8})
+	got := p.run(8*time.Second, traffic{"a", 0, 135}, traffic{"b", 0, 45}, traffic{"c", 0, 8})
 	is.Equal(got["c0"], 1.0)
 	is.True(got["a0"] < 0.3)
 	is.True(got["b0"] < 0.6)
-	is.True(got["b0"]*45 > 10) // it has an equal part at least
+	is.True(got["b0"]*45 > 10) // it gets at least an equal part
 }
 
-func TestTheMostUrgentOfACustomerComesFirst(t *testing.T) {
+func TestUrgentRequestsOfACustomerGoFirst(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(5*time.Second, asks{"a", 0, 10}, asks{"a", 1, 10}, asks{"b", 5, 10})
-	p.run(2*time.Second, asks{"a", 0, 30}, asks{"a", 1, 100}, asks{"b", 5, 10})
-	got := p.run(8*time.Second, asks{"a", 0, 30}, asks{"a", 1, 100}, asks{"b", 5, 10})
+	p := newSimulation(0.1, 5)
+	p.run(5*time.Second, traffic{"a", 0, 10}, traffic{"a", 1, 10}, traffic{"b", 5, 10})
+	p.run(2*time.Second, traffic{"a", 0, 30}, traffic{"a", 1, 100}, traffic{"b", 5, 10})
+	got := p.run(8*time.Second, traffic{"a", 0, 30}, traffic{"a", 1, 100}, traffic{"b", 5, 10})
 	is.Equal(got["a0"], 1.0)
 	is.True(math.Abs(got["a1"]*100-10) < 4)
-	is.Equal(got["b5"], 1.0) // less urgent, and within its share
+	is.Equal(got["b5"], 1.0) // less urgent, but within its share
 }
 
-// Two seconds after a flood what is usual is within the share again, also what is
-// less urgent.
-func TestAFloodThatEndsIsForgotten(t *testing.T) {
+// Two seconds after a flood, the customer's usual load is within its share again, its
+// less urgent requests included.
+func TestAThrottleEndsSoonAfterTheFlood(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	usual := []asks{{"a", 0, 10}, {"a", 1, 5}, {"b", 0, 10}}
+	p := newSimulation(0.1, 5)
+	usual := []traffic{{"a", 0, 10}, {"a", 1, 5}, {"b", 0, 10}}
 	p.run(5*time.Second, usual...)
-	p.run(8*time.Second, asks{"a", 0, 90}, asks{"a", 1, 45}, asks{"b", 0, 10})
+	p.run(8*time.Second, traffic{"a", 0, 90}, traffic{"a", 1, 45}, traffic{"b", 0, 10})
 	p.run(2*time.Second, usual...)
 	got := p.run(time.Second, usual...)
 	is.Equal(got["a0"], 1.0)
 	is.Equal(got["a1"], 1.0)
 }
 
-// A flood of a minute does not become what is usual: once the others need more, who
-// floods is held to about what it had before.
-func TestALongFloodIsNotUsual(t *testing.T) {
+// A flood of a minute does not become the usual load: once the others demand more, the
+// flooding customer is throttled to about what it used before.
+func TestALongFloodDoesNotRaiseTheShare(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 6) // 60 requests a second
-	load := func(flood, others float64) []asks {
-		all := []asks{{"a", 0, flood}}
+	p := newSimulation(0.1, 6) // 60 requests per second
+	load := func(flood, others float64) []traffic {
+		all := []traffic{{"a", 0, flood}}
 		for i := range 39 {
-			all = append(all, asks{fmt.Sprint("b", i), 0, others})
+			all = append(all, traffic{fmt.Sprint("b", i), 0, others})
 		}
 		return all
 	}
@@ -148,57 +148,57 @@
 	is.Equal(got["b00"], 1.0)
 }
 
-// An owner that has just begun holds a flood within the first second by what those
-// who take requests in tell of what is usual.
-func TestANewTableGivesAFloodNoFreshAllowance(t *testing.T) {
+// A new owner throttles a flood within the first second, using the reports of the
+// instances that accept requests.
+func TestANewAllocatorThrottlesAFloodAtOnce(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.told = map[string]UsageReport{"a": {0.5, 600}, "b": {0.35, 600}, "c": {0.15, 600}}
-	all := []asks{{"a", 0, 135}, {"b", 0, 10}, {"c", 0, 5}}
+	p := newSimulation(0.1, 5)
+	p.reported = map[string]UsageReport{"a": {0.5, 600}, "b": {0.35, 600}, "c": {0.15, 600}}
+	all := []traffic{{"a", 0, 135}, {"b", 0, 10}, {"c", 0, 5}}
 	first := p.run(time.Second, all...)
 	is.Equal(first["b0"], 1.0)
 	is.Equal(first["c0"], 1.0)
-	is.True(first["a0"]*135 < 2*35) // at most what a second more of its share would be
+	is.True(first["a0"]*135 < 2*35) // at most one additional second of its share
 	then := p.run(5*time.Second, all...)
 	is.Equal(then["b0"], 1.0)
 	is.True(math.Abs(then["a0"]*135-35) < 5)
 }
 
-// After a start of all nobody knows what is usual: a large customer is not taken for
-// one that floods.
-func TestALargeCustomerIsNotHeldWhereNobodyKnowsWhatIsUsual(t *testing.T) {
+// After a restart of all instances no usage is known, and a large customer must not be
+// mistaken for a flood.
+func TestNobodyIsThrottledWithoutUsageData(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.told = map[string]UsageReport{"a": {1, 3}} // as good as nothing
-	got := p.run(8*time.Second, asks{"a", 0, 60}, asks{"b", 0, 10}, asks{"c", 0, 5}, asks{"d", 0, 5})
+	p := newSimulation(0.1, 5)
+	p.reported = map[string]UsageReport{"a": {1, 3}} // covers too few requests to count
+	got := p.run(8*time.Second, traffic{"a", 0, 60}, traffic{"b", 0, 10}, traffic{"c", 0, 5}, traffic{"d", 0, 5})
 	is.Equal(got["a0"], 1.0)
 	is.Equal(got["b0"], 1.0)
 }
 
-func TestNothingIsSavedUp(t *testing.T) {
+func TestUnusedSharesDoNotAccumulate(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(time.Minute, asks{"a", 0, 0.1}, asks{"b", 0, 20})
-	p.run(500*ms, asks{"a", 0, 400}, asks{"b", 0, 20})
-	got := p.run(4*time.Second, asks{"a", 0, 400}, asks{"b", 0, 20})
+	p := newSimulation(0.1, 5)
+	p.run(time.Minute, traffic{"a", 0, 0.1}, traffic{"b", 0, 20})
+	p.run(500*ms, traffic{"a", 0, 400}, traffic{"b", 0, 20})
+	got := p.run(4*time.Second, traffic{"a", 0, 400}, traffic{"b", 0, 20})
 	is.Equal(got["b0"], 1.0)
 	is.True(math.Abs(got["a0"]*400-30) < 10)
 }
 
-func TestNobodyIsHeldOnceNobodyAsks(t *testing.T) {
+func TestThrottlingEndsWithoutDemand(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.1, 5)
-	p.run(5*time.Second, asks{"a", 0, 15}, asks{"b", 0, 10})
-	p.run(5*time.Second, asks{"a", 0, 450}, asks{"b", 0, 10})
+	p := newSimulation(0.1, 5)
+	p.run(5*time.Second, traffic{"a", 0, 15}, traffic{"b", 0, 10})
+	p.run(5*time.Second, traffic{"a", 0, 450}, traffic{"b", 0, 10})
 	is.True(p.t.Throttled(p.now, "pool")["a"] > 0)
 	is.Equal(len(p.t.Throttled(p.now+20*time.Second, "pool")), 0)
 	is.Equal(len(p.t.Throttled(0, "another")), 0)
 }
 
-// Customers by the thousand cost what those do that are active.
-func TestCustomersThatAreGoneAreForgotten(t *testing.T) {
+// Inactive customers use no memory.
+func TestInactiveCustomersAreRemoved(t *testing.T) {
 	is := is.New(t)
-	p := newPlay(0.01, 5)
+	p := newSimulation(0.01, 5)
 	for i := range 5400 {
 		p.t.RecordDemand(time.Duration(i)*100*time.Microsecond, fmt.Sprint("customer-", i), 0, UsageReport{}, p.needs)
 	}
@@ -210,11 +210,11 @@
 	is.Equal(len(p.t.resources["pool"].flows), 1)
 }
 
-// Whatever customers ask for: no share is negative or no number, those that are
-// held have no more than there is together, and who is alone is not held.
-func TestSharesInAnyOrder(t *testing.T) {
+// In any order of events, no share is negative or NaN, throttled customers together get
+// no more than the capacity, and a single customer is not throttled.
+func TestSharesAreValidInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(Standard())
+		allocator := New(Standard())
 		now := time.Duration(0)
 		names := []string{"", "a", "b", "\x00\xff", "d"}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -224,20 +224,20 @@
 				{Resource: "x", Work: rapid.SampledFrom([]float64{0, 1e-9, 0.1, 40}).Draw(t, "work"), Capacity: capacity},
 				{Resource: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "other"), Work: 0.3, Capacity: 5},
 			}
-			told := UsageReport{Fraction: rapid.Float64Range(0, 1).Draw(t, "part"), Requests: rapid.Float64Range(0, 100).Draw(t, "of")}
+			reported := UsageReport{Fraction: rapid.Float64Range(0, 1).Draw(t, "part"), Requests: rapid.Float64Range(0, 100).Draw(t, "of")}
 			customer, rank := rapid.SampledFrom(names).Draw(t, "customer"), rapid.IntRange(-1, 3).Draw(t, "rank")
-			if table.RecordDemand(now, customer, rank, told, needs).Within {
-				table.RecordServed(customer, rank, needs)
+			if allocator.RecordDemand(now, customer, rank, reported, needs).Within {
+				allocator.RecordServed(customer, rank, needs)
 			}
 			sum := 0.0
-			for name, share := range table.Throttled(now, "y") {
+			for name, share := range allocator.Throttled(now, "y") {
 				if !(share >= 0) {
-					t.Fatalf("%q has %v", name, share)
+					t.Fatalf("customer %q has share %v", name, share)
 				}
 				sum += share
 			}
 			if sum > 5*1.000001 {
-				t.Fatalf("%v of 5 are parted", sum)
+				t.Fatalf("%v of a capacity of 5 are allocated", sum)
 			}
 		}
 	})
