--- a/cmd/coord/owner.go
+++ b/cmd/coord/owner.go
@@ -69,14 +69,14 @@
 		ask := o.ask(name, b.Ask)
 		if b.Ask.GetAnnounce() {
 			if !o.coord.slots.Announce(b.Ask.GetService(), ask, convert.FromMicros(b.Ask.GetReadyUs())) {
-				o.deliver(b.Ask.GetService(), scheduler.Action{Ask: ask.ID, Holder: name, Reason: scheduler.NoReplica})
+				o.deliver(b.Ask.GetService(), scheduler.Action{Task: ask.ID, Holder: name, Reason: scheduler.NoReplica})
 			}
 			return
 		}
 		known, answered := o.coord.slots.Ask(b.Ask.GetService(), ask)
 		switch {
 		case !known:
-			o.deliver(b.Ask.GetService(), scheduler.Action{Ask: ask.ID, Holder: name, Reason: scheduler.NoReplica})
+			o.deliver(b.Ask.GetService(), scheduler.Action{Task: ask.ID, Holder: name, Reason: scheduler.NoReplica})
 		case !answered:
 			h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Queued{Queued: &pb.Queued{Id: ask.ID}}})
 		}
@@ -88,14 +88,14 @@
 	}
 }
 
-func (o *owner) ask(name string, a *pb.Ask) scheduler.Ask {
-	return scheduler.Ask{
+func (o *owner) ask(name string, a *pb.Ask) scheduler.Task {
+	return scheduler.Task{
 		ID: a.GetId(), Holder: name, Customer: a.GetCustomer(), Weight: int(a.GetWeight()),
-		Class:    fleet.Class(a.GetClass()),
-		Deadline: o.coord.slots.Now() + convert.FromMicros(a.GetLeftUs()),
-		Rest:     convert.FromMicros(a.GetRestUs()),
-		Expect:   convert.FromMicros(a.GetExpectUs()),
-		Avoid:    a.GetAvoid(),
+		Class:     fleet.Class(a.GetClass()),
+		Deadline:  o.coord.slots.Now() + convert.FromMicros(a.GetLeftUs()),
+		Remaining: convert.FromMicros(a.GetRestUs()),
+		Expected:  convert.FromMicros(a.GetExpectUs()),
+		Avoid:     a.GetAvoid(),
 	}
 }
 
@@ -106,19 +106,19 @@
 		return
 	}
 	if a.Admitted {
-		h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Admit{Admit: &pb.Admit{Id: a.Ask}}})
+		h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Admit{Admit: &pb.Admit{Id: a.Task}}})
 		return
 	}
 	if a.Granted() {
 		o.coord.count.grants.Inc(1)
 		h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Grant{
-			Grant: &pb.Grant{Id: a.Ask, Permit: a.Permit, Replica: a.Replica},
+			Grant: &pb.Grant{Id: a.Task, Permit: a.Permit, Replica: a.Replica},
 		}})
 		return
 	}
 	o.coord.count.refusals.Inc(1)
 	h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Refuse{
-		Refuse: &pb.Refuse{Id: a.Ask, Reason: string(a.Reason), RetryAfterUs: convert.Micros(a.RetryAfter)},
+		Refuse: &pb.Refuse{Id: a.Task, Reason: string(a.Reason), RetryAfterUs: convert.Micros(a.RetryAfter)},
 	}})
 }
 
--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -75,10 +75,10 @@
 	return fail
 }
 
-func (s *stageRun) ask() scheduler.Ask {
-	return scheduler.Ask{
+func (s *stageRun) ask() scheduler.Task {
+	return scheduler.Task{
 		Customer: s.customer.Name, Weight: s.customer.Weight, Class: s.class,
-		Rest: s.rest, Expect: s.est.mean(len(s.input)), Avoid: s.avoid,
+		Remaining: s.rest, Expected: s.est.mean(len(s.input)), Avoid: s.avoid,
 	}
 }
 
--- a/cmd/entry/booking.go
+++ b/cmd/entry/booking.go
@@ -21,7 +21,7 @@
 }
 
 // book announces a stage; settle waits for the answer.
-func (c *slotClient) book(service string, a scheduler.Ask, ready, left time.Duration) *booking {
+func (c *slotClient) book(service string, a scheduler.Task, ready, left time.Duration) *booking {
 	a.ID = c.nextID.Add(1)
 	b := &booking{service: service, id: a.ID, owner: c.ownerOf(service)}
 	if b.owner != nil {
@@ -77,9 +77,9 @@
 		st := &r.pipeline.Stages[i]
 		expect := e.estimate(r.pipeline, st).mean(len(r.input))
 		if i > 0 && float64(expect) >= bookShare*float64(total) {
-			a := scheduler.Ask{
+			a := scheduler.Task{
 				Customer: r.customer.Name, Weight: r.customer.Weight, Class: r.class,
-				Rest: e.expectFrom(r, i+1), Expect: expect,
+				Remaining: e.expectFrom(r, i+1), Expected: expect,
 			}
 			r.bookings[i] = e.slots.book(st.Service, a, ready, r.left())
 		}
--- a/cmd/entry/owner.go
+++ b/cmd/entry/owner.go
@@ -77,14 +77,14 @@
 		}
 	case *pb.PermitFrame_Admit:
 		if ch, ok := o.waiting.Take(b.Admit.GetId()); ok {
-			ch <- slotAnswer{from: o, Action: scheduler.Action{Ask: b.Admit.GetId(), Admitted: true}}
+			ch <- slotAnswer{from: o, Action: scheduler.Action{Task: b.Admit.GetId(), Admitted: true}}
 		}
 	case *pb.PermitFrame_Grant:
 		ch, ok := o.waiting.Take(b.Grant.GetId())
 		if !ok { // given up meanwhile: the owner hears so from the cancel
 			return
 		}
-		ch <- slotAnswer{from: o, Action: scheduler.Action{Ask: b.Grant.GetId(), Permit: b.Grant.GetPermit(), Replica: b.Grant.GetReplica()}}
+		ch <- slotAnswer{from: o, Action: scheduler.Action{Task: b.Grant.GetId(), Permit: b.Grant.GetPermit(), Replica: b.Grant.GetReplica()}}
 	case *pb.PermitFrame_Refuse:
 		if ch, ok := o.waiting.Take(b.Refuse.GetId()); ok {
 			ch <- slotAnswer{from: o, Action: scheduler.Action{
--- a/cmd/entry/slots.go
+++ b/cmd/entry/slots.go
@@ -84,7 +84,7 @@
 
 // acquire waits for a slot of the service, a refusal, or the deadline. b is the
 // booking of the stage, nil without one.
-func (c *slotClient) acquire(service string, a scheduler.Ask, left time.Duration, b *booking) (*slot, scheduler.Action) {
+func (c *slotClient) acquire(service string, a scheduler.Task, left time.Duration, b *booking) (*slot, scheduler.Action) {
 	a.ID = c.nextID.Add(1)
 	if b != nil {
 		a.ID = b.id
@@ -107,7 +107,7 @@
 	return c.owner(c.entry.view.Load().owners[service])
 }
 
-func (c *slotClient) fromLocal(service string, a scheduler.Ask, left time.Duration) (*slot, scheduler.Action) {
+func (c *slotClient) fromLocal(service string, a scheduler.Task, left time.Duration) (*slot, scheduler.Action) {
 	ch := make(chan slotAnswer, 1)
 	a.Deadline = c.local.Now() + left
 	c.waiting.Put(a.ID, ch)
@@ -122,7 +122,7 @@
 		return c.granted(service, ans)
 	case <-t.C: // without shedding nothing else ends the wait
 		c.local.Cancel(service, a.ID, a.Holder)
-		return nil, scheduler.Action{Reason: scheduler.Doomed}
+		return nil, scheduler.Action{Reason: scheduler.TooLate}
 	}
 }
 
@@ -146,14 +146,14 @@
 }
 
 func (c *slotClient) deliverLocal(_ string, a scheduler.Action) {
-	if ch, ok := c.waiting.Get(a.Ask); ok {
+	if ch, ok := c.waiting.Get(a.Task); ok {
 		ch <- slotAnswer{Action: a}
 	}
 }
 
 // fromOwner asks the owner; ok is false when it is silent or gone, and the
 // local scheduler has to decide.
-func (c *slotClient) fromOwner(o *ownerStream, service string, a scheduler.Ask, left time.Duration) (*slot, scheduler.Action, bool) {
+func (c *slotClient) fromOwner(o *ownerStream, service string, a scheduler.Task, left time.Duration) (*slot, scheduler.Action, bool) {
 	ch := o.ask(askFrame(service, &a, left), a.ID)
 	patience := time.NewTimer(min(ownerPatience, left))
 	defer patience.Stop()
@@ -178,14 +178,14 @@
 			return nil, scheduler.Action{}, false
 		case <-end.C:
 			o.giveUp(service, a.ID)
-			return nil, scheduler.Action{Reason: scheduler.Doomed}, true
+			return nil, scheduler.Action{Reason: scheduler.TooLate}, true
 		}
 	}
 }
 
-func askFrame(service string, a *scheduler.Ask, left time.Duration) *pb.Ask {
+func askFrame(service string, a *scheduler.Task, left time.Duration) *pb.Ask {
 	return &pb.Ask{
 		Id: a.ID, Service: service, Customer: a.Customer, Weight: uint32(a.Weight), Class: uint32(a.Class),
-		LeftUs: convert.Micros(left), RestUs: convert.Micros(a.Rest), ExpectUs: convert.Micros(a.Expect), Avoid: a.Avoid,
+		LeftUs: convert.Micros(left), RestUs: convert.Micros(a.Remaining), ExpectUs: convert.Micros(a.Expected), Avoid: a.Avoid,
 	}
 }
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -88,11 +88,11 @@
 
 // Ask passes an ask on. It tells whether the service is known here, and
 // whether the ask has its answer already; else it waits in the queue.
-func (h *Host) Ask(name string, a scheduler.Ask) (known, answered bool) {
+func (h *Host) Ask(name string, a scheduler.Task) (known, answered bool) {
 	known = h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
-		actions := s.Ask(now, a)
+		actions := s.Submit(now, a)
 		for _, x := range actions {
-			answered = answered || (x.Ask == a.ID && x.Holder == a.Holder)
+			answered = answered || (x.Task == a.ID && x.Holder == a.Holder)
 		}
 		return actions
 	})
@@ -101,14 +101,14 @@
 
 // Announce passes an announcement on; its answer comes at once. False when the
 // service is not known here.
-func (h *Host) Announce(name string, a scheduler.Ask, ready time.Duration) bool {
+func (h *Host) Announce(name string, a scheduler.Task, ready time.Duration) bool {
 	return h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action { return s.Announce(now, a, ready) })
 }
 
 // Done returns a permit's slot; took of zero means that it was not used.
 func (h *Host) Done(name string, permit uint64, took time.Duration, failed bool) {
 	h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
-		return s.Done(now, permit, took, failed)
+		return s.Release(now, permit, took, failed)
 	})
 }
 
--- a/coordination/scheduler/bench_test.go
+++ b/coordination/scheduler/bench_test.go
@@ -21,13 +21,13 @@
 				id := uint64(0)
 				for range n * slots * 9 / 10 {
 					id++
-					out = append(out, s.Ask(0, ask(id, "c", fleet.Normal, time.Hour))...)
+					out = append(out, s.Submit(0, ask(id, "c", fleet.Normal, time.Hour))...)
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					id++
-					s.Done(0, out[i%len(out)].Permit, 10*time.Millisecond, false)
-					out[i%len(out)] = s.Ask(0, ask(id, "c", fleet.Normal, time.Hour))[0]
+					s.Release(0, out[i%len(out)].Permit, 10*time.Millisecond, false)
+					out[i%len(out)] = s.Submit(0, ask(id, "c", fleet.Normal, time.Hour))[0]
 				}
 			})
 		}
@@ -42,10 +42,10 @@
 			s := New(1, Shed(0))
 			s.SetReplicas(0, replicasOf(1, 1))
 			id := uint64(1)
-			permit := s.Ask(0, ask(id, "c0", fleet.Normal, time.Hour))[0].Permit
+			permit := s.Submit(0, ask(id, "c0", fleet.Normal, time.Hour))[0].Permit
 			for range 4 * customers {
 				id++
-				s.Ask(0, ask(id, fmt.Sprint("c", int(id)%customers), fleet.Normal, time.Hour))
+				s.Submit(0, ask(id, fmt.Sprint("c", int(id)%customers), fleet.Normal, time.Hour))
 			}
 			names := make([]string, customers)
 			for i := range names {
@@ -54,8 +54,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				s.Ask(0, ask(id, names[id%uint64(customers)], fleet.Normal, time.Hour))
-				permit = s.Done(0, permit, time.Millisecond, false)[0].Permit
+				s.Submit(0, ask(id, names[id%uint64(customers)], fleet.Normal, time.Hour))
+				permit = s.Release(0, permit, time.Millisecond, false)[0].Permit
 			}
 		})
 	}
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -19,14 +19,14 @@
 
 // Options are a scheduler's settings.
 type Options struct {
-	Policy    Policy
-	Shed      float64       // give up a queued ask once slack < Shed x expected time; 0 never
-	ComeBack  time.Duration // least time a refused caller is told to wait
-	EjectFor  time.Duration // how long a failing replica gets nothing
-	ProbeGap  time.Duration // between tries of a slow replica
-	SlowRatio float64       // a replica this many times slower than the service is slow; 0 never
-	RampUp    time.Duration // slow start of a replica that appears later
-	Share     float64       // of all slots that this scheduler may fill; 1 for an owner
+	Policy        Policy
+	Shed          float64       // give up a queued ask once slack < Shed x expected time; 0 never
+	MinRetryAfter time.Duration // least time a refused caller is told to wait
+	EjectionTime  time.Duration // how long a failing replica gets nothing
+	ProbeInterval time.Duration // between tries of a slow replica
+	SlowRatio     float64       // a replica this many times slower than the service is slow; 0 never
+	SlowStart     time.Duration // slow start of a replica that appears later
+	Share         float64       // of all slots that this scheduler may fill; 1 for an owner
 }
 
 // Option sets one of the Options.
@@ -34,14 +34,14 @@
 
 func newOptions(opts []Option) Options {
 	o := Options{
-		Policy:    Exact,
-		Shed:      2,
-		ComeBack:  100 * time.Millisecond,
-		EjectFor:  5 * time.Second,
-		ProbeGap:  2 * time.Second,
-		SlowRatio: 3,
-		RampUp:    3 * time.Second,
-		Share:     1,
+		Policy:        Exact,
+		Shed:          2,
+		MinRetryAfter: 100 * time.Millisecond,
+		EjectionTime:  5 * time.Second,
+		ProbeInterval: 2 * time.Second,
+		SlowRatio:     3,
+		SlowStart:     3 * time.Second,
+		Share:         1,
 	}
 	for _, f := range opts {
 		f(&o)
--- a/coordination/scheduler/pool.go
+++ b/coordination/scheduler/pool.go
@@ -98,7 +98,7 @@
 func (p *pool) take(now time.Duration, r *replica, o Options) {
 	r.inflight++
 	if r.isSlow(p, o) {
-		r.probeAt = now + o.ProbeGap
+		r.probeAt = now + o.ProbeInterval
 	}
 	p.rate(now, r, o)
 }
@@ -110,7 +110,7 @@
 	if failed {
 		r.failures++
 		if r.failures >= ejectAfter {
-			r.ejectedTil = now + o.EjectFor
+			r.ejectedTil = now + o.EjectionTime
 		}
 	} else {
 		r.failures = 0
@@ -173,8 +173,8 @@
 		if now >= r.probeAt && r.inflight == 0 {
 			r.room = 1
 		}
-	case r.fresh && now < r.addedAt+o.RampUp:
-		part := float64(now-r.addedAt) / float64(o.RampUp)
+	case r.fresh && now < r.addedAt+o.SlowStart:
+		part := float64(now-r.addedAt) / float64(o.SlowStart)
 		r.room = max(1, int(part*float64(r.slots)))
 	}
 	p.rekey(r)
@@ -249,16 +249,16 @@
 type ReplicaStats struct {
 	ID       string  `json:"id"`
 	Slots    int     `json:"slots"`
-	Room     int     `json:"room"`
+	Capacity int     `json:"room"`
 	Inflight int     `json:"inflight"`
-	Slow     float64 `json:"slow"`
+	Slowness float64 `json:"slow"`
 	Late     int     `json:"late"`
 }
 
 func (p *pool) stats() []ReplicaStats {
 	out := make([]ReplicaStats, 0, len(p.list))
 	for _, r := range p.list {
-		out = append(out, ReplicaStats{ID: r.id, Slots: r.slots, Room: r.room, Inflight: r.inflight, Slow: r.slow, Late: r.late})
+		out = append(out, ReplicaStats{ID: r.id, Slots: r.slots, Capacity: r.room, Inflight: r.inflight, Slowness: r.slow, Late: r.late})
 	}
 	return out
 }
--- a/coordination/scheduler/queue.go
+++ b/coordination/scheduler/queue.go
@@ -25,7 +25,7 @@
 }
 
 type item struct {
-	ask    *Ask
+	ask    *Task
 	dropAt time.Duration
 	gone   bool // popped or cancelled; heaps skip it
 }
@@ -61,11 +61,11 @@
 
 func (q *queue) len() int { return len(q.byID) }
 
-func (q *queue) class(a *Ask) *classQueue {
+func (q *queue) class(a *Task) *classQueue {
 	return &q.classes[min(max(int(a.Class), 0), classes-1)]
 }
 
-func (q *queue) push(a *Ask, dropAt time.Duration) {
+func (q *queue) push(a *Task, dropAt time.Duration) {
 	it := &item{ask: a, dropAt: dropAt}
 	q.byID[askKey{a.Holder, a.ID}] = it
 	heap.Push(&q.doomed, it)
@@ -73,7 +73,7 @@
 }
 
 // pop returns the ask to run next, or nil.
-func (q *queue) pop() *Ask {
+func (q *queue) pop() *Task {
 	for i := range q.classes {
 		if it := q.classes[i].pop(); it != nil {
 			q.forget(it)
@@ -84,7 +84,7 @@
 }
 
 // popDoomed returns an ask that must be given up by now, or nil.
-func (q *queue) popDoomed(now time.Duration) *Ask {
+func (q *queue) popDoomed(now time.Duration) *Task {
 	for len(q.doomed) > 0 && (q.doomed[0].gone || q.doomed[0].dropAt < now) {
 		it := heap.Pop(&q.doomed).(*item)
 		if it.gone {
@@ -107,7 +107,7 @@
 }
 
 // announce counts an ask that will come.
-func (q *queue) announce(a *Ask) {
+func (q *queue) announce(a *Task) {
 	it := &item{ask: a, dropAt: a.Deadline}
 	q.coming[askKey{a.Holder, a.ID}] = it
 	heap.Push(&q.late, it)
@@ -118,7 +118,7 @@
 }
 
 // arrive ends an announcement; false when there was none.
-func (q *queue) arrive(a *Ask) bool {
+func (q *queue) arrive(a *Task) bool {
 	key := askKey{a.Holder, a.ID}
 	it, ok := q.coming[key]
 	if !ok {
@@ -170,7 +170,7 @@
 // ahead estimates how many asks run before a, were it queued now: those of
 // higher classes, and in its own class what its fair share lets through first.
 // Announced ones count as if they were queued.
-func (q *queue) ahead(a *Ask) int {
+func (q *queue) ahead(a *Task) int {
 	n := 0
 	for i := 0; i < min(int(a.Class), classes); i++ {
 		n += q.classes[i].n + q.classes[i].coming
@@ -188,7 +188,7 @@
 }
 
 // flow returns the customer's flow, which counts as active from here on.
-func (c *classQueue) flow(a *Ask) *flow {
+func (c *classQueue) flow(a *Task) *flow {
 	f, ok := c.flows[a.Customer]
 	if !ok {
 		f = &flow{customer: a.Customer, index: -1}
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -17,21 +17,21 @@
 )
 
 // Ask is one stage of one request waiting for a slot.
-type Ask struct {
-	ID       uint64
-	Holder   string // who asks; its permits end when it is gone
-	Customer string
-	Weight   int
-	Class    fleet.Class
-	Deadline time.Duration // of the whole request, on the scheduler's clock
-	Rest     time.Duration // expected for the stages after this one
-	Expect   time.Duration // expected for this stage
-	Avoid    []string      // replicas that failed this stage before
+type Task struct {
+	ID        uint64
+	Holder    string // who asks; its permits end when it is gone
+	Customer  string
+	Weight    int
+	Class     fleet.Class
+	Deadline  time.Duration // of the whole request, on the scheduler's clock
+	Remaining time.Duration // expected for the stages after this one
+	Expected  time.Duration // expected for this stage
+	Avoid     []string      // replicas that failed this stage before
 }
 
 // slack is what would be left if the stage started now.
-func (a *Ask) slack(now time.Duration) time.Duration {
-	return a.Deadline - a.Rest - now
+func (a *Task) slack(now time.Duration) time.Duration {
+	return a.Deadline - a.Remaining - now
 }
 
 // Reason is why an ask was refused.
@@ -40,14 +40,14 @@
 // The reasons.
 const (
 	Overload  Reason = "overload"    // the queue is too long for its deadline
-	Doomed    Reason = "doomed"      // waited until it could no longer be whole in time
+	TooLate   Reason = "doomed"      // waited until it could no longer be whole in time
 	NoReplica Reason = "no_replicas" // the service has none that takes work
 )
 
 // Action is what the owner of the scheduler must tell a holder: a grant when
 // Replica is set, that an announcement is admitted, else a refusal.
 type Action struct {
-	Ask        uint64
+	Task       uint64
 	Holder     string
 	Permit     uint64
 	Replica    string
@@ -109,11 +109,11 @@
 }
 
 // Ask takes in a stage: it is granted, refused at once, or queued.
-func (s *Scheduler) Ask(now time.Duration, a Ask) []Action {
+func (s *Scheduler) Submit(now time.Duration, a Task) []Action {
 	s.out = nil
 	s.wake(now)
 	if s.pool.len() == 0 {
-		s.refuse(&a, NoReplica, s.opts.ComeBack)
+		s.refuse(&a, NoReplica, s.opts.MinRetryAfter)
 		return s.out
 	}
 	wait := s.expectWait(&a, 0)
@@ -131,11 +131,11 @@
 // Announce takes in a stage that a request will ask for once its earlier
 // stages are done, after about ready. It is admitted and counted from now on,
 // or refused while nothing of the request has run.
-func (s *Scheduler) Announce(now time.Duration, a Ask, ready time.Duration) []Action {
+func (s *Scheduler) Announce(now time.Duration, a Task, ready time.Duration) []Action {
 	s.out = nil
 	s.wake(now)
 	if s.pool.len() == 0 {
-		s.refuse(&a, NoReplica, s.opts.ComeBack)
+		s.refuse(&a, NoReplica, s.opts.MinRetryAfter)
 		return s.out
 	}
 	at := a // its slack counts from when it will be ready
@@ -144,13 +144,13 @@
 		return s.out
 	}
 	s.queue.announce(&a)
-	s.out = append(s.out, Action{Ask: a.ID, Holder: a.Holder, Admitted: true})
+	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Admitted: true})
 	return s.out
 }
 
 // hopeless refuses an ask that can't be whole in time even if all goes as expected.
-func (s *Scheduler) hopeless(now time.Duration, a *Ask, wait time.Duration) bool {
-	need := a.Expect
+func (s *Scheduler) hopeless(now time.Duration, a *Task, wait time.Duration) bool {
+	need := a.Expected
 	if wait > 0 {
 		need = s.margin(now, a) + time.Duration(waitMargin*float64(wait))
 	}
@@ -160,21 +160,21 @@
 	}
 	reason := Overload
 	if wait == 0 {
-		reason = Doomed
+		reason = TooLate
 	}
-	s.refuse(a, reason, max(wait, s.opts.ComeBack))
+	s.refuse(a, reason, max(wait, s.opts.MinRetryAfter))
 	return true
 }
 
 // expectWait is how long the ask would queue, were it ready after that time:
 // all slots together end one request every mean/slots.
-func (s *Scheduler) expectWait(a *Ask, ready time.Duration) time.Duration {
+func (s *Scheduler) expectWait(a *Task, ready time.Duration) time.Duration {
 	slots := s.slots()
 	first := len(s.permits) + s.queue.ahead(a) + 1 - slots // must end before it starts
 	if slots == 0 || first <= 0 {
 		return 0
 	}
-	took := max(s.meanTook, float64(a.Expect)/4)
+	took := max(s.meanTook, float64(a.Expected)/4)
 	return max(time.Duration(float64(first)/float64(slots)*took)-ready, 0)
 }
 
@@ -191,18 +191,18 @@
 
 // margin is the slack that an ask which waits must have left when it starts:
 // Shed times its expected time, but never so much that none could wait.
-func (s *Scheduler) margin(now time.Duration, a *Ask) time.Duration {
-	m := s.opts.Shed * float64(a.Expect)
+func (s *Scheduler) margin(now time.Duration, a *Task) time.Duration {
+	m := s.opts.Shed * float64(a.Expected)
 	return time.Duration(min(m, mostMargin*float64(max(a.slack(now), 0))))
 }
 
 // dropAt is when an ask that is queued now will be given up.
-func (s *Scheduler) dropAt(now time.Duration, a *Ask) time.Duration {
-	return a.Deadline - a.Rest - s.margin(now, a)
+func (s *Scheduler) dropAt(now time.Duration, a *Task) time.Duration {
+	return a.Deadline - a.Remaining - s.margin(now, a)
 }
 
 // Done returns a permit's slot after took; zero means that it was not used.
-func (s *Scheduler) Done(now time.Duration, id uint64, took time.Duration, failed bool) []Action {
+func (s *Scheduler) Release(now time.Duration, id uint64, took time.Duration, failed bool) []Action {
 	s.out = nil
 	p, ok := s.permits[id]
 	if !ok {
@@ -238,7 +238,7 @@
 	if !ok {
 		return nil
 	}
-	return s.Done(now, permit, 0, false)
+	return s.Release(now, permit, 0, false)
 }
 
 // DropHolder ends the permits and asks of a holder that is gone.
@@ -299,7 +299,7 @@
 	if s.opts.Shed > 0 {
 		s.queue.expire(now)
 		for a := s.queue.popDoomed(now); a != nil; a = s.queue.popDoomed(now) {
-			s.refuse(a, Doomed, max(s.expectWait(a, 0), s.opts.ComeBack))
+			s.refuse(a, TooLate, max(s.expectWait(a, 0), s.opts.MinRetryAfter))
 		}
 	}
 	for s.queue.len() > 0 && !s.full() {
@@ -317,37 +317,37 @@
 	}
 }
 
-func (s *Scheduler) grant(now time.Duration, a *Ask, r *replica) {
+func (s *Scheduler) grant(now time.Duration, a *Task, r *replica) {
 	s.next++
 	key := askKey{a.Holder, a.ID}
-	s.permits[s.next] = &permit{replica: r, ask: key, start: now, expect: a.Expect}
+	s.permits[s.next] = &permit{replica: r, ask: key, start: now, expect: a.Expected}
 	s.granted[key] = s.next
 	s.pool.take(now, r, s.opts)
-	s.out = append(s.out, Action{Ask: a.ID, Holder: a.Holder, Permit: s.next, Replica: r.id})
+	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Permit: s.next, Replica: r.id})
 }
 
-func (s *Scheduler) refuse(a *Ask, why Reason, after time.Duration) {
-	s.out = append(s.out, Action{Ask: a.ID, Holder: a.Holder, Reason: why, RetryAfter: after})
+func (s *Scheduler) refuse(a *Task, why Reason, after time.Duration) {
+	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Reason: why, RetryAfter: after})
 }
 
 // Stats is a scheduler's state for dumps and load figures.
 type Stats struct {
-	Policy   Policy         `json:"policy"`
-	Queued   int            `json:"queued"`
-	Coming   int            `json:"coming"` // announced
-	Running  int            `json:"running"`
-	Slots    int            `json:"slots"`
-	Replicas []ReplicaStats `json:"replicas"`
+	Policy    Policy         `json:"policy"`
+	Queued    int            `json:"queued"`
+	Announced int            `json:"coming"` // announced
+	Running   int            `json:"running"`
+	Slots     int            `json:"slots"`
+	Replicas  []ReplicaStats `json:"replicas"`
 }
 
 // Stats returns the scheduler's state.
 func (s *Scheduler) Stats() Stats {
 	return Stats{
-		Policy:   s.opts.Policy,
-		Queued:   s.queue.len(),
-		Coming:   len(s.queue.coming),
-		Running:  len(s.permits),
-		Slots:    s.pool.slots(),
-		Replicas: s.pool.stats(),
+		Policy:    s.opts.Policy,
+		Queued:    s.queue.len(),
+		Announced: len(s.queue.coming),
+		Running:   len(s.permits),
+		Slots:     s.pool.slots(),
+		Replicas:  s.pool.stats(),
 	}
 }
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -21,29 +21,29 @@
 	return out
 }
 
-func ask(id uint64, customer string, class fleet.Class, deadline time.Duration) Ask {
-	return Ask{ID: id, Holder: "e", Customer: customer, Weight: 1, Class: class, Deadline: deadline, Expect: 10 * ms}
+func ask(id uint64, customer string, class fleet.Class, deadline time.Duration) Task {
+	return Task{ID: id, Holder: "e", Customer: customer, Weight: 1, Class: class, Deadline: deadline, Expected: 10 * ms}
 }
 
 func TestQueueOrder(t *testing.T) {
 	is := is.New(t)
 	s := New(1)
 	s.SetReplicas(0, replicasOf(1, 1))
-	is.True(s.Ask(0, ask(1, "a", fleet.Normal, time.Second))[0].Granted())
-	for i, a := range []Ask{
+	is.True(s.Submit(0, ask(1, "a", fleet.Normal, time.Second))[0].Granted())
+	for i, a := range []Task{
 		ask(2, "a", fleet.Batch, time.Second),
 		ask(3, "a", fleet.Normal, 900*ms),
 		ask(4, "a", fleet.Normal, 800*ms), // less slack than 3
 		ask(5, "b", fleet.Normal, time.Second),
 		ask(6, "a", fleet.Urgent, time.Second),
 	} {
-		is.Equal(len(s.Ask(time.Duration(i)*ms, a)), 0) // queued
+		is.Equal(len(s.Submit(time.Duration(i)*ms, a)), 0) // queued
 	}
 	var order []uint64
 	for permit := uint64(1); len(order) < 5; permit++ {
-		out := s.Done(10*ms, permit, 10*ms, false)
+		out := s.Release(10*ms, permit, 10*ms, false)
 		is.Equal(len(out), 1)
-		order = append(order, out[0].Ask)
+		order = append(order, out[0].Task)
 	}
 	is.Equal(order[0], uint64(6))                   // the urgent first
 	is.Equal(order[4], uint64(2))                   // batch last
@@ -55,16 +55,16 @@
 	is := is.New(t)
 	s := New(1, Shed(0))
 	s.SetReplicas(0, replicasOf(1, 1))
-	s.Ask(0, ask(1, "greedy", fleet.Normal, time.Hour))
+	s.Submit(0, ask(1, "greedy", fleet.Normal, time.Hour))
 	for i := range uint64(100) {
-		s.Ask(0, ask(10+i, "greedy", fleet.Normal, time.Hour))
+		s.Submit(0, ask(10+i, "greedy", fleet.Normal, time.Hour))
 	}
 	for i := range uint64(5) {
-		s.Ask(0, ask(1000+i, "small", fleet.Normal, time.Hour))
+		s.Submit(0, ask(1000+i, "small", fleet.Normal, time.Hour))
 	}
 	small := 0
 	for permit := uint64(1); permit <= 12; permit++ {
-		if out := s.Done(0, permit, ms, false); out[0].Ask >= 1000 {
+		if out := s.Release(0, permit, ms, false); out[0].Task >= 1000 {
 			small++
 		}
 	}
@@ -75,12 +75,12 @@
 	is := is.New(t)
 	s := New(1)
 	s.SetReplicas(0, replicasOf(1, 1))
-	s.Ask(0, ask(1, "a", fleet.Normal, time.Second))
-	is.Equal(len(s.Ask(0, ask(2, "a", fleet.Normal, 45*ms))), 0) // queued
-	out := s.Tick(26 * ms)                                       // slack 19 ms is under twice 10 ms
-	is.Equal(out[0].Reason, Doomed)
+	s.Submit(0, ask(1, "a", fleet.Normal, time.Second))
+	is.Equal(len(s.Submit(0, ask(2, "a", fleet.Normal, 45*ms))), 0) // queued
+	out := s.Tick(26 * ms)                                          // slack 19 ms is under twice 10 ms
+	is.Equal(out[0].Reason, TooLate)
 	for i := range uint64(50) {
-		out = s.Ask(30*ms, ask(10+i, "a", fleet.Normal, 130*ms))
+		out = s.Submit(30*ms, ask(10+i, "a", fleet.Normal, 130*ms))
 	}
 	is.Equal(out[0].Reason, Overload) // the queue is longer than its deadline
 	is.True(out[0].RetryAfter > 0)
@@ -98,12 +98,12 @@
 		}
 	}
 	is.True(admitted > 3 && admitted < 50) // what fits, no more
-	is.True(s.Ask(10*ms, ask(1, "a", fleet.Normal, 130*ms))[0].Granted())
-	is.Equal(s.Stats().Coming, admitted-1)
+	is.True(s.Submit(10*ms, ask(1, "a", fleet.Normal, 130*ms))[0].Granted())
+	is.Equal(s.Stats().Announced, admitted-1)
 	s.Cancel(10*ms, 2, "e")
-	is.Equal(s.Stats().Coming, admitted-2)
+	is.Equal(s.Stats().Announced, admitted-2)
 	s.Tick(time.Second)
-	is.Equal(s.Stats().Coming, 0) // ended with their deadlines
+	is.Equal(s.Stats().Announced, 0) // ended with their deadlines
 }
 
 func TestSlowReplicaAvoided(t *testing.T) {
@@ -115,13 +115,13 @@
 	for i := range uint64(200) {
 		now += 20 * ms
 		s.Tick(now)
-		out := s.Ask(now, ask(i+1, "a", fleet.Normal, now+time.Second))
+		out := s.Submit(now, ask(i+1, "a", fleet.Normal, now+time.Second))
 		took := 10 * ms
 		if out[0].Replica == "r0" {
 			took = 100 * ms
 			onSlow++
 		}
-		s.Done(now+took, out[0].Permit, took, false)
+		s.Release(now+took, out[0].Permit, took, false)
 	}
 	is.True(onSlow < 10) // of 200; an even share would be 50
 }
@@ -134,7 +134,7 @@
 	for i := range uint64(20) { // each round has work for all three
 		var granted []Action
 		for j := range uint64(3) {
-			granted = append(granted, s.Ask(0, ask(3*i+j+1, "a", fleet.Normal, time.Hour))...)
+			granted = append(granted, s.Submit(0, ask(3*i+j+1, "a", fleet.Normal, time.Hour))...)
 		}
 		for len(granted) > 0 {
 			g := granted[0]
@@ -142,7 +142,7 @@
 			if bad {
 				failed++
 			}
-			granted = append(granted[1:], s.Done(0, g.Permit, ms, bad)...)
+			granted = append(granted[1:], s.Release(0, g.Permit, ms, bad)...)
 		}
 	}
 	is.Equal(failed, ejectAfter)
@@ -179,7 +179,7 @@
 		for len(m.permits) > 0 {
 			m.done(t)
 		}
-		if len(m.open) > 0 || m.s.Stats().Queued > 0 || m.s.Stats().Coming > 0 {
+		if len(m.open) > 0 || m.s.Stats().Queued > 0 || m.s.Stats().Announced > 0 {
 			t.Fatalf("%d asks without an answer", len(m.open))
 		}
 		for i := range m.s.queue.classes {
@@ -203,13 +203,13 @@
 func (m *slotModel) take(t *rapid.T, out []Action) {
 	for _, a := range out {
 		if a.Admitted {
-			m.booked = append(m.booked, a.Ask)
+			m.booked = append(m.booked, a.Task)
 			continue
 		}
-		if !m.open[a.Ask] && a.Granted() {
-			t.Fatalf("ask %d got a second answer", a.Ask)
+		if !m.open[a.Task] && a.Granted() {
+			t.Fatalf("ask %d got a second answer", a.Task)
 		}
-		delete(m.open, a.Ask)
+		delete(m.open, a.Task)
 		if a.Granted() {
 			m.inflight[a.Replica]++
 			m.permits[a.Permit] = a.Replica
@@ -217,7 +217,7 @@
 	}
 }
 
-func (m *slotModel) draw(t *rapid.T) Ask {
+func (m *slotModel) draw(t *rapid.T) Task {
 	m.next++
 	left := time.Duration(rapid.IntRange(0, 300).Draw(t, "left")) * ms
 	class := fleet.Class(rapid.IntRange(0, 2).Draw(t, "class"))
@@ -231,7 +231,7 @@
 		m.booked = m.booked[1:]
 	}
 	m.open[a.ID] = true
-	m.take(t, m.s.Ask(m.now, a))
+	m.take(t, m.s.Submit(m.now, a))
 }
 
 func (m *slotModel) announce(t *rapid.T) { m.take(t, m.s.Announce(m.now, m.draw(t), 20*ms)) }
@@ -240,7 +240,7 @@
 	for p, r := range m.permits {
 		delete(m.permits, p)
 		m.inflight[r]--
-		m.take(t, m.s.Done(m.now, p, time.Duration(rapid.IntRange(0, 50).Draw(t, "took"))*ms, rapid.Bool().Draw(t, "failed")))
+		m.take(t, m.s.Release(m.now, p, time.Duration(rapid.IntRange(0, 50).Draw(t, "took"))*ms, rapid.Bool().Draw(t, "failed")))
 		return
 	}
 }
