--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -23,15 +23,15 @@
 // once while no replica has a rate limit.
 func (s *Scheduler) updateSendGrants(now time.Duration) {
 	t := s.opts.SendGrants
-	if t == nil || !t.Any() && !s.rateLimited {
+	if t == nil || !t.HasLimits() && !s.rateLimited {
 		return
 	}
-	s.rateLimited = t.Any()
+	s.rateLimited = t.HasLimits()
 	for _, p := range s.poolsByName {
 		for _, r := range p.replicasByID {
-			r.sendInterval, r.nextSendAt = t.Gap(r.ID), 0
+			r.sendInterval, r.nextSendAt = t.Interval(r.ID), 0
 			if r.sendInterval > 0 {
-				r.nextSendAt = t.Free(now, r.ID)
+				r.nextSendAt = t.NextGrant(now, r.ID)
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 		p.warmUpCalls.Sent(now, r.ID)
 	}
 	if r.sendInterval > 0 {
-		s.opts.SendGrants.Spend(now, r.ID)
-		r.nextSendAt = s.opts.SendGrants.Free(now, r.ID)
+		s.opts.SendGrants.Consume(now, r.ID)
+		r.nextSendAt = s.opts.SendGrants.NextGrant(now, r.ID)
 	}
 	r.call = c
 	r.heldBytes += c.resultBytes
--- a/coordination/pipeline/options.go
+++ b/coordination/pipeline/options.go
@@ -28,7 +28,7 @@
 	MaxPause             time.Duration // upper bound of the pause, so that a recovered replica is soon used again
 	DefaultRetryAfter    time.Duration // for jobs whose pools are unknown or have no replicas, and for jobs that were given up
 	WarmUpLimit          warmup.Limit  // for calls to warming replicas
-	SendGrants           pace.Turns    // nil: rate limits of replicas are ignored
+	SendGrants           pace.Limiter  // nil: rate limits of replicas are ignored
 	MaxSuspectsPerCall   int           // jobs under which one replica has ended that may share a call; about the square root of the jobs in a full call
 	MinRetryAfter        time.Duration // lower bound for the retry time of a refused job
 }
@@ -68,7 +68,7 @@
 
 // WithSendGrants applies the rate limits of replicas to calls; a call counts as one request
 // whatever it holds.
-func WithSendGrants(t pace.Turns) Option { return func(o *Options) { o.SendGrants = t } }
+func WithSendGrants(t pace.Limiter) Option { return func(o *Options) { o.SendGrants = t } }
 
 // WithObjectiveMargin sets the share of the objective that a new job may be expected to take.
 func WithObjectiveMargin(share float64) Option { return func(o *Options) { o.ObjectiveMargin = share } }
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -75,15 +75,15 @@
 	RequestID   string
 	Key         string
 	Customer    string
-	UsualShare  shares.Told   // of the customer, as reported with the request
-	Rank        int           // 0 is the most urgent
-	Hall        string        // hall in which its results are preferably made; "" for any
-	Objective   time.Duration // from now, by which the stages should be done
-	Deadline    time.Duration // from now, after which the results are useless
-	Retry       bool          // the request was refused before
-	AllowLate   bool          // the job may be admitted although it will be late
-	ReplicaEnds int           // replica incarnations that ended while they ran this request
-	Needs       []shares.Need // scarce resources that the request uses besides pools
+	UsualShare  shares.UsageReport // of the customer, as reported with the request
+	Rank        int                // 0 is the most urgent
+	Hall        string             // hall in which its results are preferably made; "" for any
+	Objective   time.Duration      // from now, by which the stages should be done
+	Deadline    time.Duration      // from now, after which the results are useless
+	Retry       bool               // the request was refused before
+	AllowLate   bool               // the job may be admitted although it will be late
+	ReplicaEnds int                // replica incarnations that ended while they ran this request
+	Needs       []shares.Need      // scarce resources that the request uses besides pools
 	Stages      []Stage
 }
 
@@ -159,7 +159,7 @@
 	calls       map[uint64]*call
 	lastID      uint64
 	lateStats   map[int]*lateStats // by rank
-	shares      *shares.Table
+	shares      *shares.Allocator
 	actions     []Action
 	rateLimited bool // whether any replica had a rate limit at the last check
 }
@@ -261,7 +261,7 @@
 		return decision, nil
 	}
 	if !job.overShare {
-		s.shares.Serve(job.Customer, job.Rank, job.Needs)
+		s.shares.RecordServed(job.Customer, job.Rank, job.Needs)
 	}
 	s.lastID++
 	job.id = s.lastID
--- a/coordination/pipeline/share.go
+++ b/coordination/pipeline/share.go
@@ -29,7 +29,7 @@
 // otherwise.
 func (s *Scheduler) checkShare(now time.Duration, j *job) shares.Standing {
 	j.Needs = append(j.Needs, s.poolNeeds(now, j)...)
-	standing := s.shares.Ask(now, j.Customer, j.Rank, j.UsualShare, j.Needs)
+	standing := s.shares.RecordDemand(now, j.Customer, j.Rank, j.UsualShare, j.Needs)
 	if !standing.Within {
 		j.overShare = true
 		j.rank += overShareRank
@@ -101,7 +101,7 @@
 // what their share gets done soon, the least urgent first.
 func (s *Scheduler) throttle(now time.Duration) {
 	for _, p := range s.poolsByName {
-		throttled := s.shares.Held(now, p.name)
+		throttled := s.shares.Throttled(now, p.name)
 		p.adjustEfficiency(now, len(throttled) > 0, &s.opts)
 		queues := p.waitingByCustomer(throttled)
 		for _, customer := range slices.Sorted(maps.Keys(queues)) {
@@ -198,4 +198,6 @@
 }
 
 // ThrottledCustomers returns the throttled customers of each pool.
-func (s *Scheduler) ThrottledCustomers(now time.Duration) []shares.Row { return s.shares.HeldRows(now) }
+func (s *Scheduler) ThrottledCustomers(now time.Duration) []shares.Row {
+	return s.shares.ThrottledRows(now)
+}
