--- a/cmd/node/apart.go
+++ b/cmd/node/apart.go
@@ -38,7 +38,7 @@
 }
 
 // crowded reports whether other suspects would be lost with the engine.
-func (s *serving) crowded() bool { return s.job.ended >= placement.TrialFrom && s.job.beside > 0 }
+func (s *serving) crowded() bool { return s.job.ended >= placement.TrialThreshold && s.job.beside > 0 }
 
 // placeAnew asks the owner for an engine; where it can't be asked, or knows none,
 // this instance chooses by itself.
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -266,6 +266,6 @@
 		return
 	}
 	c.mu.Lock()
-	c.engines.Told(n.now(), r.ID, parts)
+	c.engines.RecordCacheReport(n.now(), r.ID, parts)
 	c.mu.Unlock()
 }
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -36,7 +36,7 @@
 		total += p.Tokens
 	}
 	r.cell.mu.Lock()
-	here := r.cell.engines.Kept(n.now(), r.request.Service, shared)
+	here := r.cell.engines.LongestCachedPrefix(n.now(), r.request.Service, shared)
 	r.cell.mu.Unlock()
 	home, _ := n.places.Home(r.cell.number)
 	if total-here.Tokens < leastFar || !r.inTime() {
@@ -55,14 +55,14 @@
 }
 
 // mostKept asks some regions at once, and tells which engine keeps most.
-func (n *Node) mostKept(others []string, service string, shared []catalog.Part) <-chan placement.Kept {
-	answers := make(chan placement.Kept, len(others))
+func (n *Node) mostKept(others []string, service string, shared []catalog.Part) <-chan placement.CachedPrefix {
+	answers := make(chan placement.CachedPrefix, len(others))
 	for _, region := range others {
 		go func() { answers <- n.keptIn(region, service, shared) }()
 	}
-	most := make(chan placement.Kept, 1)
+	most := make(chan placement.CachedPrefix, 1)
 	go func() {
-		var best placement.Kept
+		var best placement.CachedPrefix
 		for range others {
 			if k := <-answers; k.Tokens > best.Tokens {
 				best = k
@@ -74,9 +74,9 @@
 }
 
 // heardFar returns what the others said, once they have or their time is over.
-func (r *ownedRequest) heardFar() placement.Kept {
+func (r *ownedRequest) heardFar() placement.CachedPrefix {
 	if r.far == nil {
-		return placement.Kept{}
+		return placement.CachedPrefix{}
 	}
 	wait := time.NewTimer(farFor - (r.cell.owner.node.now() - r.began))
 	defer wait.Stop()
@@ -89,7 +89,7 @@
 	case k := <-r.far:
 		return k
 	case <-wait.C:
-		return placement.Kept{}
+		return placement.CachedPrefix{}
 	}
 }
 
@@ -100,12 +100,12 @@
 }
 
 // keptIn asks the owner of a region's cell what engines there keep of a prompt.
-func (n *Node) keptIn(region, service string, shared []catalog.Part) placement.Kept {
+func (n *Node) keptIn(region, service string, shared []catalog.Part) placement.CachedPrefix {
 	w := n.world.Load()
 	cell := w.places.Cell(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
 	owners := ownership.Rank(n.alive(), cell, region)
 	if len(owners) == 0 || owners[0].Region != region { // nobody is there to know
-		return placement.Kept{}
+		return placement.CachedPrefix{}
 	}
 	ask := &pb.KeptAsk{Cell: uint32(cell), Engine: service}
 	for _, p := range shared {
@@ -118,12 +118,12 @@
 	n.noteHeard(region, err == nil)
 	if err != nil {
 		n.logAside("kept prompts of "+region, owners[0].Name, err)
-		return placement.Kept{}
+		return placement.CachedPrefix{}
 	}
 	if reply.Tokens > 0 {
 		n.counters.keptFar.Inc(1)
 	}
-	return placement.Kept{Address: reply.Address, Tokens: int(reply.Tokens)}
+	return placement.CachedPrefix{Address: reply.Address, Tokens: int(reply.Tokens)}
 }
 
 func (n *Node) silentRegion(region string) bool {
@@ -160,6 +160,6 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.engines.Kept(n.now(), ask.Engine, parts)
+	most := c.engines.LongestCachedPrefix(n.now(), ask.Engine, parts)
 	return &pb.KeptReply{Address: most.Address, Tokens: uint32(most.Tokens)}
 }
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -74,9 +74,9 @@
 	ask     *pb.StagesAsk
 	request *placement.Request
 	began   time.Duration
-	job     uint64                // at the scheduler; 0: none
-	far     <-chan placement.Kept // nil: nobody was asked
-	wants   uint64                // number among those that want turns; 0: none
+	job     uint64                        // at the scheduler; 0: none
+	far     <-chan placement.CachedPrefix // nil: nobody was asked
+	wants   uint64                        // number among those that want turns; 0: none
 }
 
 // stages has the request's stages run, if it has any, and returns their results.
@@ -150,10 +150,10 @@
 	if ok {
 		job.Hall = choice.Replica.Hall
 	}
-	ahead := c.engines.Ahead(r.request, choice)
+	ahead := c.engines.TimeToFirstEvent(r.request, choice)
 	job.Objective -= ahead
 	job.Deadline -= ahead
-	return &pb.StagesReply{EngineUs: ahead.Microseconds(), Reads: uint32(choice.Reads), Moves: uint32(choice.Moves)}
+	return &pb.StagesReply{EngineUs: ahead.Microseconds(), Reads: uint32(choice.PrefillTokens), Moves: uint32(choice.TransferTokens)}
 }
 
 // compare counts how the time that the stages took differs from the expected.
@@ -174,7 +174,7 @@
 func (r *ownedRequest) place(ready pipeline.Deliver) *pb.StagesReply {
 	c, n := r.cell, r.cell.owner.node
 	reply := &pb.StagesReply{Handles: ready.Handles}
-	r.request.Far = r.heardFar()
+	r.request.RemoteCache = r.heardFar()
 	sick := n.pausedReplicas()
 	w := n.world.Load()
 	now := n.now()
@@ -183,7 +183,7 @@
 	defer r.leaveTurns()
 	c.next++
 	r.request.ID = c.next
-	r.request.Near = ready.Near
+	r.request.ResultBytes = ready.Near
 	r.request.Slack -= now - r.began
 	choice, ok := r.choose(now, sick, w.aside(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
@@ -194,10 +194,10 @@
 	}
 	c.engines.Begin(now, r.request, choice)
 	reply.Paced = n.statements.limits(choice.Replica.ID)
-	if choice.Fetch != "" && choice.Fetch == r.request.Far.Address {
+	if choice.FetchFrom != "" && choice.FetchFrom == r.request.RemoteCache.Address {
 		n.counters.farMoves.Inc(1)
 	}
-	reply.Engine, reply.Fetch, reply.Beside = n.spoken(choice.Replica.ID, r.ask), choice.Fetch, uint32(choice.Beside)
+	reply.Engine, reply.Fetch, reply.Beside = n.spoken(choice.Replica.ID, r.ask), choice.FetchFrom, uint32(choice.ConcurrentSuspects)
 	return reply
 }
 
@@ -224,7 +224,7 @@
 func (r *ownedRequest) first() {
 	c := r.cell
 	c.mu.Lock()
-	c.engines.First(c.owner.node.now(), r.request.ID)
+	c.engines.FirstEvent(c.owner.node.now(), r.request.ID)
 	c.mu.Unlock()
 	r.release()
 }
@@ -255,11 +255,11 @@
 // the replicas that it names.
 func requestOf(ask *pb.StagesAsk, lifeOf func(id string) string) *placement.Request {
 	r := &placement.Request{
-		Service: ask.Engine,
-		Out:     int(ask.TokensOut),
-		Slack:   time.Duration(ask.SlackUs) * time.Microsecond,
-		Avoid:   make(map[string]bool),
-		Ended:   int(ask.Ended),
+		Service:      ask.Engine,
+		OutputTokens: int(ask.TokensOut),
+		Slack:        time.Duration(ask.SlackUs) * time.Microsecond,
+		Avoid:        make(map[string]bool),
+		Crashes:      int(ask.Ended),
 	}
 	for _, p := range ask.Parts {
 		r.Parts = append(r.Parts, catalog.Part{ID: p.Id, Tokens: int(p.Tokens)})
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -32,10 +32,10 @@
 
 // placing returns what the settings state of engines and prices.
 func (n *Node) placing() placement.Options {
-	o := placement.Standard()
-	o.Moved, o.FarByte = n.settings.PriceMoved, n.settings.PriceFarByte
+	o := placement.DefaultOptions()
+	o.TransferTokenCost, o.CrossHallByteCost = n.settings.PriceMoved, n.settings.PriceFarByte
 	if n.settings.PerToken > 0 {
-		o.Speeds.Prior = speed.Prior(n.settings.PerToken)
+		o.Speed.Prior = speed.Prior(n.settings.PerToken)
 	}
 	return o
 }
@@ -48,7 +48,7 @@
 			owner:        o,
 			number:       number,
 			scheduler:    pipeline.New(pipeline.Cold(o.node.cold.limit), pipeline.Paced(cellTurns{o.node}), pipeline.Worth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
-			engines:      placement.New(o.node.placing(), o.node.cold.limit).Paced(cellTurns{o.node}),
+			engines:      placement.New(o.node.placing(), o.node.cold.limit).WithSendGrants(cellTurns{o.node}),
 			waiting:      make(map[uint64]chan pipeline.Action),
 			calls:        make(map[uint64]context.CancelFunc),
 			turns:        make(map[string]*pace.Queue),
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -121,7 +121,7 @@
 	n := c.owner.node
 	for service, f := range known {
 		c.mu.Lock()
-		taken := c.engines.Know(n.now(), service, f)
+		taken := c.engines.SeedSpeed(n.now(), service, f)
 		c.mu.Unlock()
 		if taken {
 			n.logSpeed(event.NodeSpeedTold, c.number, service, &f)
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -23,7 +23,7 @@
 	}
 	now := n.now()
 	c.mu.Lock()
-	supply := c.engines.Supply(now, r.request)
+	supply := c.engines.GrantSupply(now, r.request)
 	wait := time.Duration(0)
 	if supply.Limited {
 		c.next++
@@ -113,7 +113,7 @@
 	defer c.mu.Unlock()
 	q := c.turnsOf(r.request.Service)
 	q.Ready(r.wants)
-	supply := c.engines.Supply(now, r.request)
+	supply := c.engines.GrantSupply(now, r.request)
 	if isFirst = q.First(r.wants); isFirst {
 		return max(supply.Next-now, 0), true
 	}
--- a/coordination/placement/kept.go
+++ b/coordination/placement/kept.go
@@ -44,21 +44,21 @@
 // lately, or said so itself.
 func (e *engine) holds(now time.Duration, o *Options, p catalog.Part, key uint64) bool {
 	if kept := e.kept[key]; kept != nil {
-		return now-kept.used <= o.KeptFor
+		return now-kept.used <= o.CacheTTL
 	}
-	return now-e.askedAt <= o.ToldFor && e.listed[p.ID] >= p.Tokens
+	return now-e.askedAt <= o.CacheReportTTL && e.listed[p.ID] >= p.Tokens
 }
 
 // Kept returns which engine of a service keeps most of a prompt; a leaving one
 // may go before it is asked.
-func (t *Table) Kept(now time.Duration, service string, parts []catalog.Part) (most Kept) {
+func (t *Table) LongestCachedPrefix(now time.Duration, service string, parts []catalog.Part) (most CachedPrefix) {
 	keys := chain(parts)
 	for _, e := range t.order[service] {
 		if e.Leaving {
 			continue
 		}
 		if n := e.keeps(now, &t.opts, parts, keys); n > most.Tokens {
-			most = Kept{Address: e.Address, Tokens: n}
+			most = CachedPrefix{Address: e.Address, Tokens: n}
 		}
 	}
 	return most
@@ -66,7 +66,7 @@
 
 // Told takes in which parts an engine says that it keeps: what requests of an
 // earlier owner left there.
-func (t *Table) Told(now time.Duration, replica string, parts []catalog.Part) {
+func (t *Table) RecordCacheReport(now time.Duration, replica string, parts []catalog.Part) {
 	e := t.engines[replica]
 	if e == nil {
 		return
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -26,30 +26,30 @@
 
 // Request is a stream that looks for its engine.
 type Request struct {
-	ID      uint64 // unique in the table while the request runs
-	Service string
-	Parts   []catalog.Part   // of the prompt, the last one its own
-	Out     int              // tokens that it generates, about
-	Slack   time.Duration    // until its first event is late
-	Near    map[string]int64 // by hall: bytes of results that it reads
-	Avoid   map[string]bool  // engines not to be taken
-	Far     Kept             // what engines of other regions keep of it
-	Ended   int              // replicas that ended under it; 0: it is no suspect
+	ID           uint64 // unique in the table while the request runs
+	Service      string
+	Parts        []catalog.Part   // of the prompt, the last one its own
+	OutputTokens int              // tokens that it generates, about
+	Slack        time.Duration    // until its first event is late
+	ResultBytes  map[string]int64 // by hall: bytes of results that it reads
+	Avoid        map[string]bool  // engines not to be taken
+	RemoteCache  CachedPrefix     // what engines of other regions keep of it
+	Crashes      int              // replicas that ended under it; 0: it is no suspect
 }
 
 // Kept is how much of a prompt an engine keeps, and where.
-type Kept struct {
+type CachedPrefix struct {
 	Address string // IP:port
 	Tokens  int    // from the prompt's start
 }
 
 // Choice is where a request runs and from where its engine fetches what it lacks.
 type Choice struct {
-	Replica catalog.Replica
-	Fetch   string // IP:port; "" for nowhere
-	Reads   int    // tokens of its prompt that its engine has to read
-	Moves   int    // and to fetch
-	Beside  int    // suspects that run there
+	Replica            catalog.Replica
+	FetchFrom          string // IP:port; "" for nowhere
+	PrefillTokens      int    // tokens of its prompt that its engine has to read
+	TransferTokens     int    // and to fetch
+	ConcurrentSuspects int    // suspects that run there
 }
 
 // Table is not safe for concurrent use.
@@ -94,7 +94,7 @@
 }
 
 // Paced has a table's requests counted by turns.
-func (t *Table) Paced(turns pace.Turns) *Table {
+func (t *Table) WithSendGrants(turns pace.Turns) *Table {
 	t.turns = turns
 	return t
 }
@@ -155,8 +155,8 @@
 	if e, n := t.emptiedHolder(now, r, keys); n > most {
 		fetch, most = e.Address, n
 	}
-	if r.Far.Tokens > most {
-		fetch, most = r.Far.Address, r.Far.Tokens
+	if r.RemoteCache.Tokens > most {
+		fetch, most = r.RemoteCache.Address, r.RemoteCache.Tokens
 	}
 	best, least := -1, 0.0
 	for i, e := range all {
@@ -164,9 +164,9 @@
 			best, least = i, c
 		}
 	}
-	c := Choice{Replica: all[best].Replica, Beside: all[best].suspects, Reads: r.tokens() - most, Moves: most - kept[best]}
-	if c.Moves > 0 {
-		c.Fetch = fetch
+	c := Choice{Replica: all[best].Replica, ConcurrentSuspects: all[best].suspects, PrefillTokens: r.tokens() - most, TransferTokens: most - kept[best]}
+	if c.TransferTokens > 0 {
+		c.FetchFrom = fetch
 	}
 	return c, true
 }
@@ -202,7 +202,7 @@
 
 // TrialFrom is how many replicas end under a request before its next one is to
 // show whether it is to blame: nothing else is put beside it then.
-const TrialFrom = 2
+const TrialThreshold = 2
 
 // apart returns the engines, of some, that come first for a request: none at
 // which another request's trial is to show who is to blame, if there are any; for
@@ -227,10 +227,10 @@
 // company ranks an engine by whom a request would be beside there, the least first.
 func (r *Request) company(e *engine) []int {
 	rank := []int{min(e.trials, 1), 0, 0}
-	if r.Ended > 0 {
+	if r.Crashes > 0 {
 		rank[1] = e.suspects
 	}
-	if r.Ended >= TrialFrom {
+	if r.Crashes >= TrialThreshold {
 		rank[2] = e.runs + e.reading
 	}
 	return rank
@@ -243,7 +243,7 @@
 }
 
 // Supply returns what the engines that may take a request give of turns.
-func (t *Table) Supply(now time.Duration, r *Request) (s pace.Supply) {
+func (t *Table) GrantSupply(now time.Duration, r *Request) (s pace.Supply) {
 	if t.turns == nil || !t.turns.Any() {
 		return s
 	}
@@ -275,19 +275,19 @@
 	queue := max(e.busyTo-now, 0)
 	first := queue + reads + e.moveTime(moved) + e.emptyTime()
 
-	c := o.Second*first.Seconds() + o.Moved*float64(moved)
+	c := o.FirstEventSecondCost*first.Seconds() + o.TransferTokenCost*float64(moved)
 	if r.Slack > 0 {
-		c += o.Late * ramp(first.Seconds(), 0.6*r.Slack.Seconds(), 1.1*r.Slack.Seconds())
+		c += o.LateCost * ramp(first.Seconds(), 0.6*r.Slack.Seconds(), 1.1*r.Slack.Seconds())
 	}
-	c += o.Stall * float64(e.runs) * ramp((queue+reads).Seconds(), o.StallFrom.Seconds(), o.StallTo.Seconds())
-	c += o.Beside * e.usually(now, o) * float64(r.Out) * e.speed.Figures().PerOut.Seconds()
-	for hall, bytes := range r.Near {
+	c += o.StallCost * float64(e.runs) * ramp((queue+reads).Seconds(), o.StallMin.Seconds(), o.StallMax.Seconds())
+	c += o.InterferenceCost * e.usually(now, o) * float64(r.OutputTokens) * e.speed.Figures().PerOut.Seconds()
+	for hall, bytes := range r.ResultBytes {
 		if hall != e.Hall {
-			c += o.FarByte * float64(bytes)
+			c += o.CrossHallByteCost * float64(bytes)
 		}
 	}
 	if e.slots > 0 {
-		c += o.CrowdedCosts * ramp(float64(e.runs+e.reading)/float64(e.slots), o.Crowded, 1)
+		c += o.HighOccupancyCost * ramp(float64(e.runs+e.reading)/float64(e.slots), o.HighOccupancy, 1)
 	}
 	return c
 }
@@ -302,7 +302,7 @@
 
 // usually returns the share of the time that an engine reads, lately.
 func (e *engine) usually(now time.Duration, o *Options) float64 {
-	e.usual *= max(1-(now-e.usualAt).Seconds()/o.UsualFor.Seconds(), 0)
+	e.usual *= max(1-(now-e.usualAt).Seconds()/o.PrefillShareWindow.Seconds(), 0)
 	e.usualAt = now
 	return e.usual
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -12,7 +12,7 @@
 )
 
 func newTable(engines int) *Table {
-	t := New(Standard(), warmup.Limit{})
+	t := New(DefaultOptions(), warmup.Limit{})
 	services := map[string]*catalog.Service{"llm": {Engine: &catalog.Engine{Slots: 128, MemoryTokens: 100_000}}}
 	var list []catalog.Replica
 	for i := range engines {
@@ -24,7 +24,7 @@
 }
 
 func request(id uint64, tokens, out int, shared ...string) *Request {
-	r := &Request{ID: id, Service: "llm", Out: out, Slack: time.Second}
+	r := &Request{ID: id, Service: "llm", OutputTokens: out, Slack: time.Second}
 	for _, s := range shared {
 		r.Parts = append(r.Parts, catalog.Part{ID: s, Tokens: 2000})
 	}
@@ -32,7 +32,9 @@
 	return r
 }
 
-func at(replica string) Choice { return Choice{Replica: catalog.Replica{ID: replica}, Reads: 1000} }
+func at(replica string) Choice {
+	return Choice{Replica: catalog.Replica{ID: replica}, PrefillTokens: 1000}
+}
 
 func (t *Table) begin(now time.Duration, r *Request) Choice {
 	c, _ := t.Place(now, r)
@@ -53,7 +55,7 @@
 			}
 		}
 		table.Begin(0, r, at(busy))
-		table.First(80*time.Millisecond, i)
+		table.FirstEvent(80*time.Millisecond, i)
 	}
 	for i := range uint64(4) {
 		c, ok := table.Place(time.Second, request(100+i, 12000, 20))
@@ -66,29 +68,29 @@
 	is := is.New(t)
 	table := newTable(4)
 	first := table.begin(0, request(1, 100, 20, "doc"))
-	table.First(200*time.Millisecond, 1)
+	table.FirstEvent(200*time.Millisecond, 1)
 	table.End(time.Second, 1)
 	second, _ := table.Place(2*time.Second, request(2, 100, 20, "doc"))
 	is.Equal(second.Replica.ID, first.Replica.ID)
-	is.Equal(second.Fetch, "")
+	is.Equal(second.FetchFrom, "")
 }
 
 func TestWhatIsKeptElsewhereIsMoved(t *testing.T) {
 	is := is.New(t)
 	table := newTable(2)
 	first := table.begin(0, request(1, 100, 20, "doc"))
-	table.First(200*time.Millisecond, 1)
+	table.FirstEvent(200*time.Millisecond, 1)
 	r := request(2, 100, 20, "doc")
 	r.Avoid = map[string]bool{}
-	r.Near = map[string]int64{"a": 0}
+	r.ResultBytes = map[string]int64{"a": 0}
 	other := "a"
 	if first.Replica.Hall == "a" {
 		other = "b"
 	}
-	r.Near = map[string]int64{other: 5_000_000}
+	r.ResultBytes = map[string]int64{other: 5_000_000}
 	second, _ := table.Place(time.Second, r)
 	is.True(second.Replica.ID != first.Replica.ID) // five megabytes would cross halls
-	is.Equal(second.Fetch, first.Replica.Address)
+	is.Equal(second.FetchFrom, first.Replica.Address)
 }
 
 func TestASlowEngineIsLeftAlone(t *testing.T) {
@@ -98,7 +100,7 @@
 		began := time.Duration(i) * 3 * time.Second // one at a time: no other's prompt is read meanwhile
 		r := request(i, 1000, 20)
 		table.Begin(began, r, at("e0"))
-		table.First(began+2*time.Second, i)
+		table.FirstEvent(began+2*time.Second, i)
 		table.End(began+2*time.Second, i)
 	}
 	slow := 0
@@ -135,7 +137,7 @@
 		r := request(i, 500, 100, fmt.Sprint("doc", i%150), fmt.Sprint("part", i%300))
 		c := table.begin(time.Duration(i)*time.Millisecond, r)
 		if i%3 != 0 {
-			table.First(time.Duration(i)*time.Millisecond, i)
+			table.FirstEvent(time.Duration(i)*time.Millisecond, i)
 		}
 		_ = c
 	}
@@ -152,11 +154,11 @@
 	is := is.New(t)
 	table := newTable(3)
 	kept := []catalog.Part{{ID: "system", Tokens: 2000}, {ID: "case", Tokens: 2000}}
-	table.Told(time.Second, "e1", kept)
+	table.RecordCacheReport(time.Second, "e1", kept)
 	c, ok := table.Place(time.Second, request(1, 100, 20, "system", "case"))
 	is.True(ok)
 	is.Equal(c.Replica.ID, "e1")
-	is.Equal(c.Fetch, "")
+	is.Equal(c.FetchFrom, "")
 
 	e := table.engines["e1"]
 	o := &table.opts
@@ -164,7 +166,7 @@
 	keeps := func(now time.Duration, p []catalog.Part) int { return e.keeps(now, o, p, chain(p)) }
 	is.Equal(keeps(time.Second, parts("system", "case")), 4000)
 	is.Equal(keeps(time.Second, parts("other", "case")), 0) // what goes before is not there
-	is.Equal(keeps(time.Second+o.ToldFor+1, parts("system", "case")), 0)
+	is.Equal(keeps(time.Second+o.CacheReportTTL+1, parts("system", "case")), 0)
 }
 
 // Shared parts that another region's engine keeps are moved from there: to read
@@ -173,14 +175,14 @@
 	is := is.New(t)
 	table := newTable(3)
 	r := request(1, 100, 20, "s")
-	r.Far = Kept{Address: "far:1", Tokens: 2000}
-	is.Equal(table.begin(0, r).Fetch, "far:1")
+	r.RemoteCache = CachedPrefix{Address: "far:1", Tokens: 2000}
+	is.Equal(table.begin(0, r).FetchFrom, "far:1")
 	again := request(2, 100, 20, "s")
-	again.Far = r.Far
+	again.RemoteCache = r.RemoteCache
 	c, _ := table.Place(time.Second, again)
-	is.True(c.Fetch != "far:1")
-	is.Equal(table.Kept(time.Second, "llm", request(3, 100, 20, "s").Parts[:1]).Tokens, 2000)
-	is.Equal(table.Kept(time.Second, "llm", request(3, 100, 20, "t").Parts[:1]).Tokens, 0)
+	is.True(c.FetchFrom != "far:1")
+	is.Equal(table.LongestCachedPrefix(time.Second, "llm", request(3, 100, 20, "s").Parts[:1]).Tokens, 2000)
+	is.Equal(table.LongestCachedPrefix(time.Second, "llm", request(3, 100, 20, "t").Parts[:1]).Tokens, 0)
 }
 
 // A request under which replicas have ended is put beside no other such one, and
@@ -191,23 +193,23 @@
 	for i := range uint64(3) { // all engines but one are at work
 		r := request(i, 100, 200)
 		table.Begin(0, r, at(fmt.Sprint("e", i)))
-		table.First(0, i)
+		table.FirstEvent(0, i)
 	}
 	decisive := request(10, 100, 200, "shared")
-	decisive.Ended = 2
+	decisive.Crashes = 2
 	c := table.begin(0, decisive)
 	is.Equal(c.Replica.ID, "e3")
 	taken := map[string]bool{"e3": true}
 	for i := range uint64(3) {
 		suspect := request(20+i, 100, 200, "shared") // its prompt is kept at e3
-		suspect.Ended = 1
+		suspect.Crashes = 1
 		c := table.begin(0, suspect)
 		is.True(!taken[c.Replica.ID])
 		taken[c.Replica.ID] = true
 	}
 	is.True(table.begin(0, request(30, 100, 200, "shared")).Replica.ID != "e3")
 	late := request(31, 100, 200)
-	late.Ended = 1
+	late.Crashes = 1
 	_, ok := table.Place(0, late)
 	is.True(ok) // rather beside another than nowhere
 	table.End(0, 10)
@@ -222,18 +224,18 @@
 	count := make(map[string]int)
 	for i := range uint64(10) {
 		r := request(i, 1, 1, "shared") // kept at one engine, which all would go to
-		r.Ended = 1
+		r.Crashes = 1
 		count[table.begin(0, r).Replica.ID]++
-		table.First(0, i)
+		table.FirstEvent(0, i)
 	}
 	for _, n := range count {
 		is.True(n <= 3)
 	}
 	decisive := request(20, 1, 1, "shared")
-	decisive.Ended = TrialFrom
+	decisive.Crashes = TrialThreshold
 	c := table.begin(0, decisive)
-	is.Equal(c.Beside, 2)
+	is.Equal(c.ConcurrentSuspects, 2)
 	late := request(21, 1, 1, "shared")
-	late.Ended = 1
+	late.Crashes = 1
 	is.True(table.begin(0, late).Replica.ID != c.Replica.ID) // not beside the trial
 }
--- a/coordination/placement/places_test.go
+++ b/coordination/placement/places_test.go
@@ -28,11 +28,11 @@
 		c, ok := table.Place(time.Second, request(id+2, 100, 10, "manual"))
 		is.True(ok)
 		is.Equal(c.Replica.ID, "e0")
-		is.Equal(c.Fetch, "e1:1")
+		is.Equal(c.FetchFrom, "e1:1")
 	}
 	table.Begin(time.Second, request(20, 100, 10, "manual"), at("e0"))
 	c, _ := table.Place(time.Second, request(21, 100, 10, "manual"))
-	is.Equal(c.Fetch, "") // it has come by now
+	is.Equal(c.FetchFrom, "") // it has come by now
 	withHall(table, nil, func(r *catalog.Replica) { r.Emptied, r.Leaving = true, true })
 	c, _ = table.Place(time.Second, request(22, 100, 10, "manual"))
 	is.Equal(c.Replica.ID, "e0")
@@ -41,7 +41,7 @@
 // A cold engine gets as many requests in a second as its owner may give it.
 func TestAColdEngineGetsFewRequests(t *testing.T) {
 	is := is.New(t)
-	table := New(Standard(), warmup.Limit{Overrun: 1.5, Slack: 5})
+	table := New(DefaultOptions(), warmup.Limit{Overrun: 1.5, Slack: 5})
 	withHall(table, &catalog.WarmUp{For: time.Minute, PerSecond: 3}, func(r *catalog.Replica) { r.ColdUntil = 10 * time.Second })
 	at := map[string]int{}
 	for i := range uint64(99) {
@@ -60,14 +60,14 @@
 // is counted: the request was counted as read a second time at its end.
 func TestAFirstEventAtTheStartOfTime(t *testing.T) {
 	is := is.New(t)
-	table := New(Standard(), warmup.Limit{})
+	table := New(DefaultOptions(), warmup.Limit{})
 	services := map[string]*catalog.Service{"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}}}
 	table.SetEngines(services, []catalog.Replica{{ID: "e", Service: "llm"}})
 	r := &Request{ID: 1, Service: "llm", Parts: []catalog.Part{{ID: "a", Tokens: 10}}}
 	choice, ok := table.Place(0, r)
 	is.True(ok)
 	table.Begin(0, r, choice)
-	table.First(0, 1)
+	table.FirstEvent(0, 1)
 	table.End(0, 1)
 	is.Equal(table.engines["e"].reading, 0)
 	is.Equal(table.engines["e"].runs, 0)
--- a/coordination/placement/random_test.go
+++ b/coordination/placement/random_test.go
@@ -24,7 +24,7 @@
 		return out
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(Standard(), warmup.Limit{})
+		table := New(DefaultOptions(), warmup.Limit{})
 		table.SetEngines(services, engines(4))
 		now, next := time.Duration(0), uint64(0)
 		open := make([]uint64, 0)
@@ -33,7 +33,7 @@
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step <= 1:
 				next++
-				r := &Request{ID: next, Service: "llm", Out: 50, Slack: time.Second, Avoid: map[string]bool{}}
+				r := &Request{ID: next, Service: "llm", OutputTokens: 50, Slack: time.Second, Avoid: map[string]bool{}}
 				for range rapid.IntRange(1, 3).Draw(t, "parts") {
 					r.Parts = append(r.Parts, catalog.Part{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "part")), Tokens: 300})
 				}
@@ -47,7 +47,7 @@
 				if r.Avoid[choice.Replica.ID] || table.engines[choice.Replica.ID].Leaving {
 					t.Fatalf("%s is taken", choice.Replica.ID)
 				}
-				if choice.Fetch == choice.Replica.Address {
+				if choice.FetchFrom == choice.Replica.Address {
 					t.Fatalf("%s fetches from itself", choice.Replica.ID)
 				}
 				table.Begin(now, r, choice)
@@ -55,7 +55,7 @@
 			case step <= 3 && len(open) > 0:
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				if step == 2 {
-					table.First(now, open[i])
+					table.FirstEvent(now, open[i])
 					continue
 				}
 				table.End(now, open[i])
--- a/coordination/placement/runs.go
+++ b/coordination/placement/runs.go
@@ -26,15 +26,15 @@
 	for i, p := range r.Parts {
 		e.keep(now, keys[i], p.Tokens)
 	}
-	e.evict(int(float64(e.memory) * o.KeptShare))
+	e.evict(int(float64(e.memory) * o.CacheShare))
 	n := &run{
-		engine: e, began: now, moves: e.moveTime(c.Moves), reads: c.Reads + e.unread(now), out: r.Out,
-		cold: now < e.ColdUntil, ended: r.Ended,
+		engine: e, began: now, moves: e.moveTime(c.TransferTokens), reads: c.PrefillTokens + e.unread(now), out: r.OutputTokens,
+		cold: now < e.ColdUntil, ended: r.Crashes,
 	}
 	e.count(n.ended, 1)
-	reads := e.readTime(c.Reads)
+	reads := e.readTime(c.PrefillTokens)
 	e.busyTo = max(e.busyTo, now) + reads
-	e.usual = e.usually(now, o) + reads.Seconds()/o.UsualFor.Seconds()
+	e.usual = e.usually(now, o) + reads.Seconds()/o.PrefillShareWindow.Seconds()
 	e.reading++
 	if e.most > 0 && n.cold {
 		t.sent.Sent(now, e.ID)
@@ -50,13 +50,13 @@
 	if ended > 0 {
 		e.suspects += by
 	}
-	if ended >= TrialFrom {
+	if ended >= TrialThreshold {
 		e.trials += by
 	}
 }
 
 // First notes a request's first event: its prompt is read.
-func (t *Table) First(now time.Duration, id uint64) {
+func (t *Table) FirstEvent(now time.Duration, id uint64) {
 	r := t.runs[id]
 	if r == nil || r.isRead {
 		return
--- a/coordination/placement/speeds.go
+++ b/coordination/placement/speeds.go
@@ -11,7 +11,7 @@
 func (t *Table) speed(service string) *speed.Service {
 	s := t.speeds[service]
 	if s == nil {
-		s = speed.New(t.opts.Speeds)
+		s = speed.New(t.opts.Speed)
 		t.speeds[service] = s
 	}
 	return s
@@ -22,19 +22,19 @@
 
 // Know takes over what peers know of a service's engines, while little was
 // observed here, and reports whether it did.
-func (t *Table) Know(now time.Duration, service string, f speed.Figures) bool {
+func (t *Table) SeedSpeed(now time.Duration, service string, f speed.Figures) bool {
 	return t.speed(service).Begin(now, f)
 }
 
 // Ahead returns how long after its stages a request's first event is to be
 // expected at its engine: the time within which most come that are read and
 // moved like it. What reads there now will have been read by then.
-func (t *Table) Ahead(r *Request, c Choice) time.Duration {
+func (t *Table) TimeToFirstEvent(r *Request, c Choice) time.Duration {
 	e := t.engines[c.Replica.ID]
 	if e == nil {
 		return t.speed(r.Service).Likely(r.tokens())
 	}
-	return e.speed.Likely(c.Reads) + e.moveTime(c.Moves)
+	return e.speed.Likely(c.PrefillTokens) + e.moveTime(c.TransferTokens)
 }
 
 // tokens returns the length of a request's prompt.
--- a/coordination/placement/speeds_test.go
+++ b/coordination/placement/speeds_test.go
@@ -18,7 +18,7 @@
 		r := request(id, 100<<(id%9), 30)
 		t.begin(now, r)
 		now += 90*time.Millisecond + time.Duration(r.tokens())*9*time.Microsecond
-		t.First(now, id)
+		t.FirstEvent(now, id)
 		now += time.Second
 		t.End(now, id)
 	}
@@ -31,15 +31,15 @@
 	table := newTable(4)
 	long := request(1000, 50_000, 40)
 	c, _ := table.Place(0, long)
-	is.True(table.Ahead(long, c) > 1200*time.Millisecond) // nothing is known yet
+	is.True(table.TimeToFirstEvent(long, c) > 1200*time.Millisecond) // nothing is known yet
 	serveFast(table, 200)
 	c, _ = table.Place(time.Hour, long)
-	is.True(table.Ahead(long, c) < 700*time.Millisecond)
-	is.Equal(c.Reads, 50_000)
+	is.True(table.TimeToFirstEvent(long, c) < 700*time.Millisecond)
+	is.Equal(c.PrefillTokens, 50_000)
 
 	fresh := newTable(4) // of another owner
-	is.True(fresh.Know(0, "llm", table.Speeds()["llm"].Figures()))
-	is.True(fresh.Ahead(long, c) < 700*time.Millisecond)
+	is.True(fresh.SeedSpeed(0, "llm", table.Speeds()["llm"].Figures()))
+	is.True(fresh.TimeToFirstEvent(long, c) < 700*time.Millisecond)
 }
 
 // What is kept of a prompt is not read: its stages have that time.
@@ -51,8 +51,8 @@
 	unread, _ := table.Place(time.Hour, r)
 	table.begin(time.Hour, request(1001, 100, 40, "manual", "case"))
 	kept, _ := table.Place(time.Hour, r)
-	is.Equal(unread.Reads-kept.Reads, 4000)
-	is.True(table.Ahead(r, unread)-table.Ahead(r, kept) > 30*time.Millisecond)
+	is.Equal(unread.PrefillTokens-kept.PrefillTokens, 4000)
+	is.True(table.TimeToFirstEvent(r, unread)-table.TimeToFirstEvent(r, kept) > 30*time.Millisecond)
 }
 
 // A part that another engine keeps is fetched in the time that the links which
@@ -61,10 +61,10 @@
 	is := is.New(t)
 	e := &catalog.Engine{Slots: 64, MemoryTokens: 100_000, TokenBytes: 35_136, LinkMbps: 550_000}
 	is.Equal(perMoved(e), 511*time.Nanosecond)
-	table := New(Standard(), warmup.Limit{})
+	table := New(DefaultOptions(), warmup.Limit{})
 	table.SetEngines(map[string]*catalog.Service{"llm": {Engine: e}}, []catalog.Replica{{ID: "e0", Service: "llm"}})
 	r := request(1, 100, 10)
-	fetched := Choice{Replica: catalog.Replica{ID: "e0"}, Reads: 100, Moves: 1000}
-	read := Choice{Replica: catalog.Replica{ID: "e0"}, Reads: 100}
-	is.Equal(table.Ahead(r, fetched)-table.Ahead(r, read), 511*time.Microsecond)
+	fetched := Choice{Replica: catalog.Replica{ID: "e0"}, PrefillTokens: 100, TransferTokens: 1000}
+	read := Choice{Replica: catalog.Replica{ID: "e0"}, PrefillTokens: 100}
+	is.Equal(table.TimeToFirstEvent(r, fetched)-table.TimeToFirstEvent(r, read), 511*time.Microsecond)
 }
