--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -31,7 +31,7 @@
 	now := n.now()
 	for _, o := range n.ownSpeeds() {
 		n.speeds.mu.Lock()
-		news := n.speeds.records.Observed(now, o.origin, o.service, o.figures)
+		news := n.speeds.records.RecordLocal(now, o.origin, o.service, o.figures)
 		n.speeds.mu.Unlock()
 		if !news {
 			continue
@@ -50,7 +50,7 @@
 	for _, c := range n.owner.all() {
 		c.mu.Lock()
 		for service, s := range c.engines.Speeds() {
-			if s.Known() {
+			if s.IsReliable() {
 				out = append(out, cellSpeed{origin: self.Key() + uint32(c.number), cell: c.number, service: service, figures: s.Figures()})
 			}
 		}
@@ -83,7 +83,7 @@
 		if !n.speeds.records.Merge(now, recordOf(p)) {
 			continue
 		}
-		if f, ok := n.speeds.records.Known(now, p.Service); ok {
+		if f, ok := n.speeds.records.Combined(now, p.Service); ok {
 			fresh[p.Service] = f
 		}
 	}
@@ -109,7 +109,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		if f, ok := n.speeds.records.Known(now, name); ok {
+		if f, ok := n.speeds.records.Combined(now, name); ok {
 			out[name] = f
 		}
 	}
@@ -136,7 +136,7 @@
 	defer n.speeds.mu.Unlock()
 	records := n.speeds.records.All(n.now())
 	if !all {
-		records = n.speeds.records.Tell(n.now())
+		records = n.speeds.records.NextMessage(n.now())
 	}
 	out := make([]*pb.EngineSpeed, 0, len(records))
 	for _, r := range records {
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -50,7 +50,7 @@
 	is := is.New(t)
 	old, seen := owning("old")
 	seen.mu.Lock()
-	service := speed.New(speed.Standard())
+	service := speed.New(speed.DefaultOptions())
 	seen.engines.Speeds()["llm"] = service
 	for i := range 100 {
 		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.Replica{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
--- a/coordination/placement/options.go
+++ b/coordination/placement/options.go
@@ -36,7 +36,7 @@
 		InterferenceCost:     0.3,
 		TransferTokenCost:    25e-6,
 		CrossHallByteCost:    82e-9,
-		Speed:                speed.Standard(),
+		Speed:                speed.DefaultOptions(),
 		PrefillShareWindow:   8 * time.Second,
 		CacheShare:           0.7,
 		CacheTTL:             60 * time.Second,
--- a/coordination/placement/runs.go
+++ b/coordination/placement/runs.go
@@ -81,7 +81,7 @@
 	r.engine.count(r.ended, -1)
 	if r.isRead {
 		r.engine.runs--
-		r.engine.speed.Generated(r.out, now-r.read)
+		r.engine.speed.ObserveGeneration(r.out, now-r.read)
 		return
 	}
 	r.engine.reading--
--- a/coordination/placement/speeds.go
+++ b/coordination/placement/speeds.go
@@ -23,7 +23,7 @@
 // Know takes over what peers know of a service's engines, while little was
 // observed here, and reports whether it did.
 func (t *Table) SeedSpeed(now time.Duration, service string, f speed.Figures) bool {
-	return t.speed(service).Begin(now, f)
+	return t.speed(service).Seed(now, f)
 }
 
 // Ahead returns how long after its stages a request's first event is to be
--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -44,7 +44,7 @@
 
 // Observed takes in what a cell of this instance observed, and reports whether
 // it is told on: when it changed noticeably, and now and then.
-func (r *Records) Observed(now time.Duration, origin uint32, service string, f Figures) bool {
+func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, f Figures) bool {
 	if old := r.find(service, origin); old != nil {
 		pause := repeatFor
 		if f.Differs(&old.Figures) {
@@ -114,7 +114,7 @@
 
 // Tell returns the records to send in a round: those that are new, and each of
 // the others now and then.
-func (r *Records) Tell(now time.Duration) []Record {
+func (r *Records) NextMessage(now time.Duration) []Record {
 	r.turn++
 	var out []Record
 	for i, x := range r.rows {
@@ -147,7 +147,7 @@
 // Known returns what peers know of a service together: of each figure the
 // median by weight, so that one that is mistaken moves little. The count is the
 // number of origins.
-func (r *Records) Known(now time.Duration, service string) (Figures, bool) {
+func (r *Records) Combined(now time.Duration, service string) (Figures, bool) {
 	var rows []*row
 	var weights []float64
 	for _, x := range r.rows {
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -19,16 +19,16 @@
 
 // Options are the estimate's constants.
 type Options struct {
-	Prior   Figures       // until something is known: no configuration states how fast engines read
-	Enough  int           // observations after which what was known before counts no more
-	Each    int           // observations between two fits
-	Likely  float64       // share of the times that lie under the likely line
-	Beyond  int           // times the longest prompt seen, up to which the line is believed
-	Fades   time.Duration // in which an observation's weight falls by e
-	Rate    float64       // weight of the last first event in a replica's factor: a slow one shows within five
-	Least   float64       // of a factor; a bound against wrong measurements
-	Most    float64       // slower ones than this are taken for as slow
-	Unusual float64       // factor from or under (1/x) which a replica does not count for the service
+	Prior            Figures       // until something is known: no configuration states how fast engines read
+	MinObservations  int           // observations after which what was known before counts no more
+	RefitEvery       int           // observations between two fits
+	LikelyQuantile   float64       // share of the times that lie under the likely line
+	MaxExtrapolation int           // times the longest prompt seen, up to which the line is believed
+	DecayTime        time.Duration // in which an observation's weight falls by e
+	FactorWeight     float64       // weight of the last first event in a replica's factor: a slow one shows within five
+	MinFactor        float64       // of a factor; a bound against wrong measurements
+	MaxFactor        float64       // slower ones than this are taken for as slow
+	OutlierFactor    float64       // factor from or under (1/x) which a replica does not count for the service
 }
 
 // Prior is what is taken for known before anything was observed or told, where
@@ -43,18 +43,18 @@
 }
 
 // Standard returns the constants in use.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{
-		Prior:   Prior(31 * time.Microsecond),
-		Enough:  24,
-		Each:    8,
-		Likely:  0.8,
-		Beyond:  2,
-		Fades:   20 * time.Second,
-		Rate:    0.2,
-		Least:   0.5,
-		Most:    8,
-		Unusual: 1.6,
+		Prior:            Prior(31 * time.Microsecond),
+		MinObservations:  24,
+		RefitEvery:       8,
+		LikelyQuantile:   0.8,
+		MaxExtrapolation: 2,
+		DecayTime:        20 * time.Second,
+		FactorWeight:     0.2,
+		MinFactor:        0.5,
+		MaxFactor:        8,
+		OutlierFactor:    1.6,
 	}
 }
 
@@ -103,8 +103,8 @@
 
 // Begin takes over what peers know, while little was observed here, and reports
 // whether it did. The count stays: only own observations are told on.
-func (s *Service) Begin(now time.Duration, f Figures) bool {
-	if s.now.Count >= s.opts.Enough {
+func (s *Service) Seed(now time.Duration, f Figures) bool {
+	if s.now.Count >= s.opts.MinObservations {
 		return false
 	}
 	s.prior = f
@@ -113,7 +113,7 @@
 }
 
 // Known reports whether enough was observed to tell others.
-func (s *Service) Known() bool { return s.now.Count >= s.opts.Enough }
+func (s *Service) IsReliable() bool { return s.now.Count >= s.opts.MinObservations }
 
 // Usual returns the usual time to a first event where so many tokens are read.
 func (s *Service) Usual(tokens int) time.Duration { return s.bounded(s.now.Usual, tokens) }
@@ -124,7 +124,7 @@
 // bounded follows a line as far as it is believed, and what is known without
 // observations beyond.
 func (s *Service) bounded(l Line, tokens int) time.Duration {
-	known := min(tokens, max(s.now.Longest*s.opts.Beyond, 0))
+	known := min(tokens, max(s.now.Longest*s.opts.MaxExtrapolation, 0))
 	beyond := max(l.PerToken, s.opts.Prior.Usual.PerToken)
 	return l.at(float64(known)) + time.Duration(tokens-known)*beyond
 }
@@ -152,7 +152,7 @@
 	s.sizes.add(point{x: float64(tokens), y: float64(took), at: now})
 	if s.now.Count >= s.due {
 		s.fit(now)
-		s.due = s.now.Count + min(s.opts.Each, 1+s.now.Count/4)
+		s.due = s.now.Count + min(s.opts.RefitEvery, 1+s.now.Count/4)
 	}
 }
 
@@ -163,8 +163,8 @@
 	}
 	ratio := took.Seconds() / max(s.Usual(tokens).Seconds(), 0.001)
 	ratio = min(ratio, mostStep*r.factor)
-	r.factor += s.opts.Rate * (ratio - r.factor)
-	r.factor = min(max(r.factor, s.opts.Least*s.typical), s.opts.Most*s.typical)
+	r.factor += s.opts.FactorWeight * (ratio - r.factor)
+	r.factor = min(max(r.factor, s.opts.MinFactor*s.typical), s.opts.MaxFactor*s.typical)
 	if r.factor > s.typical {
 		s.typical *= 1 + typicalStep
 	} else {
@@ -179,16 +179,16 @@
 
 func (s *Service) unusual(r *Replica) bool {
 	f := s.Factor(r)
-	return f > s.opts.Unusual || f < 1/s.opts.Unusual
+	return f > s.opts.OutlierFactor || f < 1/s.opts.OutlierFactor
 }
 
 // Generated takes in how long a stream took for its tokens after the first event.
-func (s *Service) Generated(tokens int, took time.Duration) {
+func (s *Service) ObserveGeneration(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	s.outs.add(took / time.Duration(tokens))
-	if s.outs.n >= s.opts.Enough {
+	if s.outs.n >= s.opts.MinObservations {
 		s.now.PerOut = s.outs.median()
 	}
 }
@@ -196,9 +196,9 @@
 // fit finds both lines anew. What was known before counts as some points that
 // fade with the number of observations.
 func (s *Service) fit(now time.Duration) {
-	before := 1 - float64(s.now.Count)/float64(s.opts.Enough)
+	before := 1 - float64(s.now.Count)/float64(s.opts.MinObservations)
 	s.now.Usual = s.line(now, 0.5, s.prior.Usual, s.now.Usual, before)
-	s.now.Likely = s.line(now, s.opts.Likely, s.prior.Likely, s.now.Likely, before)
+	s.now.Likely = s.line(now, s.opts.LikelyQuantile, s.prior.Likely, s.now.Likely, before)
 	s.now.Longest = max(s.sizes.longest(), s.prior.Longest)
 	if s.now.Count == 0 {
 		s.now.PerOut = s.prior.PerOut
@@ -206,7 +206,7 @@
 }
 
 func (s *Service) line(now time.Duration, quantile float64, prior, last Line, before float64) Line {
-	points := s.sizes.points(now, s.opts.Fades)
+	points := s.sizes.points(now, s.opts.DecayTime)
 	if before > 0 {
 		for _, x := range priorSizes {
 			points = append(points, point{x: x, y: float64(prior.at(x)), weight: before})
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(10) {
-				s, e := New(Standard()), c.first
+				s, e := New(DefaultOptions()), c.first
 				at := e.observe(s, 0, 100, seed)
 				is.True(off(s.Usual(1000), e.median(1000)) < 0.15) // after a hundred requests
 				at = e.observe(s, at, 900, seed+100)
@@ -87,12 +87,12 @@
 
 func TestPromptsFarLongerThanAnySeenAreNotBelievedFast(t *testing.T) {
 	is := is.New(t)
-	s := New(Standard())
+	s := New(DefaultOptions())
 	for i := range 200 {
 		s.Observe(time.Duration(i)*10*time.Millisecond, &Replica{}, 100*(i%20+1), time.Duration(50+i%20)*time.Millisecond, false)
 	}
 	is.True(s.Usual(4000) < 150*time.Millisecond) // twice the longest
-	unknown := 46_000 * Standard().Prior.Usual.PerToken
+	unknown := 46_000 * DefaultOptions().Prior.Usual.PerToken
 	is.True(s.Usual(50_000) >= unknown)
 	s.Observe(3*time.Second, &Replica{}, 60_000, time.Millisecond, false) // one may be a wrong measurement
 	is.True(s.Usual(50_000) >= unknown)
@@ -106,7 +106,7 @@
 		cold bool
 	}{{time.Millisecond, false}, {20 * time.Second, false}, {500 * time.Millisecond, true}} {
 		is := is.New(t)
-		s, e, wrong := New(Standard()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &Replica{}
+		s, e, wrong := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &Replica{}
 		at := e.observe(s, 0, 400, 1)
 		for i := range uint64(40) {
 			for range 6 { // more than its part
@@ -123,18 +123,18 @@
 
 func TestANewOwnerBeginsWithWhatPeersObserved(t *testing.T) {
 	is := is.New(t)
-	old, e := New(Standard()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}
+	old, e := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}
 	e.observe(old, 0, 500, 1)
 	var records Records
-	is.True(records.Observed(0, 7, "llm", old.Figures()))
-	told, ok := records.Known(time.Second, "llm")
+	is.True(records.RecordLocal(0, 7, "llm", old.Figures()))
+	told, ok := records.Combined(time.Second, "llm")
 	is.True(ok)
-	s := New(Standard())
-	is.True(s.Begin(0, told))
+	s := New(DefaultOptions())
+	is.True(s.Seed(0, told))
 	is.True(off(s.Usual(30_000), e.median(30_000)) < 0.15)
 	e.observe(s, 0, 50, 2)
 	is.True(off(s.Usual(30_000), e.median(30_000)) < 0.2)
-	is.True(!s.Begin(0, Standard().Prior)) // it knows better by now
+	is.True(!s.Seed(0, DefaultOptions().Prior)) // it knows better by now
 }
 
 // Messages are lost, late, repeated and out of order.
@@ -143,7 +143,7 @@
 		var all []Record
 		for origin := range uint32(4) {
 			for count := range rapid.IntRange(1, 4).Draw(t, "records") {
-				f := Standard().Prior
+				f := DefaultOptions().Prior
 				f.Count = 24 * (count + 1)
 				f.Usual.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
 				all = append(all, Record{Origin: origin, Service: "llm", Figures: f})
@@ -159,8 +159,8 @@
 				b.Merge(0, all[i])
 			}
 		}
-		fromA, _ := a.Known(0, "llm")
-		fromB, _ := b.Known(0, "llm")
+		fromA, _ := a.Combined(0, "llm")
+		fromB, _ := b.Combined(0, "llm")
 		if fromA != fromB {
 			t.Fatalf("%v and %v", fromA, fromB)
 		}
@@ -179,7 +179,7 @@
 	is := is.New(t)
 	var records Records
 	tell := func(origin uint32, perToken time.Duration, age time.Duration) bool {
-		f := Standard().Prior
+		f := DefaultOptions().Prior
 		f.Usual.PerToken, f.Count = perToken, 200
 		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Figures: f, Age: age})
 	}
@@ -188,7 +188,7 @@
 	is.True(tell(3, time.Second, 0))
 	is.True(!tell(4, 100, recordLife)) // too old
 	is.True(!tell(5, -1, 0))           // no engine's
-	known, _ := records.Known(time.Hour, "llm")
+	known, _ := records.Combined(time.Hour, "llm")
 	is.Equal(known.Usual.PerToken, time.Duration(10_000))
 	for origin := range uint32(100) {
 		tell(10+origin, 9000, 0)
@@ -198,7 +198,7 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	s, e := New(Standard()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}
+	s, e := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}
 	at := e.observe(s, 0, 5000, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
