--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -159,7 +159,7 @@
 		n.loads.End(a.replica.ID, 0)
 	}
 	if a.head.Slots > 0 {
-		n.loads.Told(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
+		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
 	n.judgeMu.Unlock()
 	if a.head.Stranger || a.closesAtRefusal() {
@@ -295,7 +295,7 @@
 	}
 	n := a.node
 	n.judgeMu.Lock()
-	usual := n.loads.Took(a.replica.ID)
+	usual := n.loads.MeanAnswerTime(a.replica.ID)
 	n.judgeMu.Unlock()
 	switch {
 	case a.route.Kind == catalog.Repeatable:
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -270,7 +270,7 @@
 		n.judgeMu.Lock()
 		defer n.judgeMu.Unlock()
 		n.judge.Forget(n.now(), forgetAfter)
-		n.loads.Forget(func(id string) bool { return known[id] })
+		n.loads.Prune(func(id string) bool { return known[id] })
 	})
 }
 
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -120,14 +120,14 @@
 	}
 	fit = n.apart(fit)
 	if s.service.Engine == nil {
-		return n.loads.Plain(now, n.distance, fit, newRandom()), "", nil
+		return n.loads.PickReplica(now, n.distance, fit, newRandom()), "", nil
 	}
 	if s.trial != nil { // not where its prompt is kept: all that were beside it would follow it there
 		r := fit[newRandom().IntN(len(fit))]
 		return r, "", nil
 	}
-	e := n.loads.Engines(now, s.req.Shared(), s.req.ID, s.nearest(fit))
-	return e.Replica, e.Fetch, nil
+	e := n.loads.PickEngine(now, s.req.Shared(), s.req.ID, s.nearest(fit))
+	return e.Replica, e.FetchFrom, nil
 }
 
 // fit returns those of the replicas that the request may go to which are well,
--- a/coordination/choice/choice.go
+++ b/coordination/choice/choice.go
@@ -55,13 +55,13 @@
 }
 
 // Told takes in the load that a replica tells: the request it answers is not counted.
-func (t *Table) Told(now time.Duration, id string, atWork int) {
+func (t *Table) RecordLoad(now time.Duration, id string, atWork int) {
 	r := t.row(id)
 	r.reported, r.told = max(atWork, 0), now
 }
 
 // Took returns the usual time to an answer of a replica, 0 when not known.
-func (t *Table) Took(id string) time.Duration {
+func (t *Table) MeanAnswerTime(id string) time.Duration {
 	if r := t.rows[id]; r != nil {
 		return time.Duration(r.took * float64(time.Second))
 	}
@@ -69,7 +69,7 @@
 }
 
 // Forget drops the replicas that keep does not name and that nothing is at.
-func (t *Table) Forget(keep func(id string) bool) {
+func (t *Table) Prune(keep func(id string) bool) {
 	for id, r := range t.rows {
 		if r.own == 0 && !keep(id) {
 			delete(t.rows, id)
@@ -97,7 +97,7 @@
 // Plain picks a replica of a plain service among candidates: of three at
 // random, the one with the shortest expected time. Nearer ones come first when
 // equal; those of other regions are looked at while those of the own are full.
-func (t *Table) Plain(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (t *Table) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var near, far []catalog.Replica
 	for _, r := range candidates {
 		if distance(r.Hall) == regions.Far {
@@ -159,8 +159,8 @@
 
 // Engine is where a stream runs and from where its prompt is fetched.
 type Engine struct {
-	Replica catalog.Replica
-	Fetch   string // IP:port of the replica that should keep what this one lacks; "" for none
+	Replica   catalog.Replica
+	FetchFrom string // IP:port of the replica that should keep what this one lacks; "" for none
 }
 
 // boundFactor is how much above the average load an engine may be and still
@@ -174,7 +174,7 @@
 // hash of its longest shared run of parts, so that all instances name the same
 // one and those that share parts meet; an overloaded home passes the request
 // on, and the next one fetches what it lacks.
-func (t *Table) Engines(now time.Duration, shared []catalog.Part, own string, candidates []catalog.Replica) Engine {
+func (t *Table) PickEngine(now time.Duration, shared []catalog.Part, own string, candidates []catalog.Replica) Engine {
 	key := own
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
@@ -200,7 +200,7 @@
 			break
 		}
 	}
-	return Engine{Replica: chosen, Fetch: fetchFrom(shared, chosen, ranked[0], candidates)}
+	return Engine{Replica: chosen, FetchFrom: fetchFrom(shared, chosen, ranked[0], candidates)}
 }
 
 func fetchFrom(shared []catalog.Part, chosen, home catalog.Replica, candidates []catalog.Replica) string {
