--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -43,7 +43,7 @@
 }
 
 // High returns a time that few requests of that size exceed.
-func (s *Stage) High(size int) time.Duration {
+func (s *Stage) UpperBound(size int) time.Duration {
 	m, d := s.pick(size)
 	return m + devShare*d
 }
