--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -63,7 +63,7 @@
 		return errUnreached
 	}
 	defer n.rollouts.enter(&r, !s.movable())() // before it is asked whether the replica may get it
-	if !s.homes().Has(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
+	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errUnreached
 	}
@@ -84,7 +84,7 @@
 		n.counters.again.Inc(1)
 	}
 	n.counters.attempts.Inc(1)
-	if n.distance(r.Hall) == regions.Far {
+	if n.distance(r.Hall) == regions.Remote {
 		n.counters.farAttempts.Inc(1)
 		n.counters.farBytes.requests.Inc(int64(len(s.req.Body)))
 	}
@@ -109,7 +109,7 @@
 
 // countAnswer counts what comes from another region.
 func (a *attempt) countAnswer(bytes int) {
-	if a.node.distance(a.replica.Hall) == regions.Far {
+	if a.node.distance(a.replica.Hall) == regions.Remote {
 		a.node.counters.farBytes.answers.Inc(int64(bytes))
 	}
 }
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -24,9 +24,9 @@
 		return
 	}
 	question := platform.ParseQuestion(r.URL.Query())
-	c := client{hall: question.Hall, region: cmp.Or(question.Region, n.places.Of(question.Hall)), name: callerOf(r)}
+	c := client{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerOf(r)}
 	if config := n.world.Load().config; config != nil {
-		c.homes = regions.Bind(config.Regions(question.Host))
+		c.homes = regions.Intersect(config.Regions(question.Host))
 	}
 	answer := platform.Addresses{
 		Addresses: addresses(n.alive(), c),
@@ -102,7 +102,7 @@
 func homesFirst(far []gossip.Instance, homes regions.Allowed) []gossip.Instance {
 	var out []gossip.Instance
 	for _, i := range far {
-		if homes.Has(i.Region) {
+		if homes.Allows(i.Region) {
 			out = append(out, i)
 		}
 	}
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -27,7 +27,7 @@
 func (r *ownedRequest) askFar() {
 	n := r.cell.owner.node
 	parts := r.request.Parts
-	if len(parts) < 2 || !n.places.Stated() {
+	if len(parts) < 2 || !n.places.HasRegions() {
 		return
 	}
 	shared := parts[:len(parts)-1]
@@ -38,14 +38,14 @@
 	r.cell.mu.Lock()
 	here := r.cell.engines.LongestCachedPrefix(n.now(), r.request.Service, shared)
 	r.cell.mu.Unlock()
-	home, _ := n.places.Home(r.cell.number)
+	home, _ := n.places.RegionOfCell(r.cell.number)
 	if total-here.Tokens < leastFar || !r.inTime() {
 		return
 	}
-	allowed := regions.Bind(r.ask.Regions)
+	allowed := regions.Intersect(r.ask.Regions)
 	var others []string
 	for _, region := range n.places.Names() {
-		if region != home && region != "" && allowed.Has(region) && !n.silentRegion(region) {
+		if region != home && region != "" && allowed.Allows(region) && !n.silentRegion(region) {
 			others = append(others, region)
 		}
 	}
@@ -102,7 +102,7 @@
 // keptIn asks the owner of a region's cell what engines there keep of a prompt.
 func (n *Node) keptIn(region, service string, shared []catalog.Part) placement.CachedPrefix {
 	w := n.world.Load()
-	cell := w.places.Cell(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
+	cell := w.places.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
 	owners := ownership.Rank(n.alive(), cell, region)
 	if len(owners) == 0 || owners[0].Region != region { // nobody is there to know
 		return placement.CachedPrefix{}
@@ -129,7 +129,7 @@
 func (n *Node) silentRegion(region string) bool {
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.lending.short.Silent(n.now(), region)
+	return n.lending.short.IsUnresponsive(n.now(), region)
 }
 
 // noteHeard takes in whether a region answered.
@@ -137,10 +137,10 @@
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	if heard {
-		n.lending.short.Heard(region)
+		n.lending.short.RecordAnswer(region)
 		return
 	}
-	n.lending.short.Unheard(n.now(), region)
+	n.lending.short.RecordNoAnswer(n.now(), region)
 }
 
 // answerKept tells another region's owner what engines of a cell keep.
--- a/cmd/node/front_test.go
+++ b/cmd/node/front_test.go
@@ -77,10 +77,10 @@
 func TestFarAddressesAreThoseOfHomes(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "n", Front: "n", Region: "n"}, {Name: "s", Front: "s", Region: "s"}, {Name: "w", Front: "w", Region: "w"}}
-	c := client{region: "n", name: "x", hall: "n0", homes: regions.Bind([]string{"s"})}
+	c := client{region: "n", name: "x", hall: "n0", homes: regions.Intersect([]string{"s"})}
 	is.Equal(addresses(alive, c), []string{"n", "s"})
 	c.homes = regions.Allowed{} // one of the host's routes may be served anywhere
 	is.Equal(len(addresses(alive, c)), 3)
-	c.homes = regions.Bind([]string{"s"})
+	c.homes = regions.Intersect([]string{"s"})
 	is.Equal(addresses(alive[2:], c), []string{"w"}) // rather there than nowhere
 }
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -140,7 +140,7 @@
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
 	n.counters = newCounters(n.registry)
-	n.home = n.places.Of(s.Hall)
+	n.home = n.places.RegionOf(s.Hall)
 	n.members = gossip.New(gossip.Instance{
 		Name:        s.Name,
 		Hall:        s.Hall,
--- a/cmd/node/owner_test.go
+++ b/cmd/node/owner_test.go
@@ -46,7 +46,7 @@
 		if i%8 == 0 {
 			r.Service = "llm"
 		}
-		r.Region = w.places.Of(r.Hall)
+		r.Region = w.places.RegionOf(r.Hall)
 		w.all = append(w.all, r)
 	}
 	is.Equal(w.cells("n"), 3) // 75 of the pool
@@ -54,7 +54,7 @@
 	seen := make(map[string]bool)
 	for _, region := range w.places.Names() {
 		for local := range w.cells(region) {
-			share := w.share(w.places.Cell(region, local))
+			share := w.share(w.places.CellNumber(region, local))
 			is.True(len(share) <= cellReplicas+9) // of the pool, and a third of 25 engines
 			for _, r := range share {
 				is.Equal(r.Region, region)
--- a/cmd/node/parts.go
+++ b/cmd/node/parts.go
@@ -64,7 +64,7 @@
 	}
 	for _, r := range w.all {
 		if local, ok := cellOf[r.ID]; ok {
-			cell := w.places.Cell(r.Region, local)
+			cell := w.places.CellNumber(r.Region, local)
 			w.parts.cells[cell] = append(w.parts.cells[cell], r)
 			w.parts.cellOf[r.ID] = cell
 		}
@@ -93,7 +93,7 @@
 // holds reports whether a region has replicas of pools or engines.
 func (w *world) holds(region string) bool {
 	for local := range w.cells(region) {
-		if len(w.parts.cells[w.places.Cell(region, local)]) > 0 {
+		if len(w.parts.cells[w.places.CellNumber(region, local)]) > 0 {
 			return true
 		}
 	}
@@ -102,8 +102,8 @@
 
 // share returns the replicas of pools and engines that belong to a cell.
 func (w *world) share(cell int) []catalog.Replica {
-	region, local := w.places.Home(cell)
-	known := w.places.Cell(region, local%w.cells(region)) // who asks may know of more cells
+	region, local := w.places.RegionOfCell(cell)
+	known := w.places.CellNumber(region, local%w.cells(region)) // who asks may know of more cells
 	return w.parts.cells[known]
 }
 
@@ -121,5 +121,5 @@
 	if shared := r.Shared(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
-	return w.places.Cell(region, int(platform.Hash(key)%uint64(w.cells(region))))
+	return w.places.CellNumber(region, int(platform.Hash(key)%uint64(w.cells(region))))
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -16,7 +16,7 @@
 // prepare has the request's stages run and its engine chosen by their owner,
 // unless that has been done.
 func (s *serving) prepare(ctx context.Context) error {
-	if s.job != nil && !s.homes().Has(s.job.region) {
+	if s.job != nil && !s.homes().Allows(s.job.region) {
 		s.endJob()
 	}
 	if s.job != nil || (s.service.Engine == nil && len(s.route.Stages) == 0) {
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -21,11 +21,13 @@
 
 // lending is what an instance knows of other regions.
 type lending struct {
-	short *regions.Lending
-	trips *regions.Trips
+	short *regions.Availability
+	trips *regions.RoundTrips
 }
 
-func newLending() lending { return lending{short: regions.NewLending(), trips: regions.NewTrips()} }
+func newLending() lending {
+	return lending{short: regions.NewAvailability(), trips: regions.NewRoundTrips()}
+}
 
 // homes returns the regions that may serve the request, by the configuration in
 // force: it may have changed since the request came.
@@ -48,19 +50,19 @@
 		customer = s.world.config.Customers[s.req.Key]
 	}
 	if route.Anonymous || customer == nil {
-		return regions.Bind(route.Regions)
+		return regions.Intersect(route.Regions)
 	}
-	return regions.Bind(route.Regions, customer.Regions)
+	return regions.Intersect(route.Regions, customer.Regions)
 }
 
 // permitted returns the replicas in regions that may serve the request.
 func permitted(homes regions.Allowed, all []catalog.Replica) []catalog.Replica {
-	if !homes.Bound() {
+	if !homes.IsRestricted() {
 		return all
 	}
 	var out []catalog.Replica
 	for _, r := range all {
-		if homes.Has(r.Region) {
+		if homes.Allows(r.Region) {
 			out = append(out, r)
 		}
 	}
@@ -96,11 +98,11 @@
 	}
 	var all []regions.Candidate
 	for _, region := range w.places.Names() {
-		if homes.Has(region) && (region != "" || n.home == "" || w.holds("")) {
-			all = append(all, regions.Candidate{Region: region, Serves: w.serves(region, s.route, s.service.Name), Manned: manned[region]})
+		if homes.Allows(region) && (region != "" || n.home == "" || w.holds("")) {
+			all = append(all, regions.Candidate{Region: region, HasReplicas: w.serves(region, s.route, s.service.Name), HasInstances: manned[region]})
 		}
 	}
-	return regions.Turn(n.home, all, s.req.ID)
+	return regions.OrderCandidates(n.home, all, s.req.ID)
 }
 
 // stages has the request's stages run in the own region or, where that refuses,
@@ -162,14 +164,16 @@
 func (s *serving) worthAsking(region string) bool {
 	n := s.node
 	n.judgeMu.Lock()
-	short := n.lending.short.Short(n.now(), region, s.rank)
+	short := n.lending.short.LikelyRefuses(n.now(), region, s.rank)
 	n.judgeMu.Unlock()
 	left := s.route.Objective - s.expects.engine - s.since()
 	return !short && left > 2*n.trip(region)
 }
 
 // distance returns how far a hall is from this instance.
-func (n *Node) distance(hall string) regions.Distance { return n.places.Between(n.settings.Hall, hall) }
+func (n *Node) distance(hall string) regions.Distance {
+	return n.places.Distance(n.settings.Hall, hall)
+}
 
 // trip is the time to a region and back.
 func (n *Node) trip(region string) time.Duration {
@@ -178,7 +182,7 @@
 	}
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.lending.trips.Round(region)
+	return n.lending.trips.Estimate(region)
 }
 
 // noteLending takes in what a region said to a request's stages.
@@ -189,12 +193,12 @@
 	n.judgeMu.Lock()
 	switch {
 	case isRefused:
-		n.lending.short.Refused(n.now(), region, s.rank)
-		n.lending.trips.Note(region, took)
+		n.lending.short.RecordRefusal(n.now(), region, s.rank)
+		n.lending.trips.Observe(region, took)
 	case errors.Is(failure, errOwnerLost):
-		n.lending.short.Unheard(n.now(), region)
+		n.lending.short.RecordNoAnswer(n.now(), region)
 	case failure == nil:
-		n.lending.short.Heard(region)
+		n.lending.short.RecordAnswer(region)
 	}
 	n.judgeMu.Unlock()
 	if region == n.home {
@@ -209,7 +213,7 @@
 
 // logUnplaced says once of each hall that nobody can place it.
 func (n *Node) logUnplaced(all []catalog.Replica) {
-	if !n.places.Stated() {
+	if !n.places.HasRegions() {
 		return
 	}
 	replicas := make(map[string]int)
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -188,12 +188,12 @@
 func (n *Node) nextOwner(w *stageWork, tried map[string]bool) (gossip.Instance, bool) {
 	homes := w.homes()
 	for _, i := range ownership.Rank(n.alive(), int(w.ask.Cell), w.region) {
-		if !tried[i.Name] && homes.Has(i.Region) {
+		if !tried[i.Name] && homes.Allows(i.Region) {
 			return i, true
 		}
 	}
 	self := n.settings.Name
-	if homes.Bound() && !tried[self] {
+	if homes.IsRestricted() && !tried[self] {
 		return gossip.Instance{Name: self}, true
 	}
 	return gossip.Instance{}, false
@@ -280,7 +280,7 @@
 				return nil, errOwnerLost
 			}
 		case <-look.C:
-			if !w.homes().Has(w.region) {
+			if !w.homes().Allows(w.region) {
 				job.end()
 				return nil, errNarrowed
 			}
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -160,7 +160,7 @@
 		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
 			r.Leaving = true
 		}
-		r.Region = n.places.Of(r.Hall)
+		r.Region = n.places.RegionOf(r.Hall)
 		r.Emptied = n.emptied.Emptied(r.Hall)
 		r.ColdUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
--- a/coordination/choice/choice.go
+++ b/coordination/choice/choice.go
@@ -100,7 +100,7 @@
 func (t *Table) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var near, far []catalog.Replica
 	for _, r := range candidates {
-		if distance(r.Hall) == regions.Far {
+		if distance(r.Hall) == regions.Remote {
 			far = append(far, r)
 		} else {
 			near = append(near, r)
@@ -148,7 +148,7 @@
 	switch distance(r.Hall) {
 	case regions.SameRegion:
 		e += otherHall
-	case regions.Far:
+	case regions.Remote:
 		e += otherRegion
 	}
 	if r.Warming > 0 {
--- a/coordination/regions/allowed.go
+++ b/coordination/regions/allowed.go
@@ -10,7 +10,7 @@
 }
 
 // Bind returns what all of the given lists allow; an empty list binds nothing.
-func Bind(lists ...[]string) Allowed {
+func Intersect(lists ...[]string) Allowed {
 	var a Allowed
 	for _, list := range lists {
 		switch {
@@ -25,11 +25,11 @@
 }
 
 // Bound reports whether some regions may not serve.
-func (a Allowed) Bound() bool { return a.bound }
+func (a Allowed) IsRestricted() bool { return a.bound }
 
 // Has reports whether a region may serve; one that is not known may not where
 // any is named.
-func (a Allowed) Has(region string) bool {
+func (a Allowed) Allows(region string) bool {
 	return !a.bound || region != "" && slices.Contains(a.names, region)
 }
 
--- a/coordination/regions/lending.go
+++ b/coordination/regions/lending.go
@@ -14,7 +14,7 @@
 
 // Lending remembers which regions refused lately, or did not answer. It is not
 // safe for concurrent use.
-type Lending struct {
+type Availability struct {
 	short  map[string][]refusal
 	silent map[string]time.Duration // until when
 }
@@ -25,21 +25,25 @@
 }
 
 // NewLending returns a memory of no refusals.
-func NewLending() *Lending {
-	return &Lending{short: make(map[string][]refusal), silent: make(map[string]time.Duration)}
+func NewAvailability() *Availability {
+	return &Availability{short: make(map[string][]refusal), silent: make(map[string]time.Duration)}
 }
 
 // Unheard notes that a region did not answer; Heard that it did.
-func (l *Lending) Unheard(now time.Duration, region string) { l.silent[region] = now + silentFor }
+func (l *Availability) RecordNoAnswer(now time.Duration, region string) {
+	l.silent[region] = now + silentFor
+}
 
 // Heard notes that a region answered.
-func (l *Lending) Heard(region string) { delete(l.silent, region) }
+func (l *Availability) RecordAnswer(region string) { delete(l.silent, region) }
 
 // Silent reports whether a region did not answer a moment ago.
-func (l *Lending) Silent(now time.Duration, region string) bool { return l.silent[region] > now }
+func (l *Availability) IsUnresponsive(now time.Duration, region string) bool {
+	return l.silent[region] > now
+}
 
 // Refused notes that a region refused a request of a rank, 0 the most urgent.
-func (l *Lending) Refused(now time.Duration, region string, rank int) {
+func (l *Availability) RecordRefusal(now time.Duration, region string, rank int) {
 	kept := l.short[region][:0]
 	for _, r := range l.short[region] {
 		if r.until > now && r.rank != rank {
@@ -51,8 +55,8 @@
 
 // Short reports whether a region is likely to refuse a request of a rank: it
 // refused one as urgent, or more, a moment ago, or does not answer.
-func (l *Lending) Short(now time.Duration, region string, rank int) bool {
-	if l.Silent(now, region) {
+func (l *Availability) LikelyRefuses(now time.Duration, region string, rank int) bool {
+	if l.IsUnresponsive(now, region) {
 		return true
 	}
 	for _, r := range l.short[region] {
@@ -65,10 +69,10 @@
 
 // Trips knows how long a question to a region and its answer take. It is not
 // safe for concurrent use.
-type Trips struct{ took map[string]time.Duration }
+type RoundTrips struct{ took map[string]time.Duration }
 
 // NewTrips returns what knows of no trip.
-func NewTrips() *Trips { return &Trips{took: make(map[string]time.Duration)} }
+func NewRoundTrips() *RoundTrips { return &RoundTrips{took: make(map[string]time.Duration)} }
 
 const (
 	unknownTrip = 60 * time.Millisecond // to a region that has not answered yet: between cities of one country
@@ -77,7 +81,7 @@
 )
 
 // Note takes in a question's time to its answer.
-func (t *Trips) Note(region string, took time.Duration) {
+func (t *RoundTrips) Observe(region string, took time.Duration) {
 	if took > mostTrip {
 		return
 	}
@@ -90,7 +94,7 @@
 }
 
 // Round returns the time there and back.
-func (t *Trips) Round(region string) time.Duration {
+func (t *RoundTrips) Estimate(region string) time.Duration {
 	if took, known := t.took[region]; known {
 		return took
 	}
--- a/coordination/regions/regions.go
+++ b/coordination/regions/regions.go
@@ -16,7 +16,7 @@
 const (
 	SameHall Distance = iota
 	SameRegion
-	Far
+	Remote
 )
 
 // String implements fmt.Stringer.
@@ -51,41 +51,41 @@
 }
 
 // Of returns the region of a hall, "" where it is not known.
-func (m *Map) Of(hall string) string { return m.byHall[hall] }
+func (m *Map) RegionOf(hall string) string { return m.byHall[hall] }
 
 // Names returns the regions by name, the last one "" for the halls that nobody
 // can place.
 func (m *Map) Names() []string { return m.names }
 
 // Stated reports whether any hall's region is stated.
-func (m *Map) Stated() bool { return len(m.names) > 1 }
+func (m *Map) HasRegions() bool { return len(m.names) > 1 }
 
 // Between returns the distance of two halls.
-func (m *Map) Between(a, b string) Distance {
+func (m *Map) Distance(a, b string) Distance {
 	region := m.byHall[a]
 	switch {
 	case a == b && a != "":
 		return SameHall
-	case !m.Stated(), region != "" && region == m.byHall[b]:
+	case !m.HasRegions(), region != "" && region == m.byHall[b]:
 		return SameRegion
 	}
-	return Far
+	return Remote
 }
 
 // Stride is the number of cells that a region may have: the first cell of the
 // region in place i is i times that, so that one region's growth does not
 // number another's anew.
-const Stride = 1 << 10
+const MaxCellsPerRegion = 1 << 10
 
 // Cell returns the number of a region's cell.
-func (m *Map) Cell(region string, local int) int {
-	return m.place(region)*Stride + local
+func (m *Map) CellNumber(region string, local int) int {
+	return m.place(region)*MaxCellsPerRegion + local
 }
 
 // Home returns the region of a cell and the cell's place there.
-func (m *Map) Home(cell int) (region string, local int) {
-	place := min(cell/Stride, len(m.names)-1)
-	return m.names[place], cell % Stride
+func (m *Map) RegionOfCell(cell int) (region string, local int) {
+	place := min(cell/MaxCellsPerRegion, len(m.names)-1)
+	return m.names[place], cell % MaxCellsPerRegion
 }
 
 func (m *Map) place(region string) int {
--- a/coordination/regions/regions_test.go
+++ b/coordination/regions/regions_test.go
@@ -14,21 +14,21 @@
 func TestDistancesFollowHallsAndRegionsAndUnknownIsFar(t *testing.T) {
 	is := is.New(t)
 	m := New(three)
-	is.Equal(m.Between("a1", "a1"), SameHall)
-	is.Equal(m.Between("a1", "a2"), SameRegion)
-	is.Equal(m.Between("a1", "b1"), Far)
-	is.Equal(m.Between("a1", "x"), Far)
-	is.Equal(m.Between("x", "y"), Far) // two halls that nobody can place are not one region
-	is.Equal(m.Between("x", "x"), SameHall)
+	is.Equal(m.Distance("a1", "a1"), SameHall)
+	is.Equal(m.Distance("a1", "a2"), SameRegion)
+	is.Equal(m.Distance("a1", "b1"), Remote)
+	is.Equal(m.Distance("a1", "x"), Remote)
+	is.Equal(m.Distance("x", "y"), Remote) // two halls that nobody can place are not one region
+	is.Equal(m.Distance("x", "x"), SameHall)
 	none := New(nil)
-	is.Equal(none.Between("a1", "b1"), SameRegion) // where no region is stated, all is one
+	is.Equal(none.Distance("a1", "b1"), SameRegion) // where no region is stated, all is one
 }
 
 // Cells of one region, stated or not, are numbered from 0 as if there were none.
 func TestOneRegionsCellsAreNumberedFromNothing(t *testing.T) {
 	is := is.New(t)
-	is.Equal(New(nil).Cell("", 2), 2)
-	is.Equal(New(map[string]string{"h": "r"}).Cell("r", 2), 2)
+	is.Equal(New(nil).CellNumber("", 2), 2)
+	is.Equal(New(map[string]string{"h": "r"}).CellNumber("r", 2), 2)
 }
 
 func TestEachCellHasOneHome(t *testing.T) {
@@ -36,8 +36,8 @@
 		halls := rapid.MapOf(rapid.StringN(1, 2, -1), rapid.StringN(0, 2, -1)).Draw(t, "halls")
 		m := New(halls)
 		region := rapid.SampledFrom(m.Names()).Draw(t, "region")
-		local := rapid.IntRange(0, Stride-1).Draw(t, "local")
-		gotRegion, gotLocal := m.Home(m.Cell(region, local))
+		local := rapid.IntRange(0, MaxCellsPerRegion-1).Draw(t, "local")
+		gotRegion, gotLocal := m.RegionOfCell(m.CellNumber(region, local))
 		if gotRegion != region || gotLocal != local {
 			t.Fatalf("cell %d of %q is taken for %d of %q", local, region, gotLocal, gotRegion)
 		}
@@ -46,46 +46,46 @@
 
 func TestRouteAndCustomerBothBind(t *testing.T) {
 	is := is.New(t)
-	is.True(Bind(nil, nil).Has("a"))
-	is.True(Bind(nil, nil).Has(""))
-	is.True(Bind([]string{"a", "b"}, nil).Has("b"))
-	is.True(!Bind([]string{"a"}).Has("")) // a hall that nobody can place is not allowed
-	both := Bind([]string{"a", "b"}, []string{"b", "c"})
+	is.True(Intersect(nil, nil).Allows("a"))
+	is.True(Intersect(nil, nil).Allows(""))
+	is.True(Intersect([]string{"a", "b"}, nil).Allows("b"))
+	is.True(!Intersect([]string{"a"}).Allows("")) // a hall that nobody can place is not allowed
+	both := Intersect([]string{"a", "b"}, []string{"b", "c"})
 	is.Equal(both.Names(), []string{"b"})
-	none := Bind([]string{"a"}, []string{"c"})
-	is.True(none.Bound())
-	is.True(!none.Has("a") && !none.Has("c") && !none.Has(""))
+	none := Intersect([]string{"a"}, []string{"c"})
+	is.True(none.IsRestricted())
+	is.True(!none.Allows("a") && !none.Allows("c") && !none.Allows(""))
 }
 
 func TestARegionThatRefusedIsNotAskedForLessUrgentOnes(t *testing.T) {
 	is := is.New(t)
-	l := NewLending()
-	l.Refused(time.Second, "b", 2)
-	is.True(l.Short(time.Second+shortFor/2, "b", 2))
-	is.True(l.Short(time.Second+shortFor/2, "b", 3))
-	is.True(!l.Short(time.Second+shortFor/2, "b", 1)) // a more urgent one may be taken
-	is.True(!l.Short(time.Second+shortFor/2, "c", 2))
-	is.True(!l.Short(time.Second+shortFor, "b", 2)) // later it may have room again
+	l := NewAvailability()
+	l.RecordRefusal(time.Second, "b", 2)
+	is.True(l.LikelyRefuses(time.Second+shortFor/2, "b", 2))
+	is.True(l.LikelyRefuses(time.Second+shortFor/2, "b", 3))
+	is.True(!l.LikelyRefuses(time.Second+shortFor/2, "b", 1)) // a more urgent one may be taken
+	is.True(!l.LikelyRefuses(time.Second+shortFor/2, "c", 2))
+	is.True(!l.LikelyRefuses(time.Second+shortFor, "b", 2)) // later it may have room again
 }
 
 func TestTripsAreMeasured(t *testing.T) {
 	is := is.New(t)
-	trips := NewTrips()
-	is.Equal(trips.Round("b"), unknownTrip)
+	trips := NewRoundTrips()
+	is.Equal(trips.Estimate("b"), unknownTrip)
 	for range 30 {
-		trips.Note("b", 20*time.Millisecond)
+		trips.Observe("b", 20*time.Millisecond)
 	}
-	is.Equal(trips.Round("b"), 20*time.Millisecond)
-	trips.Note("b", time.Minute) // a lost answer
-	is.Equal(trips.Round("b"), 20*time.Millisecond)
+	is.Equal(trips.Estimate("b"), 20*time.Millisecond)
+	trips.Observe("b", time.Minute) // a lost answer
+	is.Equal(trips.Estimate("b"), 20*time.Millisecond)
 }
 
 func TestTheOwnRegionIsAskedFirstAndTheOthersShareWhatItLends(t *testing.T) {
 	is := is.New(t)
-	all := []Candidate{{Region: "a", Serves: true, Manned: true}, {Region: "b", Serves: true, Manned: true}, {Region: "c", Serves: true, Manned: true}}
+	all := []Candidate{{Region: "a", HasReplicas: true, HasInstances: true}, {Region: "b", HasReplicas: true, HasInstances: true}, {Region: "c", HasReplicas: true, HasInstances: true}}
 	second := make(map[string]int)
 	for i := range 300 {
-		turn := Turn("b", all, strconv.Itoa(i))
+		turn := OrderCandidates("b", all, strconv.Itoa(i))
 		is.Equal(len(turn), 3)
 		is.Equal(turn[0], "b")
 		second[turn[1]]++
@@ -95,25 +95,25 @@
 
 func TestARegionWithoutReplicasIsNotAsked(t *testing.T) {
 	is := is.New(t)
-	all := []Candidate{{Region: "a"}, {Region: "b", Serves: true}, {Region: "c", Serves: true, Manned: true}}
-	is.Equal(Turn("a", all, "x"), []string{"c", "b"}) // where nobody is comes last: its owner is elsewhere
-	all = []Candidate{{Region: "a", Manned: true}, {Region: "b"}}
-	is.Equal(Turn("a", all, "x"), []string{"a", "b"}) // an owner says why
-	is.Equal(len(Turn("a", nil, "x")), 0)
+	all := []Candidate{{Region: "a"}, {Region: "b", HasReplicas: true}, {Region: "c", HasReplicas: true, HasInstances: true}}
+	is.Equal(OrderCandidates("a", all, "x"), []string{"c", "b"}) // where nobody is comes last: its owner is elsewhere
+	all = []Candidate{{Region: "a", HasInstances: true}, {Region: "b"}}
+	is.Equal(OrderCandidates("a", all, "x"), []string{"a", "b"}) // an owner says why
+	is.Equal(len(OrderCandidates("a", nil, "x")), 0)
 }
 
 // In a cut each request that brought a new prompt waited for an answer that
 // could not come.
 func TestARegionThatDoesNotAnswerIsLeftAloneForAWhile(t *testing.T) {
 	is := is.New(t)
-	l := NewLending()
-	is.True(!l.Silent(time.Second, "b"))
-	l.Unheard(time.Second, "b")
-	is.True(l.Silent(time.Second+silentFor/2, "b"))
-	is.True(l.Short(time.Second+silentFor/2, "b", 0)) // however urgent
-	is.True(!l.Silent(time.Second+silentFor/2, "c"))
-	is.True(!l.Silent(time.Second+silentFor, "b"))
-	l.Unheard(time.Second, "b")
-	l.Heard("b")
-	is.True(!l.Silent(time.Second+1, "b"))
+	l := NewAvailability()
+	is.True(!l.IsUnresponsive(time.Second, "b"))
+	l.RecordNoAnswer(time.Second, "b")
+	is.True(l.IsUnresponsive(time.Second+silentFor/2, "b"))
+	is.True(l.LikelyRefuses(time.Second+silentFor/2, "b", 0)) // however urgent
+	is.True(!l.IsUnresponsive(time.Second+silentFor/2, "c"))
+	is.True(!l.IsUnresponsive(time.Second+silentFor, "b"))
+	l.RecordNoAnswer(time.Second, "b")
+	l.RecordAnswer("b")
+	is.True(!l.IsUnresponsive(time.Second+1, "b"))
 }
--- a/coordination/regions/turn.go
+++ b/coordination/regions/turn.go
@@ -9,9 +9,9 @@
 
 // Candidate is a region that may serve a request.
 type Candidate struct {
-	Region string
-	Serves bool // it has replicas of all that the request needs
-	Manned bool // an instance there is heard of
+	Region       string
+	HasReplicas  bool // it has replicas of all that the request needs
+	HasInstances bool // an instance there is heard of
 }
 
 // Turn returns the regions whose owners are asked for a request, the first one
@@ -19,8 +19,8 @@
 // order that differs from request to request, so that all of them lend; then
 // those whose owner is elsewhere. Where none serves, an owner says so, and when
 // to come back.
-func Turn(home string, all []Candidate, request string) []string {
-	able := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !c.Serves })
+func OrderCandidates(home string, all []Candidate, request string) []string {
+	able := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !c.HasReplicas })
 	if len(able) == 0 {
 		able = slices.Clone(all)
 	}
@@ -28,7 +28,7 @@
 		switch {
 		case c.Region == home:
 			return 0
-		case c.Manned:
+		case c.HasInstances:
 			return 1
 		}
 		return 2
