--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -203,8 +203,8 @@
 // knows nothing, waits for the news of those that read for others.
 func (n *Node) leavesFirstRead() bool {
 	n.takeRole(n.alive())
-	start := readers.Start{Age: n.now(), Met: n.met(), Chosen: n.reads.Load(), Spread: n.spread}
-	return !start.Reads()
+	start := readers.Startup{Age: n.now(), KnowsPeers: n.met(), IsReader: n.reads.Load(), Jitter: n.spread}
+	return !start.ShouldRead()
 }
 
 // met reports whether this instance knows who else there is, as far as can be
@@ -222,7 +222,7 @@
 	if !n.met() {
 		return
 	}
-	reads := readers.Chosen(n.settings.Name, alive)
+	reads := readers.IsReader(n.settings.Name, alive)
 	if n.reads.Swap(reads) == reads {
 		return
 	}
--- a/coordination/readers/readers.go
+++ b/coordination/readers/readers.go
@@ -22,7 +22,7 @@
 
 // Chosen reports whether the instance of that name is to follow the store,
 // among those alive.
-func Chosen(name string, alive []gossip.Instance) bool {
+func IsReader(name string, alive []gossip.Instance) bool {
 	halls := make(map[string][]gossip.Instance)
 	hall := ""
 	for _, i := range alive {
--- a/coordination/readers/readers_test.go
+++ b/coordination/readers/readers_test.go
@@ -24,7 +24,7 @@
 func chosen(alive []gossip.Instance) []int {
 	var out []int
 	for i := range alive {
-		if Chosen(alive[i].Name, alive) {
+		if IsReader(alive[i].Name, alive) {
 			out = append(out, i)
 		}
 	}
--- a/coordination/readers/start.go
+++ b/coordination/readers/start.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Start is what an instance knows that has just started and has read nothing.
-type Start struct {
-	Age    time.Duration // of the process
-	Met    bool          // it knows who else there is, as far as can be told so soon
-	Chosen bool          // it reads for others
-	Spread float64       // 0 to 1, another one for each instance
+type Startup struct {
+	Age        time.Duration // of the process
+	KnowsPeers bool          // it knows who else there is, as far as can be told so soon
+	IsReader   bool          // it reads for others
+	Jitter     float64       // 0 to 1, another one for each instance
 }
 
 const (
@@ -19,9 +19,9 @@
 // start at once, whole lists for hundreds fill the store's link for seconds; so
 // those that read for others ask first, and tell the rest. Nobody waits for
 // news for good: the store may be away from those that read.
-func (s Start) Reads() bool {
-	if s.Age >= peersFor+time.Duration(s.Spread*float64(spreadOver)) {
+func (s Startup) ShouldRead() bool {
+	if s.Age >= peersFor+time.Duration(s.Jitter*float64(spreadOver)) {
 		return true
 	}
-	return s.Met && s.Chosen
+	return s.KnowsPeers && s.IsReader
 }
--- a/coordination/readers/start_test.go
+++ b/coordination/readers/start_test.go
@@ -10,11 +10,11 @@
 func TestWhoStartsLeavesTheFirstReadToOthersForAWhile(t *testing.T) {
 	is := is.New(t)
 	ms := time.Millisecond
-	is.True(!Start{Age: 50 * ms, Chosen: true}.Reads()) // who else starts is not known yet
-	is.True(Start{Age: 70 * ms, Met: true, Chosen: true}.Reads())
-	is.True(!Start{Age: 70 * ms, Met: true}.Reads())
-	is.True(!Start{Age: peersFor - ms, Met: true}.Reads())
-	is.True(Start{Age: peersFor, Met: true}.Reads())
-	is.True(!Start{Age: peersFor + 500*ms, Met: true, Spread: 0.9}.Reads()) // not all at the same moment
-	is.True(Start{Age: peersFor + spreadOver, Spread: 1}.Reads())           // but nobody waits for good
+	is.True(!Startup{Age: 50 * ms, IsReader: true}.ShouldRead()) // who else starts is not known yet
+	is.True(Startup{Age: 70 * ms, KnowsPeers: true, IsReader: true}.ShouldRead())
+	is.True(!Startup{Age: 70 * ms, KnowsPeers: true}.ShouldRead())
+	is.True(!Startup{Age: peersFor - ms, KnowsPeers: true}.ShouldRead())
+	is.True(Startup{Age: peersFor, KnowsPeers: true}.ShouldRead())
+	is.True(!Startup{Age: peersFor + 500*ms, KnowsPeers: true, Jitter: 0.9}.ShouldRead()) // not all at the same moment
+	is.True(Startup{Age: peersFor + spreadOver, Jitter: 1}.ShouldRead())                  // but nobody waits for good
 }
