--- a/cmd/coord/list.go
+++ b/cmd/coord/list.go
@@ -125,7 +125,7 @@
 	for _, r := range c.replicas.All() {
 		before[r.ID] = r.Leaving
 	}
-	changed := c.replicas.List(list)
+	changed := c.replicas.ReplaceAll(list)
 	c.listAt = time.Now()
 	all := c.replicas.All()
 	var leaves []replicas.Replica
@@ -150,7 +150,7 @@
 	c.replicasMu.Lock()
 	var news []replicas.Replica
 	for _, s := range signs {
-		if c.replicas.Leaving(s.GetId(), s.GetIncarnation()) {
+		if c.replicas.MarkLeaving(s.GetId(), s.GetIncarnation()) {
 			c.signs[s.GetId()] = newsRounds
 			news = append(news, convert.FromReplica(s))
 		}
--- a/coordination/replicas/replicas.go
+++ b/coordination/replicas/replicas.go
@@ -31,7 +31,7 @@
 
 // List takes in the platform's whole list and reports whether the set changed.
 // A replica that the list no longer has is dropped.
-func (s *Set) List(list []Replica) bool {
+func (s *Set) ReplaceAll(list []Replica) bool {
 	changed := false
 	seen := make(map[string]bool, len(list))
 	for _, r := range list {
@@ -61,7 +61,7 @@
 }
 
 // Leaving takes in a sign that an incarnation leaves; true when it is news.
-func (s *Set) Leaving(id string, incarnation uint64) bool {
+func (s *Set) MarkLeaving(id string, incarnation uint64) bool {
 	if !s.note(id, incarnation) {
 		return false
 	}
