--- a/cmd/node/parts.go
+++ b/cmd/node/parts.go
@@ -59,7 +59,7 @@
 		}
 		w.parts.counts[region] = max((most+cellReplicas-1)/cellReplicas, 1)
 		for _, list := range services {
-			maps.Copy(cellOf, cells.Part(list, w.parts.counts[region]))
+			maps.Copy(cellOf, cells.Assign(list, w.parts.counts[region]))
 		}
 	}
 	for _, r := range w.all {
--- a/coordination/cells/cells.go
+++ b/coordination/cells/cells.go
@@ -18,7 +18,7 @@
 )
 
 // Part returns the cell of each replica of one service, from 0 to cells-1.
-func Part(replicas []string, cells int) map[string]int {
+func Assign(replicas []string, cells int) map[string]int {
 	out := make(map[string]int, len(replicas))
 	if cells <= 1 {
 		for _, id := range replicas {
--- a/coordination/cells/cells_test.go
+++ b/coordination/cells/cells_test.go
@@ -21,7 +21,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := ids(rapid.IntRange(0, 200).Draw(t, "replicas"))
 		n := rapid.IntRange(1, 20).Draw(t, "cells")
-		parts := Part(list, n)
+		parts := Assign(list, n)
 		count := make([]int, n)
 		for _, c := range parts {
 			count[c]++
@@ -29,7 +29,7 @@
 		if len(parts) != len(list) || slices.Max(count)-slices.Min(count) > 1 {
 			t.Fatalf("%d replicas in cells of %v", len(parts), count)
 		}
-		other := Part(rapid.Permutation(list).Draw(t, "order"), n)
+		other := Assign(rapid.Permutation(list).Draw(t, "order"), n)
 		for id, c := range parts {
 			if other[id] != c {
 				t.Fatalf("%s is in cell %d and in %d", id, c, other[id])
@@ -44,10 +44,10 @@
 	for _, size := range []int{15, 19, 90, 140} {
 		list := ids(size)
 		const n = 5
-		before := Part(list, n)
+		before := Assign(list, n)
 		moved := 0
 		for gone := range list {
-			after := Part(slices.Delete(slices.Clone(list), gone, gone+1), n)
+			after := Assign(slices.Delete(slices.Clone(list), gone, gone+1), n)
 			for id, c := range after {
 				if c != before[id] {
 					moved++
