--- a/cmd/coord/plans.go
+++ b/cmd/coord/plans.go
@@ -52,7 +52,7 @@
 		ID: rand.Text(), Base: rev.Revision, By: by, State: statePlanned, Text: text,
 		Inputs: api.PlanInputs{Instances: len(p.coord.members()), Replicas: len(all)},
 	}
-	fill(out, planner.Make(next, old, all))
+	fill(out, planner.Compute(next, old, all))
 	if old != nil && reflect.DeepEqual(next, old) {
 		out.State = stateUnchanged
 		return out, nil
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -36,7 +36,7 @@
 
 // Make compares the declared fleet with the one in force, which may be nil,
 // over the replicas that are there.
-func Make(next, old *fleet.Fleet, there []replicas.Replica) Plan {
+func Compute(next, old *fleet.Fleet, there []replicas.Replica) Plan {
 	p := Plan{Changes: changes(next, old)}
 	capacity := capacities(next, there)
 	for _, pl := range next.Pipelines {
--- a/coordination/planner/planner_test.go
+++ b/coordination/planner/planner_test.go
@@ -30,8 +30,8 @@
 // One declared weight makes the plans differ: more replicas for attainment.
 func TestWeightDecidesCapacity(t *testing.T) {
 	is := is.New(t)
-	attain := Make(declared(1, 240), nil, there(12))
-	cost := Make(declared(0, 240), nil, there(12))
+	attain := Compute(declared(1, 240), nil, there(12))
+	cost := Compute(declared(0, 240), nil, there(12))
 	is.Equal(attain.Needs[0].Replicas, 10) // 24 slots of load at 60%
 	is.Equal(cost.Needs[0].Replicas, 7)    // at 90%
 	is.Equal(attain.Needs[0].CostSec, 240.0)
@@ -40,9 +40,9 @@
 
 func TestOutlookFallsWithLoad(t *testing.T) {
 	is := is.New(t)
-	light := Make(declared(1, 100), nil, there(12)).Outlooks[0].Attainment
-	heavy := Make(declared(1, 475), nil, there(12)).Outlooks[0].Attainment
-	over := Make(declared(1, 500), nil, there(12))
+	light := Compute(declared(1, 100), nil, there(12)).Outlooks[0].Attainment
+	heavy := Compute(declared(1, 475), nil, there(12)).Outlooks[0].Attainment
+	over := Compute(declared(1, 500), nil, there(12))
 	is.True(light > 0.99)
 	is.True(heavy < light && heavy > 0)
 	is.Equal(over.Outlooks[0].Attainment, 0.0)
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	old, next := declared(1, 1), declared(1, 2)
 	next.Services = append(next.Services, fleet.Service{Name: "new", Slots: 1})
-	is.Equal(Make(next, old, nil).Changes, []string{"+ service new", "~ pipeline p"})
-	is.Equal(len(Make(old, old, nil).Changes), 0)
-	is.Equal(Make(old, next, nil).Changes, []string{"- service new", "~ pipeline p"})
+	is.Equal(Compute(next, old, nil).Changes, []string{"+ service new", "~ pipeline p"})
+	is.Equal(len(Compute(old, old, nil).Changes), 0)
+	is.Equal(Compute(old, next, nil).Changes, []string{"- service new", "~ pipeline p"})
 }
