--- a/coordination/placement/options.go
+++ b/coordination/placement/options.go
@@ -10,7 +10,7 @@
 // typical request, and the time constants of the engine state.
 type Options struct {
 	FirstEventSecondCost float64       // per second until the first event
-	LateCost             float64       // of a first event after its deadline
+	LateCost             float64       // of a first event later than its objective (Request.Slack)
 	StallCost            float64       // of pausing one running stream for StallMax
 	StallMin             time.Duration // shortest pause that costs anything
 	StallMax             time.Duration // pause at which the full StallCost applies
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -48,11 +48,11 @@
 
 // countSuspect adds by to the engine's suspect and trial counts, as far as they
 // apply to a request with that many crashes.
-func (e *engine) countSuspect(ended, by int) {
-	if ended > 0 {
+func (e *engine) countSuspect(crashes, by int) {
+	if crashes > 0 {
 		e.suspects += by
 	}
-	if ended >= TrialThreshold {
+	if crashes >= TrialThreshold {
 		e.trials += by
 	}
 }
