--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -20,8 +20,8 @@
 // Records holds the newest record of each origin. It is not safe for concurrent
 // use.
 type Records struct {
-	rows  []*entry
-	round int
+	entries []*entry
+	round   int
 }
 
 type entry struct {
@@ -67,11 +67,11 @@
 	}
 	if old == nil {
 		old = &entry{}
-		r.rows = append(r.rows, old)
+		r.entries = append(r.entries, old)
 	}
 	sends := 0
 	if !n.Figures.Differs(&old.Figures) {
-		sends = old.sends // no significant change: resent only in its resend round
+		sends = old.sends // no significant change: the resend schedule continues
 	}
 	*old = entry{Record: n, observedAt: now - n.Age, sends: sends}
 	r.prune(now)
@@ -86,7 +86,7 @@
 }
 
 func (r *Records) find(service string, origin uint32) *entry {
-	for _, x := range r.rows {
+	for _, x := range r.entries {
 		if x.Service == service && x.Origin == origin {
 			return x
 		}
@@ -96,9 +96,9 @@
 
 // prune removes expired records and, per service, all but the newest.
 func (r *Records) prune(now time.Duration) {
-	slices.SortStableFunc(r.rows, func(a, b *entry) int { return cmp.Compare(b.observedAt, a.observedAt) })
+	slices.SortStableFunc(r.entries, func(a, b *entry) int { return cmp.Compare(b.observedAt, a.observedAt) })
 	seen := make(map[string]int)
-	r.rows = slices.DeleteFunc(r.rows, func(x *entry) bool {
+	r.entries = slices.DeleteFunc(r.entries, func(x *entry) bool {
 		seen[x.Service]++
 		return now-x.observedAt >= recordTTL || seen[x.Service] > maxOriginsPerService
 	})
@@ -106,12 +106,12 @@
 
 // Differs reports whether the figures changed enough to be announced.
 func (f *Figures) Differs(from *Figures) bool {
-	return differ(f.Usual.Base, from.Usual.Base, significantChange) || differ(f.Usual.PerToken, from.Usual.PerToken, significantChange) ||
-		differ(f.Likely.Base, from.Likely.Base, significantChange) || differ(f.Likely.PerToken, from.Likely.PerToken, significantChange) ||
-		differ(f.PerOut, from.PerOut, significantChangeCoarse) || differ(time.Duration(f.Longest), time.Duration(from.Longest), significantChangeCoarse)
+	return differsBy(f.Usual.Base, from.Usual.Base, significantChange) || differsBy(f.Usual.PerToken, from.Usual.PerToken, significantChange) ||
+		differsBy(f.Likely.Base, from.Likely.Base, significantChange) || differsBy(f.Likely.PerToken, from.Likely.PerToken, significantChange) ||
+		differsBy(f.PerOut, from.PerOut, significantChangeCoarse) || differsBy(time.Duration(f.Longest), time.Duration(from.Longest), significantChangeCoarse)
 }
 
-func differ(a, b time.Duration, share float64) bool {
+func differsBy(a, b time.Duration, share float64) bool {
 	return math.Abs(float64(a-b)) > share*float64(max(a, b))
 }
 
@@ -120,7 +120,7 @@
 func (r *Records) NextMessage(now time.Duration) []Record {
 	r.round++
 	var out []Record
-	for i, x := range r.rows {
+	for i, x := range r.entries {
 		if now-x.observedAt >= recordTTL || x.sends >= sendsPerRecord && (r.round+i)%resendRounds != 0 || len(out) == maxRecordsPerMessage {
 			continue
 		}
@@ -133,7 +133,7 @@
 // All returns the newest unexpired records, as many as fit a message.
 func (r *Records) All(now time.Duration) []Record {
 	var out []Record
-	for _, x := range r.rows {
+	for _, x := range r.entries {
 		if now-x.observedAt < recordTTL && len(out) < maxRecordsPerMessage {
 			out = append(out, x.at(now))
 		}
@@ -153,7 +153,7 @@
 func (r *Records) Combined(now time.Duration, service string) (Figures, bool) {
 	var rows []*entry
 	var weights []float64
-	for _, x := range r.rows {
+	for _, x := range r.entries {
 		if x.Service == service && now-x.observedAt < recordTTL {
 			rows = append(rows, x)
 			weights = append(weights, float64(min(x.Figures.Count, maxCountWeight))*(1-float64(now-x.observedAt)/float64(recordTTL)))
@@ -162,18 +162,18 @@
 	if len(rows) == 0 {
 		return Figures{}, false
 	}
-	middle := func(of func(*Figures) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
+	median := func(of func(*Figures) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
 	return Figures{
 		Usual: Line{
-			Base:     middle(func(f *Figures) time.Duration { return f.Usual.Base }),
-			PerToken: middle(func(f *Figures) time.Duration { return f.Usual.PerToken }),
+			Base:     median(func(f *Figures) time.Duration { return f.Usual.Base }),
+			PerToken: median(func(f *Figures) time.Duration { return f.Usual.PerToken }),
 		},
 		Likely: Line{
-			Base:     middle(func(f *Figures) time.Duration { return f.Likely.Base }),
-			PerToken: middle(func(f *Figures) time.Duration { return f.Likely.PerToken }),
+			Base:     median(func(f *Figures) time.Duration { return f.Likely.Base }),
+			PerToken: median(func(f *Figures) time.Duration { return f.Likely.PerToken }),
 		},
-		PerOut:  middle(func(f *Figures) time.Duration { return f.PerOut }),
-		Longest: int(middle(func(f *Figures) time.Duration { return time.Duration(f.Longest) })),
+		PerOut:  median(func(f *Figures) time.Duration { return f.PerOut }),
+		Longest: int(median(func(f *Figures) time.Duration { return time.Duration(f.Longest) })),
 		Count:   len(rows),
 	}, true
 }
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -86,7 +86,7 @@
 	prior        Figures
 	current      Figures
 	sizes        sizeWindows
-	outs         generationTimes
+	generations  generationTimes
 	medianFactor float64 // running median of the replicas' factors
 	nextFit      int     // count at which the lines are fitted next
 }
@@ -147,13 +147,13 @@
 
 // Observe records a time to first event for the given number of prefilled
 // tokens, including those queued ahead of the request. Observations of a
-// warming replica (cold) don't count for the service.
-func (s *Service) Observe(now time.Duration, r *Replica, tokens int, took time.Duration, cold bool) {
+// warming replica don't count for the service.
+func (s *Service) Observe(now time.Duration, r *Replica, tokens int, took time.Duration, warming bool) {
 	if took <= 0 {
 		return
 	}
 	s.updateFactor(r, tokens, took)
-	if cold || s.isOutlier(r) {
+	if warming || s.isOutlier(r) {
 		return
 	}
 	s.current.Count++
@@ -197,9 +197,9 @@
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	s.outs.add(took / time.Duration(tokens))
-	if s.outs.n >= s.opts.MinObservations {
-		s.current.PerOut = s.outs.median()
+	s.generations.add(took / time.Duration(tokens))
+	if s.generations.n >= s.opts.MinObservations {
+		s.current.PerOut = s.generations.median()
 	}
 }
 
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -196,7 +196,7 @@
 	for origin := range uint32(100) {
 		tell(10+origin, 9000, 0)
 	}
-	is.True(len(records.rows) <= maxOriginsPerService)
+	is.True(len(records.entries) <= maxOriginsPerService)
 	is.True(len(records.All(time.Hour)) <= maxRecordsPerMessage)
 }
 
