--- a/coordination/choice/choice.go
+++ b/coordination/choice/choice.go
@@ -1,9 +1,9 @@
 // Package choice picks the replica for a request: for plain services the one
-// that is likely to answer first, for engines the one that keeps most of the
-// prompt.
+// with the shortest expected answer time, for engines the one most likely to
+// have the longest prefix of the prompt cached.
 //
-// It works on the instance's own counts and on the load that replicas tell in
-// their answers, which is older the rarer the answers are. It is pure.
+// It uses this instance's own request counts and the load that replicas report
+// in their answers, which is staler the fewer answers there are. It is pure.
 package choice
 
 import (
@@ -17,113 +17,117 @@
 	"quinceroad/state/catalog"
 )
 
-// Table counts what is under way at each replica. It is not safe for
-// concurrent use.
+// Table tracks the load of each replica. It is not safe for concurrent use.
 type Table struct {
-	rows map[string]*row
+	loads map[string]*replicaLoad
 }
 
-type row struct {
-	own      int // requests of this instance under way
-	reported int // requests at it, as it told last
-	told     time.Duration
-	took     float64 // seconds to an answer, a moving average
+type replicaLoad struct {
+	inFlight          int // requests of this instance in flight
+	reported          int // requests at the replica, by its last report
+	reportedAt        time.Duration
+	meanAnswerSeconds float64 // moving average; 0: unknown
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{rows: make(map[string]*row)} }
+func NewTable() *Table { return &Table{loads: make(map[string]*replicaLoad)} }
 
-func (t *Table) row(id string) *row {
-	r := t.rows[id]
+func (t *Table) loadOf(id string) *replicaLoad {
+	r := t.loads[id]
 	if r == nil {
-		r = &row{}
-		t.rows[id] = r
+		r = &replicaLoad{}
+		t.loads[id] = r
 	}
 	return r
 }
 
-// Begin counts a request at a replica; End ends it.
-func (t *Table) Begin(id string) { t.row(id).own++ }
+// Begin counts a request sent to a replica; End counts it off again.
+func (t *Table) Begin(id string) { t.loadOf(id).inFlight++ }
 
-// End takes in the end of a request and how long the answer took; 0 when there was none.
+// End records the end of a request and its answer time; 0 if there was no
+// answer.
 func (t *Table) End(id string, took time.Duration) {
-	r := t.row(id)
-	r.own--
+	r := t.loadOf(id)
+	r.inFlight--
 	if took > 0 {
-		r.took = blend(r.took, took.Seconds())
+		r.meanAnswerSeconds = movingAverage(r.meanAnswerSeconds, took.Seconds())
 	}
 }
 
-// Told takes in the load that a replica tells: the request it answers is not counted.
-func (t *Table) RecordLoad(now time.Duration, id string, atWork int) {
-	r := t.row(id)
-	r.reported, r.told = max(atWork, 0), now
+// RecordLoad records the number of running requests that a replica reports,
+// without the one that it just answered.
+func (t *Table) RecordLoad(now time.Duration, id string, running int) {
+	r := t.loadOf(id)
+	r.reported, r.reportedAt = max(running, 0), now
 }
 
-// Took returns the usual time to an answer of a replica, 0 when not known.
+// MeanAnswerTime returns the moving average of a replica's answer times; 0 if
+// unknown.
 func (t *Table) MeanAnswerTime(id string) time.Duration {
-	if r := t.rows[id]; r != nil {
-		return time.Duration(r.took * float64(time.Second))
+	if r := t.loads[id]; r != nil {
+		return time.Duration(r.meanAnswerSeconds * float64(time.Second))
 	}
 	return 0
 }
 
-// Forget drops the replicas that keep does not name and that nothing is at.
+// Prune drops the replicas without requests in flight for which keep returns
+// false.
 func (t *Table) Prune(keep func(id string) bool) {
-	for id, r := range t.rows {
-		if r.own == 0 && !keep(id) {
-			delete(t.rows, id)
+	for id, r := range t.loads {
+		if r.inFlight == 0 && !keep(id) {
+			delete(t.loads, id)
 		}
 	}
 }
 
-const rate = 0.15 // weight of a new answer's time: the last seven or so count
+const answerTimeWeight = 0.15 // weight of a new answer time: about the last seven count
 
-func blend(old, x float64) float64 {
+func movingAverage(old, x float64) float64 {
 	if old == 0 {
 		return x
 	}
-	return old + rate*(x-old)
+	return old + answerTimeWeight*(x-old)
 }
 
-// reportLife is how long a told load counts at half.
-const reportLife = 400 * time.Millisecond
+// reportHalfLife is the time after which a reported load counts half.
+const reportHalfLife = 400 * time.Millisecond
 
-func (r *row) load(now time.Duration) float64 {
-	age := float64(now-r.told) / float64(reportLife)
-	return max(float64(r.own), float64(r.reported)*math.Exp2(-age))
+func (r *replicaLoad) current(now time.Duration) float64 {
+	age := float64(now-r.reportedAt) / float64(reportHalfLife)
+	return max(float64(r.inFlight), float64(r.reported)*math.Exp2(-age))
 }
 
-// Plain picks a replica of a plain service among candidates: of three at
-// random, the one with the shortest expected time. Nearer ones come first when
-// equal; those of other regions are looked at while those of the own are full.
+// PickReplica picks the replica of a plain service with the shortest expected
+// time of up to three random candidates (power of random choices). Closer
+// replicas win if the times are similar; remote regions are only considered if
+// the best local replica is full.
 func (t *Table) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
-	var near, far []catalog.Replica
+	var local, remote []catalog.Replica
 	for _, r := range candidates {
 		if distance(r.Hall) == regions.Remote {
-			far = append(far, r)
+			remote = append(remote, r)
 		} else {
-			near = append(near, r)
+			local = append(local, r)
 		}
 	}
-	if len(near) == 0 {
-		return t.best(now, distance, far, random)
+	if len(local) == 0 {
+		return t.bestOfThree(now, distance, remote, random)
 	}
-	best := t.best(now, distance, near, random)
-	if len(far) == 0 || t.row(best.ID).load(now) < float64(max(best.Slots, 1)) {
+	best := t.bestOfThree(now, distance, local, random)
+	if len(remote) == 0 || t.loadOf(best.ID).current(now) < float64(max(best.Slots, 1)) {
 		return best
 	}
-	if other := t.best(now, distance, far, random); t.expected(now, distance, other) < t.expected(now, distance, best) {
+	if other := t.bestOfThree(now, distance, remote, random); t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
 		return other
 	}
 	return best
 }
 
-func (t *Table) best(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (t *Table) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	best := candidates[random.IntN(len(candidates))]
 	for range min(len(candidates)-1, 2) {
 		other := candidates[random.IntN(len(candidates))]
-		if t.expected(now, distance, other) < t.expected(now, distance, best) {
+		if t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
 			best = other
 		}
 	}
@@ -131,25 +135,25 @@
 }
 
 const (
-	unknownTime = 0.02  // seconds, of a replica that has not answered yet
-	otherHall   = 0.002 // seconds
-	otherRegion = 0.06  // seconds there and back, and as much again for the bytes
+	defaultAnswerTime = 0.02  // seconds, of a replica that has not answered yet
+	crossHallTime     = 0.002 // seconds
+	crossRegionTime   = 0.06  // seconds: the round trip, and as much again for the transfer
 )
 
-func (t *Table) expected(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
-	x := t.row(r.ID)
-	took := x.took
+func (t *Table) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
+	x := t.loadOf(r.ID)
+	took := x.meanAnswerSeconds
 	if took == 0 {
-		took = unknownTime
+		took = defaultAnswerTime
 	}
 	slots := float64(max(r.Slots, 1))
-	waits := x.load(now) / slots
-	e := took * (1 + waits*waits*2)
+	utilization := x.current(now) / slots
+	e := took * (1 + utilization*utilization*2)
 	switch distance(r.Hall) {
 	case regions.SameRegion:
-		e += otherHall
+		e += crossHallTime
 	case regions.Remote:
-		e += otherRegion
+		e += crossRegionTime
 	}
 	if r.Warming > 0 {
 		e *= 2
@@ -157,25 +161,27 @@
 	return e
 }
 
-// Engine is where a stream runs and from where its prompt is fetched.
+// Engine is the engine chosen for a stream, and where it fetches the cached
+// prefix that it lacks.
 type Engine struct {
 	Replica   catalog.Replica
-	FetchFrom string // IP:port of the replica that should keep what this one lacks; "" for none
+	FetchFrom string // IP:port of the replica that probably has the prefix cached; "" if nothing is fetched
 }
 
-// boundFactor is how much above the average load an engine may be and still
-// get the requests whose prompt it keeps.
+// Load bound of an engine relative to the average load, above which it doesn't
+// get the requests whose prompt it has cached.
 const (
-	boundFactor = 1.5 // consistent hashing with bounded loads: 1.25 to 2 are usual
-	boundSlack  = 4   // requests, so that few of them are not spread for nothing
+	boundFactor = 1.5 // consistent hashing with bounded loads; usual values are 1.25 to 2
+	boundSlack  = 4   // requests, so that a few requests are not spread needlessly
 )
 
-// Engines picks the engine for a request. The homes of a prompt are ranked by
-// hash of its longest shared run of parts, so that all instances name the same
-// one and those that share parts meet; an overloaded home passes the request
-// on, and the next one fetches what it lacks.
-func (t *Table) PickEngine(now time.Duration, shared []catalog.Part, own string, candidates []catalog.Replica) Engine {
-	key := own
+// PickEngine picks the engine for a request. Engines are ranked by rendezvous
+// hashing on the longest shared prefix of the prompt, so that all instances
+// choose the same home and requests with common parts meet there. If the home
+// is overloaded, the next engine in rank runs the request and fetches the
+// cached prefix from the home.
+func (t *Table) PickEngine(now time.Duration, shared []catalog.Part, request string, candidates []catalog.Replica) Engine {
+	key := request
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
@@ -184,7 +190,7 @@
 	total := 0.0
 	for _, r := range ranked {
 		weights[r.ID] = rendezvous.Weight(key, r.ID)
-		total += t.row(r.ID).load(now)
+		total += t.loadOf(r.ID).current(now)
 	}
 	slices.SortFunc(ranked, func(a, b catalog.Replica) int {
 		if weights[a.ID] > weights[b.ID] {
@@ -195,7 +201,7 @@
 	bound := total/float64(len(ranked))*boundFactor + boundSlack
 	chosen := ranked[0]
 	for _, r := range ranked {
-		if t.row(r.ID).load(now) <= bound {
+		if t.loadOf(r.ID).current(now) <= bound {
 			chosen = r
 			break
 		}
@@ -214,10 +220,10 @@
 		return ""
 	}
 	first := shared[0].ID
-	best, most := catalog.Replica{}, uint64(0)
+	best, highest := catalog.Replica{}, uint64(0)
 	for _, r := range candidates {
-		if w := rendezvous.Weight(first, r.ID); w >= most {
-			best, most = r, w
+		if w := rendezvous.Weight(first, r.ID); w >= highest {
+			best, highest = r, w
 		}
 	}
 	if best.ID == chosen.ID {
