--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -1,5 +1,5 @@
-// Package estimate learns how long stages take by input size, with the mean
-// and deviation filters of Jacobson (1988).
+// Package estimate estimates the duration of stages by input size, with the
+// mean and deviation filters of Jacobson (1988).
 package estimate
 
 import (
@@ -8,58 +8,59 @@
 )
 
 const (
-	gain     = 0.05 // weight of a new sample once there are enough
-	buckets  = 24   // by the power of two of the input size in bytes
-	enough   = 8    // samples before the declared guess is dropped
-	devShare = 2    // deviations above the mean that make the high estimate
+	gain                 = 0.05 // weight of a new sample in the steady state
+	buckets              = 24   // by powers of two of the input size in bytes
+	minSamples           = 8    // samples after which the declared duration is no longer used
+	upperBoundDeviations = 2    // deviations above the mean
 )
 
-// Stage estimates one pipeline stage; not safe for concurrent use.
+// Stage estimates the duration of one pipeline stage. It is not safe for
+// concurrent use.
 type Stage struct {
 	prior   time.Duration
-	buckets [buckets]sample
-	all     sample
+	buckets [buckets]statistics
+	all     statistics
 }
 
-type sample struct {
+type statistics struct {
 	n    int
 	mean float64 // nanoseconds
 	dev  float64
 }
 
-// New returns an estimator that starts from the declared guess.
+// New returns an estimator that starts from the declared duration.
 func New(prior time.Duration) *Stage { return &Stage{prior: prior} }
 
-// Observe takes in one measured time.
+// Observe records a measured duration for an input of the given bytes.
 func (s *Stage) Observe(size int, took time.Duration) {
 	s.buckets[bucket(size)].add(took)
 	s.all.add(took)
 }
 
-// Mean returns the expected time for an input of that many bytes.
+// Mean returns the expected duration for an input of the given bytes.
 func (s *Stage) Mean(size int) time.Duration {
-	m, _ := s.pick(size)
+	m, _ := s.statistics(size)
 	return m
 }
 
-// High returns a time that few requests of that size exceed.
+// UpperBound returns a duration that few inputs of that size exceed.
 func (s *Stage) UpperBound(size int) time.Duration {
-	m, d := s.pick(size)
-	return m + devShare*d
+	m, d := s.statistics(size)
+	return m + upperBoundDeviations*d
 }
 
-func (s *Stage) pick(size int) (mean, dev time.Duration) {
+func (s *Stage) statistics(size int) (mean, dev time.Duration) {
 	b := &s.buckets[bucket(size)]
-	if b.n < enough {
+	if b.n < minSamples {
 		b = &s.all
 	}
-	if b.n < enough {
+	if b.n < minSamples {
 		return s.prior, s.prior / 2
 	}
 	return time.Duration(b.mean), time.Duration(b.dev)
 }
 
-func (s *sample) add(took time.Duration) {
+func (s *statistics) add(took time.Duration) {
 	s.n++
 	g := max(gain, 1/float64(s.n))
 	x := float64(took)
