--- a/coordination/regions/allowed.go
+++ b/coordination/regions/allowed.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// Allowed is the set of regions that may serve and keep a request. The zero
-// value allows all, also halls that nobody can place.
+// Allowed is the set of regions that may serve and store a request. The zero
+// value allows all regions, including halls of unknown region.
 type Allowed struct {
-	bound bool
-	names []string
+	restricted bool
+	names      []string
 }
 
-// Bind returns what all of the given lists allow; an empty list binds nothing.
+// Intersect returns the regions that all of the given lists allow; an empty
+// list doesn't restrict.
 func Intersect(lists ...[]string) Allowed {
 	var a Allowed
 	for _, list := range lists {
 		switch {
 		case len(list) == 0:
-		case !a.bound:
-			a = Allowed{bound: true, names: slices.Clone(list)}
+		case !a.restricted:
+			a = Allowed{restricted: true, names: slices.Clone(list)}
 		default:
 			a.names = slices.DeleteFunc(a.names, func(name string) bool { return !slices.Contains(list, name) })
 		}
@@ -24,14 +25,14 @@
 	return a
 }
 
-// Bound reports whether some regions may not serve.
-func (a Allowed) IsRestricted() bool { return a.bound }
+// IsRestricted reports whether only some regions are allowed.
+func (a Allowed) IsRestricted() bool { return a.restricted }
 
-// Has reports whether a region may serve; one that is not known may not where
-// any is named.
+// Allows reports whether a region may serve the request. An unknown region ("")
+// is not allowed if there is any restriction.
 func (a Allowed) Allows(region string) bool {
-	return !a.bound || region != "" && slices.Contains(a.names, region)
+	return !a.restricted || region != "" && slices.Contains(a.names, region)
 }
 
-// Names returns the regions that may serve; nil where all may.
+// Names returns the allowed regions; nil if all are allowed.
 func (a Allowed) Names() []string { return a.names }
--- a/coordination/regions/regions.go
+++ b/coordination/regions/regions.go
@@ -1,25 +1,24 @@
-// Package regions says how far apart data halls are, which cells serve which
-// region, and which regions may serve a request.
+// Package regions maps data halls to regions, numbers the cells of each region,
+// and decides which regions may serve a request.
 //
-// A region is a group of halls that are near each other. What lies between two
-// regions is slow and dear, so each region decides for itself, and one asks
-// another only for what it can't do. A hall that nobody can place counts as far
-// from all others. It is pure.
+// A region is a group of halls close to each other. Links between regions are
+// slow and expensive, so each region decides for itself and asks another only
+// for requests that it can't serve. A hall of unknown region counts as remote
+// from all others. The package is pure.
 package regions
 
 import "slices"
 
-// Distance is how far two halls are apart.
+// Distance classifies how far apart two halls are.
 type Distance int
 
-// The distances, the shortest first.
+// The distances, in ascending order.
 const (
 	SameHall Distance = iota
 	SameRegion
 	Remote
 )
 
-// String implements fmt.Stringer.
 func (d Distance) String() string {
 	switch d {
 	case SameHall:
@@ -30,14 +29,14 @@
 	return "far"
 }
 
-// Map knows the regions of halls. It is never changed once made.
+// Map maps halls to regions. It is immutable.
 type Map struct {
 	byHall map[string]string
-	names  []string // by name; the last one is "", of the halls that nobody can place
+	names  []string // sorted; the last one is "", for halls of unknown region
 }
 
-// New returns the map of halls whose regions are stated. Where none is, all
-// halls are one region.
+// New returns the map of the halls with configured regions. If there are none,
+// all halls form one region.
 func New(byHall map[string]string) *Map {
 	m := &Map{byHall: byHall}
 	for _, region := range byHall {
@@ -50,17 +49,17 @@
 	return m
 }
 
-// Of returns the region of a hall, "" where it is not known.
+// RegionOf returns the region of a hall; "" if unknown.
 func (m *Map) RegionOf(hall string) string { return m.byHall[hall] }
 
-// Names returns the regions by name, the last one "" for the halls that nobody
-// can place.
+// Names returns the sorted region names; the last one is "", for halls of
+// unknown region.
 func (m *Map) Names() []string { return m.names }
 
-// Stated reports whether any hall's region is stated.
+// HasRegions reports whether any hall has a configured region.
 func (m *Map) HasRegions() bool { return len(m.names) > 1 }
 
-// Between returns the distance of two halls.
+// Distance returns the distance between two halls.
 func (m *Map) Distance(a, b string) Distance {
 	region := m.byHall[a]
 	switch {
@@ -72,23 +71,24 @@
 	return Remote
 }
 
-// Stride is the number of cells that a region may have: the first cell of the
-// region in place i is i times that, so that one region's growth does not
-// number another's anew.
+// MaxCellsPerRegion is the size of the block of cell numbers reserved for each
+// region: the region with index i starts at i times that, so that adding cells
+// in one region doesn't renumber another's.
 const MaxCellsPerRegion = 1 << 10
 
-// Cell returns the number of a region's cell.
+// CellNumber returns the global number of a region's cell.
 func (m *Map) CellNumber(region string, local int) int {
-	return m.place(region)*MaxCellsPerRegion + local
+	return m.regionIndex(region)*MaxCellsPerRegion + local
 }
 
-// Home returns the region of a cell and the cell's place there.
+// RegionOfCell returns the region of a cell and its local number there; the
+// inverse of CellNumber.
 func (m *Map) RegionOfCell(cell int) (region string, local int) {
-	place := min(cell/MaxCellsPerRegion, len(m.names)-1)
-	return m.names[place], cell % MaxCellsPerRegion
+	index := min(cell/MaxCellsPerRegion, len(m.names)-1)
+	return m.names[index], cell % MaxCellsPerRegion
 }
 
-func (m *Map) place(region string) int {
+func (m *Map) regionIndex(region string) int {
 	if i := slices.Index(m.names, region); i >= 0 {
 		return i
 	}
