--- a/coordination/readers/readers.go
+++ b/coordination/readers/readers.go
@@ -1,10 +1,11 @@
-// Package readers decides which instances follow the platform's store. A few
-// of each hall do, and tell the others, so that the calls to the store follow
-// the number of halls and of changes, not of instances.
+// Package readers decides which instances read the platform's store. A few
+// readers per hall do so and forward the changes to the other instances, so
+// that the load on the store grows with the number of halls and changes, not of
+// instances.
 //
-// The choice is soft: each instance makes it from the view it has. Too many
-// readers for a moment cost some calls; an instance that hears of no reader in
-// its hall reads by itself.
+// The choice is soft: each instance makes it from its own view. Too many
+// readers for a moment only cost some calls, and an instance that knows of no
+// reader in its hall reads the store itself.
 package readers
 
 import (
@@ -16,12 +17,12 @@
 )
 
 const (
-	leastReaders = 3 // in a fleet, however few halls it has
-	key          = "store"
+	minReaders    = 3 // for the whole fleet, even if it has fewer halls
+	rendezvousKey = "store"
 )
 
-// Chosen reports whether the instance of that name is to follow the store,
-// among those alive.
+// IsReader reports whether the instance of that name should read the store,
+// given the live instances.
 func IsReader(name string, alive []gossip.Instance) bool {
 	halls := make(map[string][]gossip.Instance)
 	hall := ""
@@ -31,8 +32,8 @@
 			hall = i.Hall
 		}
 	}
-	candidates := ranked(halls[hall])
-	perHall := (leastReaders + len(halls) - 1) / max(len(halls), 1)
+	candidates := rankCandidates(halls[hall])
+	perHall := (minReaders + len(halls) - 1) / max(len(halls), 1)
 	for _, i := range candidates[:min(perHall, len(candidates))] {
 		if i.Name == name {
 			return true
@@ -41,15 +42,16 @@
 	return false
 }
 
-// ranked returns the instances of a hall, the one that should read first in
-// front: one that reaches the store and stays, that reads already, that runs for
-// a while, with most of a processor. Who reads already goes before who runs for
-// longer: each hears of its own heartbeats first, and when all have started at
-// once everyone would take its turn as soon as it has run for long enough.
-func ranked(hall []gossip.Instance) []gossip.Instance {
+// rankCandidates returns the instances of a hall, best reader first. Preferred
+// are, in this order, instances that can reach the store, that are not leaving,
+// that are readers already, that have been running for a while, and that have
+// the largest share of a processor. Being a reader counts more than uptime
+// because each instance sees its own heartbeats first: when all start at once,
+// each would otherwise take over as soon as it has been running long enough.
+func rankCandidates(hall []gossip.Instance) []gossip.Instance {
 	out := slices.Clone(hall)
 	share := gossip.ByShare(out)
-	rank := func(i gossip.Instance) int { // each reason goes before all that follow it
+	rank := func(i gossip.Instance) int { // each reason outweighs all before it
 		r := share(i)
 		for n, reason := range []bool{!i.Settled(), !i.Reads, i.Leaving, i.Blind} {
 			if reason {
@@ -59,7 +61,7 @@
 		return r
 	}
 	slices.SortFunc(out, func(a, b gossip.Instance) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(rendezvous.Weight(key, b.Name), rendezvous.Weight(key, a.Name)))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(rendezvous.Weight(rendezvousKey, b.Name), rendezvous.Weight(rendezvousKey, a.Name)))
 	})
 	return out
 }
--- a/coordination/readers/readers_test.go
+++ b/coordination/readers/readers_test.go
@@ -10,7 +10,7 @@
 	"quinceroad/coordination/gossip"
 )
 
-// fleet returns settled instances, so many in each of so many halls.
+// fleet returns settled instances, the same number in each hall.
 func fleet(halls, each int) []gossip.Instance {
 	var out []gossip.Instance
 	for h := range halls {
@@ -21,7 +21,7 @@
 	return out
 }
 
-func chosen(alive []gossip.Instance) []int {
+func readerIndexes(alive []gossip.Instance) []int {
 	var out []int
 	for i := range alive {
 		if IsReader(alive[i].Name, alive) {
@@ -31,68 +31,68 @@
 	return out
 }
 
-func TestReadersFollowTheHallsNotTheInstances(t *testing.T) {
+func TestReaderCountFollowsHalls(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(chosen(fleet(4, 2))), 4)
-	is.Equal(len(chosen(fleet(4, 20))), 4)
-	is.Equal(len(chosen(fleet(9, 43))), 9)
-	is.Equal(len(chosen(fleet(2, 10))), 4) // never fewer than three
-	is.Equal(len(chosen(fleet(1, 10))), 3)
-	is.Equal(len(chosen(fleet(1, 2))), 2)
-	is.Equal(len(chosen(fleet(1, 1))), 1) // who hears of nobody reads by itself
+	is.Equal(len(readerIndexes(fleet(4, 2))), 4)
+	is.Equal(len(readerIndexes(fleet(4, 20))), 4)
+	is.Equal(len(readerIndexes(fleet(9, 43))), 9)
+	is.Equal(len(readerIndexes(fleet(2, 10))), 4) // at least three readers per fleet
+	is.Equal(len(readerIndexes(fleet(1, 10))), 3)
+	is.Equal(len(readerIndexes(fleet(1, 2))), 2)
+	is.Equal(len(readerIndexes(fleet(1, 1))), 1) // an instance without peers reads the store itself
 }
 
-func TestAReaderStaysOne(t *testing.T) {
+func TestReaderIsKeptWhenInstanceJoins(t *testing.T) {
 	is := is.New(t)
 	alive := fleet(1, 8)
-	before := chosen(alive)
+	before := readerIndexes(alive)
 	for _, i := range before {
 		alive[i].Reads = true
 	}
 	alive = append(alive, gossip.Instance{Name: "hall-0-z", Hall: "hall-0", Count: 100, Share: 400})
-	is.Equal(chosen(alive), before)
+	is.Equal(readerIndexes(alive), before)
 }
 
-func TestABlindOrLeavingReaderHandsOver(t *testing.T) {
+func TestBlindLeavingOrRestartedReaderIsReplaced(t *testing.T) {
 	is := is.New(t)
-	for _, spoil := range []func(*gossip.Instance){
+	for _, disqualify := range []func(*gossip.Instance){
 		func(i *gossip.Instance) { i.Blind = true },
 		func(i *gossip.Instance) { i.Leaving = true },
-		func(i *gossip.Instance) { i.Count, i.Reads = 2, false }, // it has just started again
+		func(i *gossip.Instance) { i.Count, i.Reads = 2, false }, // restarted
 	} {
 		alive := fleet(4, 3)
-		first := chosen(alive)[0]
+		first := readerIndexes(alive)[0]
 		alive[first].Reads = true
-		spoil(&alive[first])
-		for _, i := range chosen(alive) {
+		disqualify(&alive[first])
+		for _, i := range readerIndexes(alive) {
 			is.True(i != first)
 		}
-		is.Equal(len(chosen(alive)), 4)
+		is.Equal(len(readerIndexes(alive)), 4)
 	}
 }
 
-// One that has just started again and takes itself for a reader, as it hears of
-// no other yet, gives way to who reads for longer.
-func TestOfTwoReadersTheOlderStays(t *testing.T) {
+// A restarted instance considers itself a reader until it learns of others, and
+// must then yield to the reader with the longer uptime.
+func TestRestartedReaderYieldsToOlderReader(t *testing.T) {
 	is := is.New(t)
-	for young := range 3 {
+	for restarted := range 3 {
 		alive := fleet(4, 3)
-		for i := range 3 { // those of the first hall
-			alive[i].Reads = i != (young+1)%3
+		for i := range 3 { // the instances of the first hall
+			alive[i].Reads = i != (restarted+1)%3
 		}
-		alive[young].Count = 2
-		for _, i := range chosen(alive) {
-			is.True(i != young)
+		alive[restarted].Count = 2
+		for _, i := range readerIndexes(alive) {
+			is.True(i != restarted)
 		}
 	}
 }
 
-// When all have started at once, each sees itself run for long enough before it
-// hears that of the others, and must not take over for that.
-func TestNobodyTakesOverInAStartOfAll(t *testing.T) {
+// When all instances start at once, each sees itself as settled before it sees
+// that of the others, and must not replace a reader for that reason.
+func TestReadersAreStableWhenAllInstancesStart(t *testing.T) {
 	is := is.New(t)
 	alive := fleet(1, 9)
-	first := chosen(alive)
+	first := readerIndexes(alive)
 	for i := range alive {
 		alive[i].Count = 2
 	}
@@ -102,25 +102,25 @@
 	for self := range alive {
 		view := slices.Clone(alive)
 		view[self].Count = 100
-		is.Equal(chosen(view), first)
+		is.Equal(readerIndexes(view), first)
 	}
 }
 
-func TestAllBlindStillRead(t *testing.T) {
+func TestBlindInstancesReadIfAllAreBlind(t *testing.T) {
 	is := is.New(t)
 	alive := fleet(4, 3)
 	for i := range alive {
 		alive[i].Blind = true
 	}
-	is.Equal(len(chosen(alive)), 4)
+	is.Equal(len(readerIndexes(alive)), 4)
 }
 
-func TestTheLargeReadForTheSmall(t *testing.T) {
+func TestInstancesWithMoreCPUArePreferred(t *testing.T) {
 	is := is.New(t)
 	alive := fleet(4, 10)
 	for h := range 4 {
 		alive[h*10+7].Share = 800
 		alive[h*10+7].Count = 50
 	}
-	is.Equal(chosen(alive), []int{7, 17, 27, 37})
+	is.Equal(readerIndexes(alive), []int{7, 17, 27, 37})
 }
