--- a/coordination/replicas/replicas.go
+++ b/coordination/replicas/replicas.go
@@ -1,8 +1,8 @@
-// Package replicas merges every sign of upstreams' replicas into one list:
-// the platform's lagging list, peers' news, and what a replica's own answers
-// say. Within an incarnation leaving wins, so a lagging list can't bring a
-// leaving replica back (brief: "An upstream that is leaving receives no new
-// work after a few seconds").
+// Package replicas merges all sources about upstream replicas into one list:
+// the platform's listing, which lags, peers' updates, and what a replica's own
+// answers report. Within an incarnation, leaving is final, so a stale listing
+// can't bring a leaving replica back (brief: "An upstream that is leaving
+// receives no new work after a few seconds").
 package replicas
 
 import "sort"
@@ -18,10 +18,11 @@
 	ChecksFences bool
 }
 
-// Set is not safe for concurrent use; its owner guards it (table.RankReplicas).
+// Set is the merged list of replicas. It is not safe for concurrent use; its
+// owner guards it (table.RankReplicas).
 type Set struct {
 	rows    map[string]Replica
-	leaving map[string]uint64 // replica -> highest incarnation known to leave
+	leaving map[string]uint64 // by replica ID: highest incarnation known to be leaving
 }
 
 // New returns an empty set.
@@ -29,14 +30,14 @@
 	return &Set{rows: make(map[string]Replica), leaving: make(map[string]uint64)}
 }
 
-// List takes in the platform's whole list and reports whether the set changed.
-// A replica that the list no longer has is dropped.
+// ReplaceAll applies a complete listing of the platform and reports whether the
+// set changed. Replicas that are not listed are dropped.
 func (s *Set) ReplaceAll(list []Replica) bool {
 	changed := false
 	seen := make(map[string]bool, len(list))
 	for _, r := range list {
 		seen[r.ID] = true
-		changed = s.put(r) || changed
+		changed = s.upsert(r) || changed
 	}
 	for id := range s.rows {
 		if !seen[id] {
@@ -47,22 +48,23 @@
 	return changed
 }
 
-func (s *Set) put(r Replica) bool {
+func (s *Set) upsert(r Replica) bool {
 	old, ok := s.rows[r.ID]
 	if ok && r.Incarnation < old.Incarnation {
 		return false
 	}
 	if r.Leaving {
-		s.note(r.ID, r.Incarnation)
+		s.recordLeaving(r.ID, r.Incarnation)
 	}
 	r.Leaving = s.isLeaving(r)
 	s.rows[r.ID] = r
 	return !ok || old != r
 }
 
-// Leaving takes in a sign that an incarnation leaves; true when it is news.
+// MarkLeaving records that an incarnation is leaving, and reports whether that
+// was new.
 func (s *Set) MarkLeaving(id string, incarnation uint64) bool {
-	if !s.note(id, incarnation) {
+	if !s.recordLeaving(id, incarnation) {
 		return false
 	}
 	if r, ok := s.rows[id]; ok {
@@ -72,7 +74,7 @@
 	return true
 }
 
-func (s *Set) note(id string, incarnation uint64) bool {
+func (s *Set) recordLeaving(id string, incarnation uint64) bool {
 	if at, ok := s.leaving[id]; ok && at >= incarnation {
 		return false
 	}
@@ -85,7 +87,7 @@
 	return ok && r.Incarnation <= at
 }
 
-// All returns the replicas by id.
+// All returns the replicas, sorted by ID.
 func (s *Set) All() []Replica {
 	out := make([]Replica, 0, len(s.rows))
 	for _, r := range s.rows {
@@ -95,7 +97,7 @@
 	return out
 }
 
-// Get returns the replica of that id.
+// Get returns the replica with the given ID.
 func (s *Set) Get(id string) (Replica, bool) {
 	r, ok := s.rows[id]
 	return r, ok
