--- a/coordination/cells/cells.go
+++ b/coordination/cells/cells.go
@@ -1,12 +1,12 @@
-// Package cells parts the replicas of a service among cells, each of which has
-// its own owner. All instances with the same list part it the same way.
+// Package cells assigns the replicas of a service to cells, each of which has
+// its own owner. All instances with the same list compute the same assignment.
 //
-// What an owner knows of a replica (what it keeps, what lies there, what is at
-// work) is lost when the replica changes its cell, so one that comes or goes
-// should move few others. Each replica so ranks the cells by rendezvous and
-// takes the first that has room, in an order that depends on the replica alone
-// (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam,
-// 2018): cells are as even as can be.
+// An owner's state about a replica (cached prompts, stored results, requests in
+// flight) is lost when the replica moves to another cell, so adding or removing
+// a replica should move few others. Each replica therefore ranks the cells by
+// rendezvous hashing and takes the first with free capacity, in an order that
+// depends on the replica IDs alone (consistent hashing with bounded loads;
+// Mirrokni, Thorup and Zadimoghaddam, 2018). Cell sizes differ by at most one.
 package cells
 
 import (
@@ -17,7 +17,7 @@
 	"quinceroad/coordination/rendezvous"
 )
 
-// Part returns the cell of each replica of one service, from 0 to cells-1.
+// Assign returns the cell of each replica of one service, from 0 to cells-1.
 func Assign(replicas []string, cells int) map[string]int {
 	out := make(map[string]int, len(replicas))
 	if cells <= 1 {
@@ -34,28 +34,30 @@
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Weight(orderKey, a), rendezvous.Weight(orderKey, b)), cmp.Compare(a, b))
 	})
-	room := rooms(len(replicas), cells)
+	free := capacities(len(replicas), cells)
 	for _, id := range order {
-		best, most := -1, uint64(0)
+		best, highest := -1, uint64(0)
 		for c := range cells {
-			if room[c] == 0 {
+			if free[c] == 0 {
 				continue
 			}
-			if w := rendezvous.Weight(id, names[c]); best < 0 || w > most {
-				best, most = c, w
+			if w := rendezvous.Weight(id, names[c]); best < 0 || w > highest {
+				best, highest = c, w
 			}
 		}
-		room[best]--
+		free[best]--
 		out[id] = best
 	}
 	return out
 }
 
-// orderKey sets the order in which replicas choose apart from their choice.
+// orderKey makes the order in which replicas choose independent of their
+// ranking of the cells.
 const orderKey = "order"
 
-// rooms returns how many replicas each cell takes: as many as the others, or one more.
-func rooms(replicas, cells int) []int {
+// capacities returns the number of replicas per cell, which differ by at most
+// one.
+func capacities(replicas, cells int) []int {
 	out := make([]int, cells)
 	for c := range cells {
 		out[c] = replicas / cells
--- a/coordination/cells/cells_test.go
+++ b/coordination/cells/cells_test.go
@@ -16,7 +16,8 @@
 	return out
 }
 
-// Cells are as even as can be, whatever the list, and the same whatever its order.
+// Cell sizes differ by at most one, and the assignment doesn't depend on the
+// order of the list.
 func TestCellsAreEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := ids(rapid.IntRange(0, 200).Draw(t, "replicas"))
@@ -27,20 +28,20 @@
 			count[c]++
 		}
 		if len(parts) != len(list) || slices.Max(count)-slices.Min(count) > 1 {
-			t.Fatalf("%d replicas in cells of %v", len(parts), count)
+			t.Fatalf("%d replicas assigned, cell sizes %v", len(parts), count)
 		}
 		other := Assign(rapid.Permutation(list).Draw(t, "order"), n)
 		for id, c := range parts {
 			if other[id] != c {
-				t.Fatalf("%s is in cell %d and in %d", id, c, other[id])
+				t.Fatalf("%s is in cell %d, with the list permuted in cell %d", id, c, other[id])
 			}
 		}
 	})
 }
 
-// One replica that goes moves few others: an even part by place in the list
-// moved four in five of those behind it.
-func TestOneThatGoesMovesFew(t *testing.T) {
+// Removing a replica moves few others. Assignment by position in the list moved
+// four in five of those behind it.
+func TestRemovedReplicaMovesFewOthers(t *testing.T) {
 	for _, size := range []int{15, 19, 90, 140} {
 		list := ids(size)
 		const n = 5
@@ -55,7 +56,7 @@
 			}
 		}
 		if mean := float64(moved) / float64(size); mean > 2 {
-			t.Errorf("of %d replicas one that goes moves %.1f", size, mean)
+			t.Errorf("removing one of %d replicas moves %.1f others", size, mean)
 		}
 	}
 }
