--- a/coordination/addresses/addresses.go
+++ b/coordination/addresses/addresses.go
@@ -1,5 +1,6 @@
-// Package addresses answers which instances a caller should use: the caller's
-// hall first, never leaving or dead ones, spread by a weighted draw.
+// Package addresses selects the instances that a caller should use: those of
+// the caller's hall first, without leaving or dead ones, spread by rendezvous
+// hashing.
 package addresses
 
 import (
@@ -9,31 +10,31 @@
 	"quinceroad/coordination/rendezvous"
 )
 
-// Address is one choice for a caller.
+// Address is one instance that a caller may use.
 type Address struct {
 	Instance string
 	Address  string // IP:port
 	Hall     string
 }
 
-// Choose returns up to most addresses for a caller in hall; seed spreads
-// callers over the instances. An empty hall prefers none.
-func Choose(members []membership.Member, hall, seed string, most int) []Address {
-	fit := make([]membership.Member, 0, len(members))
+// Choose returns up to maxCount addresses for a caller in a hall; seed spreads
+// callers over the instances. An empty hall means no preference.
+func Choose(members []membership.Member, hall, seed string, maxCount int) []Address {
+	eligible := make([]membership.Member, 0, len(members))
 	for _, m := range members {
 		if m.State != membership.Dead && !m.Leaving && m.EntryHTTP != "" {
-			fit = append(fit, m)
+			eligible = append(eligible, m)
 		}
 	}
-	sort.Slice(fit, func(i, j int) bool {
-		near, far := fit[i].Hall == hall, fit[j].Hall == hall
-		if near != far {
-			return near
+	sort.Slice(eligible, func(i, j int) bool {
+		iLocal, jLocal := eligible[i].Hall == hall, eligible[j].Hall == hall
+		if iLocal != jLocal {
+			return iLocal
 		}
-		return rendezvous.Weight(seed, fit[i].Name) > rendezvous.Weight(seed, fit[j].Name)
+		return rendezvous.Weight(seed, eligible[i].Name) > rendezvous.Weight(seed, eligible[j].Name)
 	})
-	out := make([]Address, 0, min(most, len(fit)))
-	for _, m := range fit[:min(most, len(fit))] {
+	out := make([]Address, 0, min(maxCount, len(eligible)))
+	for _, m := range eligible[:min(maxCount, len(eligible))] {
 		out = append(out, Address{Instance: m.Name, Address: m.EntryHTTP, Hall: m.Hall})
 	}
 	return out
