--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -1,5 +1,6 @@
-// Package planner works out what a declaration would change: where each stage
-// runs, how much capacity it gets, what it may take of the deadline and costs.
+// Package planner computes the effects of a declaration: where each stage runs,
+// how much capacity each service needs, each stage's share of the deadline, and
+// the cost.
 package planner
 
 import (
@@ -13,19 +14,19 @@
 	"quinceroad/state/fleet"
 )
 
-// Step is one stage's place in the plan.
+// Step is one stage of the plan.
 type Step struct {
 	Pipeline string
 	Stage    string
 	Service  string
 	Halls    []string
 	Slots    int
-	PerSec   float64       // stages a second the whole service can run at the expected time
+	PerSec   float64       // stages per second of the whole service at the expected duration
 	Budget   time.Duration // the stage's share of the deadline
 	Cost     float64       // units per request
 }
 
-// Plan is what a declaration would bring.
+// Plan describes the effects of a declaration.
 type Plan struct {
 	Changes  []string
 	Warnings []string
@@ -34,11 +35,11 @@
 	Outlooks []Outlook
 }
 
-// Make compares the declared fleet with the one in force, which may be nil,
-// over the replicas that are there.
-func Compute(next, old *fleet.Fleet, there []replicas.Replica) Plan {
+// Compute compares the declared fleet with the current one, which may be nil,
+// given the live replicas.
+func Compute(next, old *fleet.Fleet, live []replicas.Replica) Plan {
 	p := Plan{Changes: changes(next, old)}
-	capacity := capacities(next, there)
+	capacity := capacities(next, live)
 	for _, pl := range next.Pipelines {
 		p.addPipeline(next, &pl, capacity)
 	}
@@ -66,12 +67,12 @@
 	slots int
 }
 
-func capacities(f *fleet.Fleet, there []replicas.Replica) map[string]capacity {
+func capacities(f *fleet.Fleet, live []replicas.Replica) map[string]capacity {
 	out := make(map[string]capacity)
 	for _, s := range f.Services {
 		halls := make(map[string]bool)
 		var c capacity
-		for _, r := range there {
+		for _, r := range live {
 			if r.Service == s.Name && !r.Leaving {
 				halls[r.Hall] = true
 				c.slots += s.Slots
@@ -96,7 +97,7 @@
 	}
 	for i := range pl.Stages {
 		st := &pl.Stages[i]
-		svc, _ := f.Service(st.Service) // checked when the declaration was read
+		svc, _ := f.Service(st.Service) // validated when the declaration was parsed
 		c := capacity[st.Service]
 		share := float64(st.Expect()) / float64(max(total, 1))
 		p.Steps = append(p.Steps, Step{
@@ -109,7 +110,8 @@
 	}
 }
 
-// changes lists the differences by name, in a fixed order.
+// changes lists the differences by kind and name: additions and changes in the
+// order of next, then removals in the order of old.
 func changes(next, old *fleet.Fleet) []string {
 	if old == nil {
 		old = &fleet.Fleet{}
--- a/coordination/planner/planner_test.go
+++ b/coordination/planner/planner_test.go
@@ -10,7 +10,7 @@
 	"quinceroad/state/fleet"
 )
 
-func declared(weight, rate float64) *fleet.Fleet {
+func fleetWith(weight, rate float64) *fleet.Fleet {
 	return &fleet.Fleet{
 		Name: "x", AttainmentWeight: weight,
 		Services: []fleet.Service{{Name: "gen", Kind: fleet.Engine, Slots: 4, Cost: 10}},
@@ -19,7 +19,7 @@
 	}
 }
 
-func there(n int) []replicas.Replica {
+func replicaList(n int) []replicas.Replica {
 	var out []replicas.Replica
 	for i := range n {
 		out = append(out, replicas.Replica{ID: fmt.Sprint("gen-", i), Service: "gen", Hall: fmt.Sprint("h", i%2)})
@@ -27,12 +27,12 @@
 	return out
 }
 
-// One declared weight makes the plans differ: more replicas for attainment.
-func TestWeightDecidesCapacity(t *testing.T) {
+// The declared weight of attainment changes the planned capacity.
+func TestAttainmentWeightDecidesCapacity(t *testing.T) {
 	is := is.New(t)
-	attain := Compute(declared(1, 240), nil, there(12))
-	cost := Compute(declared(0, 240), nil, there(12))
-	is.Equal(attain.Needs[0].Replicas, 10) // 24 slots of load at 60%
+	attain := Compute(fleetWith(1, 240), nil, replicaList(12))
+	cost := Compute(fleetWith(0, 240), nil, replicaList(12))
+	is.Equal(attain.Needs[0].Replicas, 10) // 24 slots of load at 60% utilization
 	is.Equal(cost.Needs[0].Replicas, 7)    // at 90%
 	is.Equal(attain.Needs[0].CostSec, 240.0)
 	is.Equal(attain.Steps[0].Halls, []string{"h0", "h1"})
@@ -40,9 +40,9 @@
 
 func TestOutlookFallsWithLoad(t *testing.T) {
 	is := is.New(t)
-	light := Compute(declared(1, 100), nil, there(12)).Outlooks[0].Attainment
-	heavy := Compute(declared(1, 475), nil, there(12)).Outlooks[0].Attainment
-	over := Compute(declared(1, 500), nil, there(12))
+	light := Compute(fleetWith(1, 100), nil, replicaList(12)).Outlooks[0].Attainment
+	heavy := Compute(fleetWith(1, 475), nil, replicaList(12)).Outlooks[0].Attainment
+	over := Compute(fleetWith(1, 500), nil, replicaList(12))
 	is.True(light > 0.99)
 	is.True(heavy < light && heavy > 0)
 	is.Equal(over.Outlooks[0].Attainment, 0.0)
@@ -51,7 +51,7 @@
 
 func TestChangesByName(t *testing.T) {
 	is := is.New(t)
-	old, next := declared(1, 1), declared(1, 2)
+	old, next := fleetWith(1, 1), fleetWith(1, 2)
 	next.Services = append(next.Services, fleet.Service{Name: "new", Slots: 1})
 	is.Equal(Compute(next, old, nil).Changes, []string{"+ service new", "~ pipeline p"})
 	is.Equal(len(Compute(old, old, nil).Changes), 0)
