--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"quinceroad/cmd/process"
-	"quinceroad/coordination/choice"
+	"quinceroad/coordination/balancer"
 	"quinceroad/coordination/evacuation"
 	"quinceroad/coordination/gossip"
 	"quinceroad/coordination/health"
@@ -85,7 +85,7 @@
 
 	judgeMu   sync.Mutex
 	judge     *health.Judge
-	loads     *choice.Table
+	loads     *balancer.Table
 	rates     map[string]*serviceRates
 	lending   lending
 	deadlines deadlines
@@ -131,7 +131,7 @@
 		pulse:      newPulse(),
 		spread:     spreadOf(s.Name),
 		judge:      health.New(health.Standard()),
-		loads:      choice.NewTable(),
+		loads:      balancer.NewTable(),
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(deadlines),
 		lending:    newLending(),
--- a/coordination/choice/choice.go
+++ b/coordination/balancer/balancer.go
@@ -1,10 +1,10 @@
-// Package choice picks the replica for a request: for plain services the one
+// Package balancer picks the replica for a request: for plain services the one
 // with the shortest expected answer time, for engines the one most likely to
 // have the longest prefix of the prompt cached.
 //
 // It uses this instance's own request counts and the load that replicas report
 // in their answers, which is staler the fewer answers there are. It is pure.
-package choice
+package balancer
 
 import (
 	"math"
