--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"quinceroad/cmd/process"
-	"quinceroad/coordination/choice"
+	"quinceroad/coordination/balancer"
 	"quinceroad/coordination/evacuation"
 	"quinceroad/coordination/gossip"
 	"quinceroad/coordination/health"
@@ -85,7 +85,7 @@
 
 	judgeMu   sync.Mutex
 	judge     *health.Judge
-	loads     *choice.Table
+	loads     *balancer.Table
 	rates     map[string]*serviceRates
 	lending   lending
 	deadlines deadlines
@@ -131,7 +131,7 @@
 		pulse:      newPulse(),
 		spread:     spreadOf(s.Name),
 		judge:      health.New(health.Standard()),
-		loads:      choice.NewTable(),
+		loads:      balancer.NewTable(),
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(deadlines),
 		lending:    newLending(),
@@ -140,7 +140,7 @@
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
 	n.counters = newCounters(n.registry)
-	n.home = n.places.Of(s.Hall)
+	n.home = n.places.RegionOf(s.Hall)
 	n.members = gossip.New(gossip.Instance{
 		Name:             s.Name,
 		Hall:             s.Hall,
@@ -270,7 +270,7 @@
 		n.judgeMu.Lock()
 		defer n.judgeMu.Unlock()
 		n.judge.Forget(n.now(), forgetAfter)
-		n.loads.Forget(func(id string) bool { return known[id] })
+		n.loads.Prune(func(id string) bool { return known[id] })
 	})
 }
 
--- /dev/null
+++ b/coordination/balancer/balancer.go
@@ -0,0 +1,233 @@
+// Package balancer picks the replica for a request: for plain services the one
+// with the shortest expected answer time, for engines the one most likely to
+// have the longest prefix of the prompt cached.
+//
+// It uses this instance's own request counts and the load that replicas report
+// in their answers, which is staler the fewer answers there are. It is pure.
+package balancer
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"quinceroad/coordination/regions"
+	"quinceroad/coordination/rendezvous"
+	"quinceroad/state/catalog"
+)
+
+// Table tracks the load of each replica. It is not safe for concurrent use.
+type Table struct {
+	loads map[string]*replicaLoad
+}
+
+type replicaLoad struct {
+	inFlight          int // requests of this instance in flight
+	reported          int // requests at the replica, by its last report
+	reportedAt        time.Duration
+	meanAnswerSeconds float64 // moving average; 0: unknown
+}
+
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{loads: make(map[string]*replicaLoad)} }
+
+func (t *Table) loadOf(id string) *replicaLoad {
+	r := t.loads[id]
+	if r == nil {
+		r = &replicaLoad{}
+		t.loads[id] = r
+	}
+	return r
+}
+
+// Begin counts a request sent to a replica; End counts it off again.
+func (t *Table) Begin(id string) { t.loadOf(id).inFlight++ }
+
+// End records the end of a request and its answer time; 0 if there was no
+// answer.
+func (t *Table) End(id string, took time.Duration) {
+	r := t.loadOf(id)
+	r.inFlight--
+	if took > 0 {
+		r.meanAnswerSeconds = movingAverage(r.meanAnswerSeconds, took.Seconds())
+	}
+}
+
+// RecordLoad records the number of running requests that a replica reports,
+// without the one that it just answered.
+func (t *Table) RecordLoad(now time.Duration, id string, running int) {
+	r := t.loadOf(id)
+	r.reported, r.reportedAt = max(running, 0), now
+}
+
+// MeanAnswerTime returns the moving average of a replica's answer times; 0 if
+// unknown.
+func (t *Table) MeanAnswerTime(id string) time.Duration {
+	if r := t.loads[id]; r != nil {
+		return time.Duration(r.meanAnswerSeconds * float64(time.Second))
+	}
+	return 0
+}
+
+// Prune drops the replicas without requests in flight for which keep returns
+// false.
+func (t *Table) Prune(keep func(id string) bool) {
+	for id, r := range t.loads {
+		if r.inFlight == 0 && !keep(id) {
+			delete(t.loads, id)
+		}
+	}
+}
+
+const answerTimeWeight = 0.15 // weight of a new answer time: about the last seven count
+
+func movingAverage(old, x float64) float64 {
+	if old == 0 {
+		return x
+	}
+	return old + answerTimeWeight*(x-old)
+}
+
+// reportHalfLife is the time after which a reported load counts half.
+const reportHalfLife = 400 * time.Millisecond
+
+func (r *replicaLoad) current(now time.Duration) float64 {
+	age := float64(now-r.reportedAt) / float64(reportHalfLife)
+	return max(float64(r.inFlight), float64(r.reported)*math.Exp2(-age))
+}
+
+// PickReplica picks the replica of a plain service with the shortest expected
+// time of up to three random candidates (power of random choices). Closer
+// replicas win if the times are similar; remote regions are only considered if
+// the best local replica is full.
+func (t *Table) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+	var local, remote []catalog.Replica
+	for _, r := range candidates {
+		if distance(r.Hall) == regions.Remote {
+			remote = append(remote, r)
+		} else {
+			local = append(local, r)
+		}
+	}
+	if len(local) == 0 {
+		return t.bestOfThree(now, distance, remote, random)
+	}
+	best := t.bestOfThree(now, distance, local, random)
+	if len(remote) == 0 || t.loadOf(best.ID).current(now) < float64(max(best.Slots, 1)) {
+		return best
+	}
+	if other := t.bestOfThree(now, distance, remote, random); t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
+		return other
+	}
+	return best
+}
+
+func (t *Table) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+	best := candidates[random.IntN(len(candidates))]
+	for range min(len(candidates)-1, 2) {
+		other := candidates[random.IntN(len(candidates))]
+		if t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
+			best = other
+		}
+	}
+	return best
+}
+
+const (
+	defaultAnswerTime = 0.02  // seconds, of a replica that has not answered yet
+	crossHallTime     = 0.002 // seconds
+	crossRegionTime   = 0.06  // seconds: the round trip, and as much again for the transfer
+)
+
+func (t *Table) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
+	x := t.loadOf(r.ID)
+	took := x.meanAnswerSeconds
+	if took == 0 {
+		took = defaultAnswerTime
+	}
+	slots := float64(max(r.Slots, 1))
+	utilization := x.current(now) / slots
+	e := took * (1 + utilization*utilization*2)
+	switch distance(r.Hall) {
+	case regions.SameRegion:
+		e += crossHallTime
+	case regions.Remote:
+		e += crossRegionTime
+	}
+	if r.WarmupLeft > 0 {
+		e *= 2
+	}
+	return e
+}
+
+// Engine is the engine chosen for a stream, and where it fetches the cached
+// prefix that it lacks.
+type Engine struct {
+	Replica   catalog.Replica
+	FetchFrom string // IP:port of the replica that probably has the prefix cached; "" if nothing is fetched
+}
+
+// Load bound of an engine relative to the average load, above which it doesn't
+// get the requests whose prompt it has cached.
+const (
+	boundFactor = 1.5 // consistent hashing with bounded loads; usual values are 1.25 to 2
+	boundSlack  = 4   // requests, so that a few requests are not spread needlessly
+)
+
+// PickEngine picks the engine for a request. Engines are ranked by rendezvous
+// hashing on the longest shared prefix of the prompt, so that all instances
+// choose the same home and requests with common parts meet there. If the home
+// is overloaded, the next engine in rank runs the request and fetches the
+// cached prefix from the home.
+func (t *Table) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
+	key := request
+	if len(shared) > 0 {
+		key = shared[len(shared)-1].ID
+	}
+	ranked := slices.Clone(candidates)
+	weights := make(map[string]uint64, len(ranked))
+	total := 0.0
+	for _, r := range ranked {
+		weights[r.ID] = rendezvous.Weight(key, r.ID)
+		total += t.loadOf(r.ID).current(now)
+	}
+	slices.SortFunc(ranked, func(a, b catalog.Replica) int {
+		if weights[a.ID] > weights[b.ID] {
+			return -1
+		}
+		return 1
+	})
+	bound := total/float64(len(ranked))*boundFactor + boundSlack
+	chosen := ranked[0]
+	for _, r := range ranked {
+		if t.loadOf(r.ID).current(now) <= bound {
+			chosen = r
+			break
+		}
+	}
+	return Engine{Replica: chosen, FetchFrom: fetchFrom(shared, chosen, ranked[0], candidates)}
+}
+
+func fetchFrom(shared []catalog.PromptPart, chosen, home catalog.Replica, candidates []catalog.Replica) string {
+	if len(shared) == 0 {
+		return ""
+	}
+	if chosen.ID != home.ID {
+		return home.Address
+	}
+	if len(shared) < 2 {
+		return ""
+	}
+	first := shared[0].ID
+	best, highest := catalog.Replica{}, uint64(0)
+	for _, r := range candidates {
+		if w := rendezvous.Weight(first, r.ID); w >= highest {
+			best, highest = r, w
+		}
+	}
+	if best.ID == chosen.ID {
+		return ""
+	}
+	return best.Address
+}
