--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -63,7 +63,7 @@
 	o := r.orders[order]
 	if o == nil {
 		o = &orderSeen{
-			own:     rollout.Report{Rows: make(map[rollout.Row]*rollout.Tally)},
+			own:     rollout.Report{Rows: make(map[rollout.RowKey]*rollout.Tally)},
 			reports: rollout.NewReports(),
 			judge:   rollout.NewJudge(),
 			rank:    -1,
@@ -89,7 +89,7 @@
 	for i := range replicas {
 		x := &replicas[i]
 		if m := w.moves[x.Service]; m != nil && m.chosen[x.ID] {
-			r.view.StartedAgain(now, x.Service, x.Version)
+			r.view.RecordRestart(now, x.Service, x.Version)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 func (r *rollouts) forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ledger.Forget(r.view.Knows)
-	maps.DeleteFunc(r.orders, func(order uint64, _ *orderSeen) bool { return !r.view.Knows(order) })
+	r.ledger.Prune(r.view.Has)
+	maps.DeleteFunc(r.orders, func(order uint64, _ *orderSeen) bool { return !r.view.Has(order) })
 }
 
 // replaceRollouts takes in the orders as they were read whole at a revision. One
@@ -168,12 +168,12 @@
 func (n *Node) logRollout(now time.Duration, from string, c *rollout.Change) {
 	switch {
 	case c.New:
-		event.RolloutOrdered.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "for", c.For, "from", from)
+		event.RolloutOrdered.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "for", c.TimeLimit, "from", from)
 	case c.Ended:
 		event.RolloutEnded.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from)
 	default:
 		n.rolloutCounter(c.Service, c.Target, "phase_"+c.Phase.String()).Inc(1)
-		event.RolloutWord.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.Begun)
+		event.RolloutWord.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.OrderedAt)
 	}
 }
 
@@ -187,12 +187,12 @@
 		return nil
 	}
 	now := n.now()
-	news := r.view.News(now)
+	news := r.view.Update(now)
 	out := &pb.Rollouts{Revision: news.Revision}
-	for _, s := range news.Standing {
+	for _, s := range news.Orders {
 		out.Orders = append(out.Orders, &pb.RolloutOrder{
-			Service: s.Service, Target: s.Target, Revision: s.Revision, ForMs: s.For.Milliseconds(), AgeMs: uint32(s.Begun.Milliseconds()),
-			Phase: uint32(s.Phase), PhaseMs: uint32(s.Since.Milliseconds()), Ended: s.Ended,
+			Service: s.Service, Target: s.Target, Revision: s.Revision, ForMs: s.TimeLimit.Milliseconds(), AgeMs: uint32(s.OrderedAt.Milliseconds()),
+			Phase: uint32(s.Phase), PhaseMs: uint32(s.PhaseSince.Milliseconds()), Ended: s.Ended,
 		})
 	}
 	return out
@@ -211,10 +211,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range h.Rollouts.Reports {
-		if !r.view.Knows(p.Order) {
+		if !r.view.Has(p.Order) {
 			continue // what is told later holds it all
 		}
-		r.seen(p.Order).reports.Take(h.News[0].Name, h.News[0].Incarnation, reportOf(p))
+		r.seen(p.Order).reports.Merge(h.News[0].Name, h.News[0].Incarnation, reportOf(p))
 	}
 }
 
@@ -223,17 +223,17 @@
 	if p == nil {
 		return
 	}
-	news := rollout.News{Revision: p.Revision}
+	news := rollout.Update{Revision: p.Revision}
 	for _, o := range p.Orders {
-		news.Standing = append(news.Standing, rollout.Standing{
-			Order: rollout.Order{Service: o.Service, Target: o.Target, Revision: o.Revision, For: time.Duration(o.ForMs) * time.Millisecond},
-			Begun: time.Duration(o.AgeMs) * time.Millisecond,
-			Phase: rollout.Phase(min(o.Phase, uint32(rollout.Done))),
-			Since: time.Duration(o.PhaseMs) * time.Millisecond,
-			Ended: o.Ended,
+		news.Orders = append(news.Orders, rollout.OrderState{
+			Order:      rollout.Order{Service: o.Service, Target: o.Target, Revision: o.Revision, TimeLimit: time.Duration(o.ForMs) * time.Millisecond},
+			OrderedAt:  time.Duration(o.AgeMs) * time.Millisecond,
+			Phase:      rollout.Phase(min(o.Phase, uint32(rollout.Done))),
+			PhaseSince: time.Duration(o.PhaseMs) * time.Millisecond,
+			Ended:      o.Ended,
 		})
 	}
-	n.order(from, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Take(now, news) })
+	n.order(from, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Merge(now, news) })
 }
 
 // rowsTold of a report go into one message, so that it is one packet: some 75
@@ -246,8 +246,8 @@
 	var part *pb.RolloutReport
 	add := func() {
 		part = &pb.RolloutReport{
-			Order: order, Count: rep.Count, Moved: rep.Moved, Bound: uint32(rep.Bound), InFlight: uint32(rep.InFlight),
-			LongestMs: uint32(rep.Longest.Milliseconds()), Sent: uint32(rep.Sent),
+			Order: order, Count: rep.Sequence, Moved: rep.FullyShifted, Bound: uint32(rep.Pinned), InFlight: uint32(rep.InFlight),
+			LongestMs: uint32(rep.LongestRequest.Milliseconds()), Sent: uint32(rep.Sent),
 		}
 		out = append(out, part)
 	}
@@ -261,28 +261,28 @@
 	return out
 }
 
-func rowNews(k rollout.Row, t *rollout.Tally) *pb.RolloutRow {
+func rowNews(k rollout.RowKey, t *rollout.Tally) *pb.RolloutRow {
 	last := 0
-	for b, c := range t.Times {
+	for b, c := range t.Latencies {
 		if c > 0 {
 			last = b + 1
 		}
 	}
-	return &pb.RolloutRow{Route: k.Route, Replica: k.Replica, Failed: t.Failed, Ended: t.Ended, Times: slices.Clone(t.Times[:last])}
+	return &pb.RolloutRow{Route: k.Route, Replica: k.Replica, Failed: t.Failed, Ended: t.ReplicaEnds, Times: slices.Clone(t.Latencies[:last])}
 }
 
 // reportOf reads a report. Its rows keep the names that the sender gave them: a name
 // that stood for another life with each birth would count its answers once for each.
 func reportOf(p *pb.RolloutReport) rollout.Report {
 	out := rollout.Report{
-		Count: p.Count, Moved: p.Moved, Bound: int(p.Bound), InFlight: int(p.InFlight),
-		Longest: time.Duration(p.LongestMs) * time.Millisecond, Sent: int(p.Sent),
-		Rows: make(map[rollout.Row]*rollout.Tally, len(p.Rows)),
+		Sequence: p.Count, FullyShifted: p.Moved, Pinned: int(p.Bound), InFlight: int(p.InFlight),
+		LongestRequest: time.Duration(p.LongestMs) * time.Millisecond, Sent: int(p.Sent),
+		Rows: make(map[rollout.RowKey]*rollout.Tally, len(p.Rows)),
 	}
 	for _, row := range p.Rows {
-		t := &rollout.Tally{Failed: row.Failed, Ended: row.Ended}
-		copy(t.Times[:], row.Times)
-		out.Rows[rollout.Row{Route: row.Route, Replica: row.Replica}] = t
+		t := &rollout.Tally{Failed: row.Failed, ReplicaEnds: row.Ended}
+		copy(t.Latencies[:], row.Times)
+		out.Rows[rollout.RowKey{Route: row.Route, Replica: row.Replica}] = t
 	}
 	return out
 }
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -27,18 +27,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Bad || a.says == ending.Nothing || a.says == ending.Answer && a.replica.ColdUntil > n.now() {
+	if !ok || s.Phase >= rollout.Rejected || a.says == ending.Nothing || a.says == ending.Answer && a.replica.ColdUntil > n.now() {
 		return
 	}
 	own := &r.seen(s.Revision).own
 	if a.replica.Version == s.Target {
 		n.countAnswered(&s, a.says)
 	}
-	k := rollout.Row{Route: a.route}
+	k := rollout.RowKey{Route: a.route}
 	if a.replica.Version == s.Target {
 		k.Replica = a.replica.ID
 	} else {
-		own.Longest = max(own.Longest, a.lasted)
+		own.LongestRequest = max(own.LongestRequest, a.lasted)
 	}
 	t := own.Rows[k]
 	if t == nil {
@@ -46,14 +46,14 @@
 		own.Rows[k] = t
 	}
 	if a.says == ending.EndOfLife {
-		t.AddEnded()
+		t.AddReplicaEnd()
 		return
 	}
 	t.Add(a.took, a.says == ending.Failure)
 }
 
 // countAnswered counts for operators what became of a request at the new version.
-func (n *Node) countAnswered(s *rollout.Standing, says ending.Version) {
+func (n *Node) countAnswered(s *rollout.OrderState, says ending.Version) {
 	if says == ending.EndOfLife {
 		n.rolloutCounter(s.Service, s.Target, "ended").Inc(1)
 		return
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -38,8 +38,8 @@
 	w.moves = make(map[string]*move)
 	clear(r.others)
 	clear(r.moved)
-	for _, s := range r.view.Standing() {
-		if s.Over(now) {
+	for _, s := range r.view.Active() {
+		if s.IsFinished(now) {
 			continue
 		}
 		m := &move{order: s.Revision, target: s.Target, share: s.Share(now, r.canary), newer: make(map[string]bool)}
@@ -57,7 +57,7 @@
 				r.others[s.Service] = r.others[s.Service] || x.Takes()
 			}
 		}
-		m.chosen = s.Chosen(now, r.canary, ready)
+		m.chosen = s.SelectReplicas(now, r.canary, ready)
 		w.moves[s.Service] = m
 		r.moved[s.Service] = m.share >= 1
 	}
@@ -95,7 +95,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.May(m.order, route, m.share, n)
+	return r.ledger.Allows(m.order, route, m.share, n)
 }
 
 // maySend reports, right before the send, whether requests on a route may go to
@@ -107,10 +107,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newer := m.newer[replica]
-	if newer && m.older > 0 && !r.ledger.May(m.order, route, m.share, n) {
+	if newer && m.older > 0 && !r.ledger.Allows(m.order, route, m.share, n) {
 		return false
 	}
-	r.ledger.Sent(m.order, route, m.share, n, newer)
+	r.ledger.Record(m.order, route, m.share, n, newer)
 	r.seen(m.order).own.Sent += n
 	return true
 }
@@ -140,15 +140,15 @@
 }
 
 // report returns what this life has to tell of an order. It needs mu.
-func (r *rollouts) report(s *rollout.Standing) rollout.Report {
+func (r *rollouts) report(s *rollout.OrderState) rollout.Report {
 	o := r.seen(s.Revision)
-	o.own.Count++
+	o.own.Sequence++
 	rep := o.own
-	rep.Moved = r.moved[s.Service]
+	rep.FullyShifted = r.moved[s.Service]
 	for _, h := range r.held {
 		if h.service == s.Service && h.version != s.Target {
 			rep.InFlight += h.all
-			rep.Bound += h.bound
+			rep.Pinned += h.bound
 		}
 	}
 	rep.Rows = maps.Clone(o.own.Rows)
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -31,8 +31,8 @@
 	shares := make(map[string]rolloutShare)
 	process.Every(ctx, lookEach, func() {
 		n.rollouts.mu.Lock()
-		standing := n.rollouts.view.Standing()
-		led := n.rollouts.view.Led(n.now())
+		standing := n.rollouts.view.Active()
+		led := n.rollouts.view.Unfinished(n.now())
 		n.rollouts.mu.Unlock()
 		if len(standing)+len(led) == 0 {
 			return
@@ -46,7 +46,7 @@
 		for i := range led {
 			s := &led[i]
 			ranked := rankJudges(s.Service, alive)
-			if look%int(beatEach/lookEach) == 0 && s.Phase < rollout.Bad {
+			if look%int(beatEach/lookEach) == 0 && s.Phase < rollout.Rejected {
 				n.reportTo(s, ranked)
 			}
 			n.lead(s, ranked)
@@ -62,11 +62,11 @@
 }
 
 // sharesChange reports whether the world in force parts requests by older shares.
-func (n *Node) sharesChange(standing []rollout.Standing, shares map[string]rolloutShare) bool {
+func (n *Node) sharesChange(standing []rollout.OrderState, shares map[string]rolloutShare) bool {
 	now, w := n.now(), n.world.Load()
 	for i := range standing {
 		m := w.moves[standing[i].Service]
-		if standing[i].Over(now) {
+		if standing[i].IsFinished(now) {
 			if m != nil {
 				return true
 			}
@@ -82,7 +82,7 @@
 	return false
 }
 
-func (n *Node) logShares(standing []rollout.Standing, shares map[string]rolloutShare) {
+func (n *Node) logShares(standing []rollout.OrderState, shares map[string]rolloutShare) {
 	w := n.world.Load()
 	for i := range standing {
 		m := w.moves[standing[i].Service]
@@ -99,7 +99,7 @@
 
 // openPools finds out for which pools their new version may get a whole call,
 // and reports whether that has changed.
-func (n *Node) openPools(standing []rollout.Standing) bool {
+func (n *Node) openPools(standing []rollout.OrderState) bool {
 	w := n.world.Load()
 	if w.config == nil {
 		return false
@@ -113,7 +113,7 @@
 		if service == nil || service.Pool == nil || m == nil {
 			continue
 		}
-		open := r.ledger.May(m.order, "", m.share, service.Pool.Batch)
+		open := r.ledger.Allows(m.order, "", m.share, service.Pool.Batch)
 		changed = changed || open != r.open[s.Service]
 		r.open[s.Service] = open
 	}
@@ -130,7 +130,7 @@
 }
 
 // reportTo tells those who judge an order what this instance has seen of it.
-func (n *Node) reportTo(s *rollout.Standing, ranked []gossip.Instance) {
+func (n *Node) reportTo(s *rollout.OrderState, ranked []gossip.Instance) {
 	n.gossipMu.Lock()
 	self := newsOf(n.members.Self())
 	n.gossipMu.Unlock()
@@ -155,7 +155,7 @@
 // lead judges an order and takes its next step, if this instance is one of those
 // who do. Two that believe to lead do no harm: phases only rise, and a status is
 // written under a condition.
-func (n *Node) lead(s *rollout.Standing, ranked []gossip.Instance) {
+func (n *Node) lead(s *rollout.OrderState, ranked []gossip.Instance) {
 	r := n.rollouts
 	now := n.now()
 	rank := slices.IndexFunc(ranked, func(i gossip.Instance) bool { return i.Name == n.settings.Name })
@@ -163,7 +163,7 @@
 	o := r.seen(s.Revision)
 	isNew := rank != o.rank
 	o.rank = rank
-	ended := s.Phase >= rollout.Bad && o.status.Ended()
+	ended := s.Phase >= rollout.Rejected && o.status.Ended()
 	r.mu.Unlock()
 	if isNew {
 		event.RolloutLeads.Log(n.log, "service", s.Service, "order", s.Revision, "rank", rank)
@@ -173,40 +173,40 @@
 	}
 	facts := n.rolloutFacts(now, s)
 	step := rollout.Decide(now, facts)
-	if step.Say == rollout.Bad { // whoever sees it says so
-		n.say(s, rollout.Bad)
+	if step.SetPhase == rollout.Rejected { // whoever sees it says so
+		n.say(s, rollout.Rejected)
 	}
 	r.mu.Lock()
-	if step.Read != o.step.Read || step.Say != o.step.Say || step.Write != o.step.Write {
+	if step.ReadStatus != o.step.ReadStatus || step.SetPhase != o.step.SetPhase || step.WriteState != o.step.WriteState {
 		o.due = now
 	}
-	waits := step.Why != o.step.Why && step.Why != ""
+	waits := step.Reason != o.step.Reason && step.Reason != ""
 	o.step = step
 	acts := now-o.due >= max(time.Duration(rank)*leadPatience, o.pause) && !o.calling
-	calls := acts && (step.Read || step.Write != rollout.None)
+	calls := acts && (step.ReadStatus || step.WriteState != rollout.None)
 	o.calling = o.calling || calls
 	r.mu.Unlock()
 	if waits && rank == 0 {
-		event.RolloutWaits.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "why", step.Why, "age", now-s.Begun)
+		event.RolloutWaits.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "why", step.Reason, "age", now-s.OrderedAt)
 	}
-	if acts && step.Say > s.Phase {
-		n.say(s, step.Say)
+	if acts && step.SetPhase > s.Phase {
+		n.say(s, step.SetPhase)
 	}
 	if calls {
 		go n.callRollout(*s, facts.Status, step)
 	}
 }
 
-func (n *Node) say(s *rollout.Standing, w rollout.Phase) {
-	n.order(n.settings.Name, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Say(now, s.Revision, w) })
+func (n *Node) say(s *rollout.OrderState, w rollout.Phase) {
+	n.order(n.settings.Name, func(now time.Duration, v *rollout.View) []rollout.Change { return v.SetPhase(now, s.Revision, w) })
 }
 
 // rolloutFacts gathers what is known of an order, and judges it.
-func (n *Node) rolloutFacts(now time.Duration, s *rollout.Standing) *rollout.Facts {
+func (n *Node) rolloutFacts(now time.Duration, s *rollout.OrderState) *rollout.Inputs {
 	w := n.world.Load()
 	r := n.rollouts
 	alive := n.alive()
-	f := &rollout.Facts{Standing: *s, Slack: r.slack}
+	f := &rollout.Inputs{Order: *s, Slack: r.slack}
 	f.Configured = w.config != nil && w.config.Services[s.Service] != nil
 	for _, x := range w.all {
 		switch {
@@ -223,43 +223,43 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := r.seen(s.Revision)
-	o.reports.Take(self.Name, self.Incarnation, r.report(s))
+	o.reports.Merge(self.Name, self.Incarnation, r.report(s))
 	rows, sent, longest := o.reports.Sums()
-	f.Status, f.Sent, f.Longest = o.status, sent, longest
+	f.Status, f.Sent, f.LongestRequest = o.status, sent, longest
 	for _, i := range alive {
-		rep, ok := o.reports.Of(i.Name, i.Incarnation)
-		if !ok || !rep.Moved {
-			f.Behind++
+		rep, ok := o.reports.Latest(i.Name, i.Incarnation)
+		if !ok || !rep.FullyShifted {
+			f.Lagging++
 		}
-		f.Bound += rep.Bound
+		f.Pinned += rep.Pinned
 		f.InFlight += rep.InFlight
 	}
 	before := o.judge.Latest()
-	f.Judgement = o.judge.Look(now, rows, s.Phase == rollout.Trusted)
-	if f.Judgement.Verdict != before.Verdict || now-o.logged >= logJudged && s.Phase < rollout.Bad {
+	f.Judgement = o.judge.Observe(now, rows, s.Phase == rollout.Promoted)
+	if f.Judgement.Verdict != before.Verdict || now-o.logged >= logJudged && s.Phase < rollout.Rejected {
 		o.logged = now
 		n.logJudgement(now, s, &f.Judgement)
 	}
 	return f
 }
 
-func (n *Node) logJudgement(now time.Duration, s *rollout.Standing, j *rollout.Judgement) {
+func (n *Node) logJudgement(now time.Duration, s *rollout.OrderState, j *rollout.Judgement) {
 	x := j.Worst()
-	event.RolloutJudged.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "verdict", j.Verdict, "why", j.Why,
+	event.RolloutJudged.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "verdict", j.Verdict, "why", j.Reason,
 		"route", x.Route, "new", x.New, "new_bad", x.NewBad, "old", x.Old, "old_bad", x.OldBad, "granted", x.GrantedRate,
-		"against", x.Against, "accepted", x.Accepted, "age", now-s.Begun)
+		"against", x.Against, "accepted", x.Accepted, "age", now-s.OrderedAt)
 }
 
 // callRollout reads or writes an order's status. After a write it is read
 // again, whatever became of it, before anything else is decided.
-func (n *Node) callRollout(s rollout.Standing, status rollout.Status, step rollout.Step) {
+func (n *Node) callRollout(s rollout.OrderState, status rollout.Status, step rollout.Step) {
 	did := "read"
 	var err error
-	if step.Read {
+	if step.ReadStatus {
 		status, err = n.store.RolloutStatus(s.Order)
 	} else {
-		did = "write " + step.Write.String()
-		err = n.store.WriteRollout(s, status, step.Write)
+		did = "write " + step.WriteState.String()
+		err = n.store.WriteRollout(s, status, step.WriteState)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			n.logRolloutCall(&s, did, status, err)
 		}
@@ -280,7 +280,7 @@
 	o.wait = 0
 }
 
-func (n *Node) logRolloutCall(s *rollout.Standing, did string, status rollout.Status, err error) {
+func (n *Node) logRolloutCall(s *rollout.OrderState, did string, status rollout.Status, err error) {
 	event.RolloutStatus.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "did", did,
 		"state", status.State, "revision", status.Revision, "error", err)
 }
--- a/cmd/node/rollout_state.go
+++ b/cmd/node/rollout_state.go
@@ -31,12 +31,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []RolloutState
-	for _, s := range r.view.Standing() {
+	for _, s := range r.view.Active() {
 		o := r.seen(s.Revision)
 		out = append(out, RolloutState{
 			Service: s.Service, Target: s.Target, Order: s.Revision, Phase: s.Phase.String(),
-			Age: (now - s.Begun).Round(time.Millisecond).String(), For: s.For.String(), Share: s.Share(now, r.canary), Sent: o.own.Sent,
-			Rank: o.rank, Status: o.status.State.String(), Waits: o.step.Why, Judgement: o.judge.Latest(),
+			Age: (now - s.OrderedAt).Round(time.Millisecond).String(), For: s.TimeLimit.String(), Share: s.Share(now, r.canary), Sent: o.own.Sent,
+			Rank: o.rank, Status: o.status.State.String(), Waits: o.step.Reason, Judgement: o.judge.Latest(),
 		})
 	}
 	return out
--- a/cmd/node/rollout_test.go
+++ b/cmd/node/rollout_test.go
@@ -26,11 +26,11 @@
 func TestAnOrderBackServes(t *testing.T) {
 	is := is.New(t)
 	r := newRollouts(&platform.Settings{CanaryShare: 0.1, CanarySlack: 50})
-	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, For: time.Minute}}, 3)
-	r.view.Say(1, 3, rollout.Open)
-	r.view.Replace(2, []rollout.Order{{Service: "s", Target: "v1", Revision: 5, For: time.Minute}}, 5)
-	for _, phase := range []rollout.Phase{rollout.Waits, rollout.Open, rollout.Trusted} {
-		r.view.Say(3, 5, phase)
+	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
+	r.view.SetPhase(1, 3, rollout.Canary)
+	r.view.Replace(2, []rollout.Order{{Service: "s", Target: "v1", Revision: 5, TimeLimit: time.Minute}}, 5)
+	for _, phase := range []rollout.Phase{rollout.Pending, rollout.Canary, rollout.Promoted} {
+		r.view.SetPhase(3, 5, phase)
 		w := worldOf("v1", "v1", "v2")
 		r.part(4, w)
 		for _, x := range w.all {
@@ -47,8 +47,8 @@
 func TestEmptiedOldReplicasDoNotOpenTheGate(t *testing.T) {
 	is := is.New(t)
 	r := newRollouts(&platform.Settings{CanaryShare: 0.1, CanarySlack: 50})
-	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, For: time.Minute}}, 3)
-	r.view.Say(1, 3, rollout.Open)
+	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
+	r.view.SetPhase(1, 3, rollout.Canary)
 	w := worldOf("v1", "v2", "v2")
 	w.all[0].Emptied = true
 	r.part(4, w)
@@ -64,18 +64,18 @@
 // A report of many rows is told in parts that each fit a packet, all of it.
 func TestALongReportFits(t *testing.T) {
 	is := is.New(t)
-	rep := rollout.Report{Count: 1, Rows: make(map[rollout.Row]*rollout.Tally)}
+	rep := rollout.Report{Sequence: 1, Rows: make(map[rollout.RowKey]*rollout.Tally)}
 	for i := range 200 {
 		tally := &rollout.Tally{Failed: 100}
-		for b := range tally.Times {
-			tally.Times[b] = 100
+		for b := range tally.Latencies {
+			tally.Latencies[b] = 100
 		}
-		rep.Rows[rollout.Row{Route: "claim-dossier-review", Replica: fmt.Sprint("i-7f3a91c2-", i)}] = tally
+		rep.Rows[rollout.RowKey{Route: "claim-dossier-review", Replica: fmt.Sprint("i-7f3a91c2-", i)}] = tally
 	}
 	reports := rollout.NewReports()
 	for _, p := range reportNews(3, rep) {
 		is.True(proto.Size(p) < packFrom)
-		reports.Take("n1", 1, reportOf(p))
+		reports.Merge("n1", 1, reportOf(p))
 	}
 	rows, _, _ := reports.Sums()
 	is.Equal(len(rows), 200)
@@ -86,8 +86,8 @@
 func TestAReportIsCountedOnceWhateverStartsAgain(t *testing.T) {
 	is := is.New(t)
 	n := nodeOfTwo()
-	n.rollouts.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, For: time.Minute}}, 3)
-	rep := rollout.Report{Count: 1, Rows: map[rollout.Row]*rollout.Tally{{Route: "a", Replica: "v0"}: {Failed: 1}}}
+	n.rollouts.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
+	rep := rollout.Report{Sequence: 1, Rows: map[rollout.RowKey]*rollout.Tally{{Route: "a", Replica: "v0"}: {Failed: 1}}}
 	told := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: reportNews(3, rep)}}
 	for _, life := range []string{"v0", "v0@1", "v0@2", "v0@3"} {
 		w := *n.world.Load()
--- a/cmd/node/silence_test.go
+++ b/cmd/node/silence_test.go
@@ -118,7 +118,7 @@
 func (s *fakeStore) RolloutStatus(rollout.Order) (rollout.Status, error) {
 	return rollout.Status{Known: true}, s.Answers(platform.CallTimeout)
 }
-func (s *fakeStore) WriteRollout(rollout.Standing, rollout.Status, rollout.State) error {
+func (s *fakeStore) WriteRollout(rollout.OrderState, rollout.Status, rollout.State) error {
 	return s.Answers(platform.CallTimeout)
 }
 func (s *fakeStore) Register(string, []byte, uint64) error {
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -19,5 +19,5 @@
 	Keep(lease uint64) error
 	Register(name string, entry []byte, lease uint64) error
 	RolloutStatus(o rollout.Order) (rollout.Status, error)
-	WriteRollout(o rollout.Standing, read rollout.Status, state rollout.State) error
+	WriteRollout(o rollout.OrderState, read rollout.Status, state rollout.State) error
 }
--- a/coordination/rollout/counts.go
+++ b/coordination/rollout/counts.go
@@ -20,9 +20,9 @@
 // Tally counts answers, and requests that got none for an end of their replica's
 // life; each of its numbers only rises.
 type Tally struct {
-	Failed uint32
-	Ended  uint32          // requests under which the replica's life was over
-	Times  [Buckets]uint32 // of answers that are no failures, until they began
+	Failed      uint32
+	ReplicaEnds uint32          // requests under which the replica's life was over
+	Latencies   [Buckets]uint32 // of answers that are no failures, until they began
 }
 
 // Add counts an answer.
@@ -31,11 +31,11 @@
 		t.Failed++
 		return
 	}
-	t.Times[BucketOf(took)]++
+	t.Latencies[BucketOf(took)]++
 }
 
 // AddEnded counts a request under which its replica's life was over.
-func (t *Tally) AddEnded() { t.Ended++ }
+func (t *Tally) AddReplicaEnd() { t.ReplicaEnds++ }
 
 // Answers is the number of all answers.
 func (t *Tally) Answers() int { return int(t.Failed) + t.from(0) }
@@ -43,7 +43,7 @@
 // from is the number of answers in a bucket and those above.
 func (t *Tally) from(bucket int) int {
 	n := 0
-	for _, c := range t.Times[min(bucket, Buckets):] {
+	for _, c := range t.Latencies[min(bucket, Buckets):] {
 		n += int(c)
 	}
 	return n
@@ -55,7 +55,7 @@
 // median returns the bucket that holds the middle answer.
 func (t *Tally) median() int {
 	half := (t.from(0) + 1) / 2
-	for b, n := range t.Times {
+	for b, n := range t.Latencies {
 		if half -= int(n); half <= 0 {
 			return b
 		}
@@ -66,33 +66,33 @@
 // raise takes in a later or earlier tally of the same answers.
 func (t *Tally) raise(o *Tally) {
 	t.Failed = max(t.Failed, o.Failed)
-	t.Ended = max(t.Ended, o.Ended)
-	for b := range t.Times {
-		t.Times[b] = max(t.Times[b], o.Times[b])
+	t.ReplicaEnds = max(t.ReplicaEnds, o.ReplicaEnds)
+	for b := range t.Latencies {
+		t.Latencies[b] = max(t.Latencies[b], o.Latencies[b])
 	}
 }
 
 func (t *Tally) merge(o *Tally) {
 	t.Failed += o.Failed
-	t.Ended += o.Ended
-	for b := range t.Times {
-		t.Times[b] += o.Times[b]
+	t.ReplicaEnds += o.ReplicaEnds
+	for b := range t.Latencies {
+		t.Latencies[b] += o.Latencies[b]
 	}
 }
 
 // Row names what a tally is of: a route, and the new replica that answered; ""
 // stands for all replicas of other versions.
-type Row struct{ Route, Replica string }
+type RowKey struct{ Route, Replica string }
 
 // Report is what one life of an instance has seen of an order.
 type Report struct {
-	Count    uint64 // rises with each report of that life
-	Moved    bool   // it sends everything to the new version
-	Bound    int    // requests at old replicas that can't go on elsewhere
-	InFlight int    // requests at old replicas
-	Longest  time.Duration
-	Sent     int // to the service, of either version
-	Rows     map[Row]*Tally
+	Sequence       uint64 // rises with each report of that life
+	FullyShifted   bool   // it sends everything to the new version
+	Pinned         int    // requests at old replicas that can't go on elsewhere
+	InFlight       int    // requests at old replicas
+	LongestRequest time.Duration
+	Sent           int // to the service, of either version
+	Rows           map[RowKey]*Tally
 }
 
 // life is one life of an instance.
@@ -109,11 +109,11 @@
 func NewReports() *Reports { return &Reports{lives: make(map[life]Report)} }
 
 // Take takes in a report of a life, or a part of one.
-func (r *Reports) Take(name string, incarnation uint64, rep Report) {
+func (r *Reports) Merge(name string, incarnation uint64, rep Report) {
 	k := life{name, incarnation}
 	old, known := r.lives[k]
 	if !known {
-		old = Report{Rows: make(map[Row]*Tally)}
+		old = Report{Rows: make(map[RowKey]*Tally)}
 	}
 	rows := old.Rows
 	for row, t := range rep.Rows {
@@ -122,7 +122,7 @@
 		}
 		rows[row].raise(t)
 	}
-	if known && rep.Count < old.Count {
+	if known && rep.Sequence < old.Sequence {
 		return
 	}
 	rep.Rows = rows
@@ -130,17 +130,17 @@
 }
 
 // Of returns the newest report of a life.
-func (r *Reports) Of(name string, incarnation uint64) (Report, bool) {
+func (r *Reports) Latest(name string, incarnation uint64) (Report, bool) {
 	rep, ok := r.lives[life{name, incarnation}]
 	return rep, ok
 }
 
 // Sums adds up what all lives have seen.
-func (r *Reports) Sums() (rows map[Row]*Tally, sent int, longest time.Duration) {
-	rows = make(map[Row]*Tally)
+func (r *Reports) Sums() (rows map[RowKey]*Tally, sent int, longest time.Duration) {
+	rows = make(map[RowKey]*Tally)
 	for _, rep := range r.lives {
 		sent += rep.Sent
-		longest = max(longest, rep.Longest)
+		longest = max(longest, rep.LongestRequest)
 		for k, t := range rep.Rows {
 			if rows[k] == nil {
 				rows[k] = &Tally{}
--- a/coordination/rollout/ends.go
+++ b/coordination/rollout/ends.go
@@ -37,12 +37,12 @@
 func newEnds() *ends { return &ends{sums: route{Finding: Finding{Route: "ends of replicas"}}} }
 
 // look takes in the rows as they are now and as they were.
-func (e *ends) look(since time.Duration, rows map[Row]*Tally, last map[Row]Tally) {
+func (e *ends) look(since time.Duration, rows map[RowKey]*Tally, last map[RowKey]Tally) {
 	e.watched += min(since, mostBetween)
 	good := 0
 	for k, t := range rows {
 		before := last[k]
-		ended := t.Ended > before.Ended
+		ended := t.ReplicaEnds > before.ReplicaEnds
 		switch {
 		case k.Replica != "":
 			good += t.from(0) - before.from(0)
--- a/coordination/rollout/ends_test.go
+++ b/coordination/rollout/ends_test.go
@@ -11,12 +11,12 @@
 // a judge that looks every tick.
 type endingVersion struct {
 	judge *Judge
-	rows  map[Row]*Tally
+	rows  map[RowKey]*Tally
 	now   time.Duration
 }
 
 func newEndingVersion() *endingVersion {
-	e := &endingVersion{judge: NewJudge(), rows: map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*time.Millisecond)}}
+	e := &endingVersion{judge: NewJudge(), rows: map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*time.Millisecond)}}
 	for n := range 2 {
 		e.rows[at("a", n)] = tally(8, 0, 30*time.Millisecond)
 	}
@@ -27,7 +27,7 @@
 func (e *endingVersion) passes(d time.Duration) Judgement {
 	for end := e.now + d; e.now < end; {
 		e.now += tick
-		e.judge.Look(e.now, e.rows, false)
+		e.judge.Observe(e.now, e.rows, false)
 	}
 	return e.judge.Latest()
 }
@@ -35,12 +35,12 @@
 // end has the lives of replicas be over under so many requests each; -1 is an old one.
 func (e *endingVersion) end(requests int, replicas ...int) {
 	for _, n := range replicas {
-		k := Row{Route: "a"}
+		k := RowKey{Route: "a"}
 		if n >= 0 {
 			k = at("a", n)
 		}
 		for range requests {
-			e.rows[k].AddEnded()
+			e.rows[k].AddReplicaEnd()
 		}
 	}
 }
@@ -160,16 +160,16 @@
 		s, _ := v.Current(service)
 		return s.Share(now, 0.1)
 	}
-	v.Say(1, 5, Open)
-	v.Say(1, 6, Open)
-	v.StartedAgain(time.Second, "s", "v2")
-	v.StartedAgain(time.Second+calmFor/2, "s", "v2")
-	v.StartedAgain(time.Second, "t", "v1") // the old one
+	v.SetPhase(1, 5, Canary)
+	v.SetPhase(1, 6, Canary)
+	v.RecordRestart(time.Second, "s", "v2")
+	v.RecordRestart(time.Second+calmFor/2, "s", "v2")
+	v.RecordRestart(time.Second, "t", "v1") // the old one
 	is.Equal(share("s", time.Second+calmFor), 0.0)
 	is.True(share("s", time.Second+3*calmFor/2) > 0)
 	is.True(share("t", time.Second) > 0)
-	v.Say(2*time.Second, 5, Trusted)
-	v.StartedAgain(2*time.Second, "s", "v2")
+	v.SetPhase(2*time.Second, 5, Promoted)
+	v.RecordRestart(2*time.Second, "s", "v2")
 	is.True(share("s", 2*time.Second) > 0)
-	is.Equal(v.News(3 * time.Second).Standing[1].Calm, time.Duration(0)) // its own clock, of use to nobody else
+	is.Equal(v.Update(3 * time.Second).Orders[1].PausedUntil, time.Duration(0)) // its own clock, of use to nobody else
 }
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -28,26 +28,26 @@
 	Route               string
 	New, NewBad         int
 	Old, OldBad         int
-	Against, Accepted   float64 // the sums: accuse and beyond is bad, acquit and below is good
-	GrantedRate, Median float64 // of bad answers; of the old version's times, ms
+	Against, Accepted   float64 // cumulative scores: harmful above harmThreshold, good below acceptThreshold
+	GrantedRate, Median float64 // share of bad answers that a good version may give; response time of the old version in milliseconds
 }
 
 // Judgement is a verdict and what it rests on.
 type Judgement struct {
-	Verdict Verdict
-	Bad     int           // answers of the new version
-	From    time.Duration // since when it was looked at without a gap
-	Against float64       // the sum over all routes
-	Why     string
-	Routes  []Finding
-	Ends    Finding // of replicas under requests, as if they were answers
+	Verdict      Verdict
+	Bad          int           // bad answers of the new version
+	WatchedSince time.Duration `json:"From"` // start of the current period of observation without a gap
+	Against      float64       // score over all routes together
+	Reason       string        `json:"Why"`
+	Routes       []Finding
+	Ends         Finding // ends of replicas under requests, counted like answers
 }
 
 // Judge follows the sums of one order.
 type Judge struct {
-	last      map[Row]Tally
+	last      map[RowKey]Tally
 	routes    map[string]*route
-	replicas  map[Row]*replica
+	replicas  map[RowKey]*replica
 	unweighed []answers
 	ends      *ends
 	moving    bool
@@ -59,20 +59,20 @@
 
 // answers are new ones of a replica on a route that are not weighed yet.
 type answers struct {
-	row      Row
+	row      RowKey
 	at       time.Duration
 	all, bad int
 }
 
 // NewJudge returns a judge that has seen nothing.
 func NewJudge() *Judge {
-	return &Judge{last: make(map[Row]Tally), routes: make(map[string]*route), replicas: make(map[Row]*replica), ends: newEnds()}
+	return &Judge{last: make(map[RowKey]Tally), routes: make(map[string]*route), replicas: make(map[RowKey]*replica), ends: newEnds()}
 }
 
 // Look takes in the sums as they are now. What spoke for the version while it got
 // a small part counts no more from the moment that requests move to it: it is
 // completed by what it does under the whole load.
-func (j *Judge) Look(now time.Duration, rows map[Row]*Tally, moving bool) Judgement {
+func (j *Judge) Observe(now time.Duration, rows map[RowKey]*Tally, moving bool) Judgement {
 	if moving && !j.moving {
 		j.moving = true
 		for _, r := range j.routes {
@@ -163,7 +163,7 @@
 		limit = t.median() + slowSteps
 		r.Median = math.Exp2(float64(t.median()) / 2)
 	}
-	before := j.last[Row{Route: name}]
+	before := j.last[RowKey{Route: name}]
 	r.oldSeen = r.oldSeen*fade + float64(t.Answers()-before.Answers())
 	r.oldFailed = r.oldFailed*fade + float64(t.bad(limit)-before.bad(limit))
 	r.Old, r.OldBad = t.Answers(), t.bad(limit)
@@ -172,7 +172,7 @@
 
 // replica returns what was seen of a replica on a route, in all its lives: one that
 // is ill alone stays one.
-func (j *Judge) replica(k Row) *replica {
+func (j *Judge) replica(k RowKey) *replica {
 	k.Replica = catalog.NameOf(k.Replica)
 	r := j.replicas[k]
 	if r == nil {
@@ -183,7 +183,7 @@
 }
 
 func (j *Judge) judge() Judgement {
-	out := Judgement{From: j.from, Against: j.against, Ends: j.ends.sums.Finding}
+	out := Judgement{WatchedSince: j.from, Against: j.against, Ends: j.ends.sums.Finding}
 	total, old, oldBad := 0, 0, 0
 	for _, name := range slices.Sorted(maps.Keys(j.routes)) {
 		f := j.routes[name].Finding
@@ -204,29 +204,29 @@
 	worse := float64(out.Bad) > (2*oldRate+leastRate)*float64(total)
 	switch {
 	case worse && out.Bad >= mostBad && widely, worse && out.Bad >= alone:
-		out.Verdict, out.Why = Harmful, "bad answers"
+		out.Verdict, out.Reason = Harmful, "bad answers"
 		return out
 	case j.against >= accuse && widely:
-		out.Verdict, out.Why = Harmful, "all routes together"
+		out.Verdict, out.Reason = Harmful, "all routes together"
 		return out
 	case j.ends.harmful(j.answering()):
-		out.Verdict, out.Why = Harmful, out.Ends.Route
+		out.Verdict, out.Reason = Harmful, out.Ends.Route
 		return out
 	}
-	out.Verdict, out.Why = Good, ""
+	out.Verdict, out.Reason = Good, ""
 	for _, f := range out.Routes {
 		thin := float64(f.Old+f.New) < thinPart*float64(old+total)
 		switch {
 		case f.Against >= accuse:
-			out.Verdict, out.Why = Harmful, "route "+f.Route
+			out.Verdict, out.Reason = Harmful, "route "+f.Route
 			return out
 		case f.Accepted <= acquit, thin && f.Against < doubt:
 		default:
-			out.Verdict, out.Why = Undecided, "route "+f.Route
+			out.Verdict, out.Reason = Undecided, "route "+f.Route
 		}
 	}
 	if total == 0 {
-		out.Verdict, out.Why = Undecided, "no answers"
+		out.Verdict, out.Reason = Undecided, "no answers"
 	}
 	return out
 }
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -18,10 +18,10 @@
 
 // Order is an operator's wish to move a service to a version.
 type Order struct {
-	Service  string
-	Target   string // the version
-	Revision uint64 // of the store, at which it was written; names the order
-	For      time.Duration
+	Service   string
+	Target    string // the version
+	Revision  uint64 // of the store, at which it was written; names the order
+	TimeLimit time.Duration
 }
 
 // Phase is what is said of an order by those who judge it. It only rises.
@@ -29,11 +29,11 @@
 
 // The phases.
 const (
-	Waits   Phase = iota // the order's status is not known: the version gets nothing yet
-	Open                 // the version gets a small part of the requests
-	Trusted              // all requests move there, in steps
-	Bad                  // the version gets nothing any more, or the order was taken back
-	Done                 // the store says that it is completed: the old replicas stop
+	Pending  Phase = iota // the order's status is not known: the version gets nothing yet
+	Canary                // the version gets a small part of the requests
+	Promoted              // all requests move there, in steps
+	Rejected              // the version gets nothing any more, or the order was taken back
+	Done                  // the store says that it is completed: the old replicas stop
 )
 
 // String returns the phase's name for logs.
@@ -48,37 +48,37 @@
 }
 
 // Standing is an order and what is known of it.
-type Standing struct {
+type OrderState struct {
 	Order
-	Begun time.Duration // by the own clock, when it was first heard of
-	Phase Phase
-	Since time.Duration // that the phase is known
-	Ended bool          // it was taken back, or another came for its service
-	Calm  time.Duration // from when on its version gets requests after its replicas have started again; of this instance alone
+	OrderedAt   time.Duration // by the own clock, when it was first heard of
+	Phase       Phase
+	PhaseSince  time.Duration // that the phase is known
+	Ended       bool          // it was taken back, or another came for its service
+	PausedUntil time.Duration // from when on its version gets requests after its replicas have started again; of this instance alone
 }
 
 // News is a view as instances tell it each other.
-type News struct {
-	Revision uint64     // of the store, at which the orders were true; 0: nothing is known
-	Standing []Standing // Begun and Since hold ages instead of times
+type Update struct {
+	Revision uint64       // of the store, at which the orders were true; 0: nothing is known
+	Orders   []OrderState // Begun and Since hold ages instead of times
 }
 
 // Change is a new order, a new phase, or an order's end.
 type Change struct {
-	Standing
+	OrderState
 	New bool
 }
 
 // View is what an instance knows of the orders.
 type View struct {
 	revision uint64
-	current  map[string]*Standing // by service
-	all      map[uint64]*Standing // by revision, those that have ended included
+	current  map[string]*OrderState // by service
+	all      map[uint64]*OrderState // by revision, those that have ended included
 }
 
 // NewView returns a view that knows nothing.
 func NewView() *View {
-	return &View{current: make(map[string]*Standing), all: make(map[uint64]*Standing)}
+	return &View{current: make(map[string]*OrderState), all: make(map[uint64]*OrderState)}
 }
 
 // Revision is that of the store at which the orders were true.
@@ -88,17 +88,17 @@
 func (v *View) Empty() bool { return len(v.all) == 0 }
 
 // Current returns the order that stands for a service.
-func (v *View) Current(service string) (Standing, bool) {
+func (v *View) Current(service string) (OrderState, bool) {
 	s := v.current[service]
 	if s == nil {
-		return Standing{}, false
+		return OrderState{}, false
 	}
 	return *s, true
 }
 
 // Standing returns all orders that stand, by service.
-func (v *View) Standing() []Standing {
-	var out []Standing
+func (v *View) Active() []OrderState {
+	var out []OrderState
 	for _, service := range slices.Sorted(maps.Keys(v.current)) {
 		out = append(out, *v.current[service])
 	}
@@ -107,12 +107,12 @@
 
 // Led returns the orders that somebody has to lead: those that stand and are not
 // over, and those that were taken back, by service.
-func (v *View) Led(now time.Duration) []Standing {
-	var out []Standing
+func (v *View) Unfinished(now time.Duration) []OrderState {
+	var out []OrderState
 	for _, revision := range slices.Sorted(maps.Keys(v.all)) {
 		s := v.all[revision]
 		current := v.current[s.Service]
-		if current == s && !s.Over(now) || current == nil && s.Phase != Done {
+		if current == s && !s.IsFinished(now) || current == nil && s.Phase != Done {
 			out = append(out, *s)
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // Knows reports whether an order is known, or was.
-func (v *View) Knows(revision uint64) bool { return v.all[revision] != nil }
+func (v *View) Has(revision uint64) bool { return v.all[revision] != nil }
 
 // Replace takes in the orders as they were read whole at a revision.
 func (v *View) Replace(now time.Duration, orders []Order, revision uint64) []Change {
@@ -155,36 +155,36 @@
 
 // Take takes in what another instance tells: the newest set of orders, and the
 // highest phase on each.
-func (v *View) Take(now time.Duration, n News) []Change {
+func (v *View) Merge(now time.Duration, n Update) []Change {
 	var orders []Order
-	for _, s := range n.Standing {
+	for _, s := range n.Orders {
 		if !s.Ended {
 			orders = append(orders, s.Order)
 		}
 	}
 	changes := v.Replace(now, orders, n.Revision)
-	for _, s := range n.Standing {
+	for _, s := range n.Orders {
 		changes = append(changes, v.hear(now, s)...)
 	}
 	return changes
 }
 
 // hear takes in what is said of one order; ages are in the place of times.
-func (v *View) hear(now time.Duration, s Standing) []Change {
+func (v *View) hear(now time.Duration, s OrderState) []Change {
 	known := v.all[s.Revision]
 	if known == nil {
 		if !s.Ended {
 			return nil // of a set of orders that is older than the own one
 		}
-		known = &Standing{Order: s.Order, Begun: now - s.Begun, Ended: true}
+		known = &OrderState{Order: s.Order, OrderedAt: now - s.OrderedAt, Ended: true}
 		v.all[s.Revision] = known
 	}
-	known.Begun = min(known.Begun, now-s.Begun)
-	return v.say(now-s.Since, s.Revision, s.Phase)
+	known.OrderedAt = min(known.OrderedAt, now-s.OrderedAt)
+	return v.say(now-s.PhaseSince, s.Revision, s.Phase)
 }
 
 // Say takes in a phase on an order; a lower one than is known changes nothing.
-func (v *View) Say(now time.Duration, revision uint64, w Phase) []Change {
+func (v *View) SetPhase(now time.Duration, revision uint64, w Phase) []Change {
 	return v.say(now, revision, w)
 }
 
@@ -193,16 +193,16 @@
 	if s == nil || w <= s.Phase {
 		return nil
 	}
-	s.Phase, s.Since = w, since
-	return []Change{{Standing: *s}}
+	s.Phase, s.PhaseSince = w, since
+	return []Change{{OrderState: *s}}
 }
 
 // StartedAgain takes in that a replica of a version, one of those that get requests,
 // has started again. Until calmFor has gone by without another the version gets none:
 // what is let in meanwhile would be cut off by the next, and say nothing of it.
-func (v *View) StartedAgain(now time.Duration, service, version string) {
+func (v *View) RecordRestart(now time.Duration, service, version string) {
 	if s := v.current[service]; s != nil && s.Target == version {
-		s.Calm = now + calmFor
+		s.PausedUntil = now + calmFor
 	}
 }
 
@@ -214,18 +214,18 @@
 		}
 		s.Ended = true
 		delete(v.current, service)
-		if s.Phase < Bad {
-			s.Phase, s.Since = Bad, now
+		if s.Phase < Rejected {
+			s.Phase, s.PhaseSince = Rejected, now
 		}
-		out = append(out, Change{Standing: *s})
+		out = append(out, Change{OrderState: *s})
 	}
 	for service, o := range next {
 		if v.current[service] != nil {
 			continue
 		}
-		s := &Standing{Order: o, Begun: now, Since: now}
+		s := &OrderState{Order: o, OrderedAt: now, PhaseSince: now}
 		v.current[service], v.all[o.Revision] = s, s
-		out = append(out, Change{Standing: *s, New: true})
+		out = append(out, Change{OrderState: *s, New: true})
 	}
 	v.revision = revision
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
@@ -237,8 +237,8 @@
 const mostEnded = 8
 
 // News returns the view for others.
-func (v *View) News(now time.Duration) News {
-	n := News{Revision: v.revision}
+func (v *View) Update(now time.Duration) Update {
+	n := Update{Revision: v.revision}
 	ended := 0
 	for _, revision := range slices.Backward(slices.Sorted(maps.Keys(v.all))) {
 		s := *v.all[revision]
@@ -248,8 +248,8 @@
 				continue
 			}
 		}
-		s.Begun, s.Since, s.Calm = now-s.Begun, now-s.Since, 0
-		n.Standing = append(n.Standing, s)
+		s.OrderedAt, s.PhaseSince, s.PausedUntil = now-s.OrderedAt, now-s.PhaseSince, 0
+		n.Orders = append(n.Orders, s)
 	}
 	return n
 }
--- a/coordination/rollout/plan.go
+++ b/coordination/rollout/plan.go
@@ -32,27 +32,27 @@
 func (s Status) Ended() bool { return s.State >= Completed }
 
 // Facts are what whoever leads an order knows of it.
-type Facts struct {
-	Standing   Standing
-	Status     Status
-	Judgement  Judgement
-	Configured bool // the service is in the configuration
-	NewReady   int  // replicas of the version that may get work and are not cold
-	OldReady   int  // replicas of other versions that may get work
-	Sent       int  // requests to the service since the order
-	Longest    time.Duration
-	Behind     int     // instances that still send to old replicas
-	Bound      int     // requests at old replicas that can't go on elsewhere
-	InFlight   int     // requests at old replicas
-	Slack      float64 // requests that a version may get beside its share
+type Inputs struct {
+	Order          OrderState
+	Status         Status
+	Judgement      Judgement
+	Configured     bool // the service is in the configuration
+	NewReady       int  // replicas of the version that may get work and are not cold
+	OldReady       int  // replicas of other versions that may get work
+	Sent           int  // requests to the service since the order
+	LongestRequest time.Duration
+	Lagging        int     // instances that still send to old replicas
+	Pinned         int     // requests at old replicas that can't go on elsewhere
+	InFlight       int     // requests at old replicas
+	Slack          float64 // requests that a version may get beside its share
 }
 
 // Step is what is to be done now; Why says why nothing more is.
 type Step struct {
-	Read  bool
-	Say   Phase
-	Write State
-	Why   string
+	ReadStatus bool
+	SetPhase   Phase
+	WriteState State
+	Reason     string
 }
 
 // The plan, reckoned back from the end of the order's time. Until a version is
@@ -71,90 +71,90 @@
 )
 
 // Decide returns what whoever leads an order does next.
-func Decide(now time.Duration, f *Facts) Step {
-	s := &f.Standing
-	age := now - s.Begun
+func Decide(now time.Duration, f *Inputs) Step {
+	s := &f.Order
+	age := now - s.OrderedAt
 	switch {
 	case !f.Status.Known:
-		return Step{Read: true, Why: "its status is not read yet"}
+		return Step{ReadStatus: true, Reason: "its status is not read yet"}
 	case s.Phase == Done:
 		return Step{}
 	case f.Status.State == Completed:
-		return Step{Say: Done}
+		return Step{SetPhase: Done}
 	case f.Status.State == RolledBack:
-		return Step{Say: Bad}
+		return Step{SetPhase: Rejected}
 	case s.Ended:
-		return Step{Write: RolledBack, Why: "it was taken back"}
-	case s.For <= 0:
-		return Step{Say: Bad, Write: RolledBack, Why: "its time is nothing"}
-	case s.Phase == Bad, f.Judgement.Verdict == Harmful:
-		return Step{Say: Bad, Write: RolledBack, Why: f.Judgement.Why}
+		return Step{WriteState: RolledBack, Reason: "it was taken back"}
+	case s.TimeLimit <= 0:
+		return Step{SetPhase: Rejected, WriteState: RolledBack, Reason: "its time is nothing"}
+	case s.Phase == Rejected, f.Judgement.Verdict == Harmful:
+		return Step{SetPhase: Rejected, WriteState: RolledBack, Reason: f.Judgement.Reason}
 	case f.Status.State == None:
-		return Step{Write: Running, Why: "its status is not written yet"}
-	case !f.Configured && age >= s.For:
-		return Step{Say: Bad, Write: RolledBack, Why: "the service is not configured"}
-	case f.NewReady == 0 && s.Phase <= Open && age >= s.For:
-		return Step{Say: Bad, Write: RolledBack, Why: "no replica of the version came"}
-	case s.Phase < Open:
-		return Step{Say: Open}
-	case f.NewReady == 0 && s.Phase == Open:
-		return Step{Why: "no replica of the version is ready"}
-	case s.Phase == Open:
+		return Step{WriteState: Running, Reason: "its status is not written yet"}
+	case !f.Configured && age >= s.TimeLimit:
+		return Step{SetPhase: Rejected, WriteState: RolledBack, Reason: "the service is not configured"}
+	case f.NewReady == 0 && s.Phase <= Canary && age >= s.TimeLimit:
+		return Step{SetPhase: Rejected, WriteState: RolledBack, Reason: "no replica of the version came"}
+	case s.Phase < Canary:
+		return Step{SetPhase: Canary}
+	case f.NewReady == 0 && s.Phase == Canary:
+		return Step{Reason: "no replica of the version is ready"}
+	case s.Phase == Canary:
 		return f.trust(age)
 	}
 	return f.complete(now, age)
 }
 
 // trust decides whether the version gets everything from now on.
-func (f *Facts) trust(age time.Duration) Step {
-	s := &f.Standing
-	left := s.For - age
-	need := rampFor + toldFor + writtenFor + max(time.Duration(drainTimes*float64(f.Longest)), leastDrain)
-	watched := time.Duration(watchedPart * float64(s.For))
+func (f *Inputs) trust(age time.Duration) Step {
+	s := &f.Order
+	left := s.TimeLimit - age
+	need := rampFor + toldFor + writtenFor + max(time.Duration(drainTimes*float64(f.LongestRequest)), leastDrain)
+	watched := time.Duration(watchedPart * float64(s.TimeLimit))
 	rest := float64(f.Sent) / max(age, lookBack).Seconds() * max(left, 0).Seconds() // requests that are still to come
 	switch {
 	case f.NewReady < max(f.OldReady, 1):
-		return Step{Why: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
+		return Step{Reason: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
 	case age < watched:
-		return Step{Why: fmt.Sprintf("it is watched for %v more", (watched - age).Round(lookBack))}
+		return Step{Reason: fmt.Sprintf("it is watched for %v more", (watched - age).Round(lookBack))}
 	case left > need:
-		return Step{Why: fmt.Sprintf("all moves in %v", (left - need).Round(lookBack))}
-	case f.looked(s.Begun+age) < toldFor:
-		return Step{Why: "it looks for a moment only since a gap"}
+		return Step{Reason: fmt.Sprintf("all moves in %v", (left - need).Round(lookBack))}
+	case f.looked(s.OrderedAt+age) < toldFor:
+		return Step{Reason: "it looks for a moment only since a gap"}
 	case f.Judgement.Verdict == Good:
-		return Step{Say: Trusted, Why: "answers are good"}
+		return Step{SetPhase: Promoted, Reason: "answers are good"}
 	case f.Judgement.inDoubt():
-		return Step{Why: "in doubt of route " + f.Judgement.Worst().Route}
+		return Step{Reason: "in doubt of route " + f.Judgement.Worst().Route}
 	case rest <= slackPart*f.Slack:
-		return Step{Say: Trusted, Why: "what is still to come is within the slack"}
+		return Step{SetPhase: Promoted, Reason: "what is still to come is within the slack"}
 	}
-	return Step{Why: "not enough is seen: " + f.Judgement.Why}
+	return Step{Reason: "not enough is seen: " + f.Judgement.Reason}
 }
 
 // looked is for how long the answers have been looked at without a gap: who was
 // frozen for some seconds has not watched the version meanwhile.
-func (f *Facts) looked(now time.Duration) time.Duration { return now - f.Judgement.From }
+func (f *Inputs) looked(now time.Duration) time.Duration { return now - f.Judgement.WatchedSince }
 
 // complete decides whether the old replicas may stop.
-func (f *Facts) complete(now, age time.Duration) Step {
-	left := f.Standing.For - age
+func (f *Inputs) complete(now, age time.Duration) Step {
+	left := f.Order.TimeLimit - age
 	switch {
-	case !f.Standing.Moved(now):
-		return Step{Why: "requests move in steps"}
+	case !f.Order.IsFullyShifted(now):
+		return Step{Reason: "requests move in steps"}
 	case f.NewReady < max(f.OldReady, 1):
-		return Step{Why: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
-	case f.Behind > 0:
-		return Step{Why: fmt.Sprintf("%d instances still send to old replicas", f.Behind)}
-	case f.Bound > 0:
-		return Step{Why: fmt.Sprintf("%d requests at old replicas can't go on elsewhere", f.Bound)}
+		return Step{Reason: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
+	case f.Lagging > 0:
+		return Step{Reason: fmt.Sprintf("%d instances still send to old replicas", f.Lagging)}
+	case f.Pinned > 0:
+		return Step{Reason: fmt.Sprintf("%d requests at old replicas can't go on elsewhere", f.Pinned)}
 	case f.InFlight > 0 && left > lastCall:
-		return Step{Why: fmt.Sprintf("%d requests are at old replicas", f.InFlight)}
+		return Step{Reason: fmt.Sprintf("%d requests are at old replicas", f.InFlight)}
 	case f.Judgement.inDoubt():
-		return Step{Why: "in doubt of route " + f.Judgement.Worst().Route}
+		return Step{Reason: "in doubt of route " + f.Judgement.Worst().Route}
 	case f.looked(now) < toldFor:
-		return Step{Why: "it looks for a moment only since a gap"}
+		return Step{Reason: "it looks for a moment only since a gap"}
 	case f.Judgement.Verdict != Good: // the old replicas can't be had back
-		return Step{Why: "not enough is seen: " + f.Judgement.Why}
+		return Step{Reason: "not enough is seen: " + f.Judgement.Reason}
 	}
-	return Step{Write: Completed}
+	return Step{WriteState: Completed}
 }
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -42,14 +42,14 @@
 
 func (i *instance) restart(start float64) {
 	*i = instance{name: i.name, life: i.life + 1, view: NewView(), ledger: NewLedger(start), reports: NewReports(), judge: NewJudge(),
-		own: Report{Rows: make(map[Row]*Tally)}, heard: make(map[string]int), off: i.off}
+		own: Report{Rows: make(map[RowKey]*Tally)}, heard: make(map[string]int), off: i.off}
 }
 
 // note is one message on its way.
 type note struct {
 	at, from, to int
 	life         uint64
-	news         News
+	news         Update
 	report       Report
 }
 
@@ -101,7 +101,7 @@
 		}
 		f.hear(n, i)
 		if f.now == orderedAt || i.view.Empty() && i.off <= f.now && f.random.IntN(3) == 0 { // it reads the store
-			i.view.Replace(f.time(), []Order{{Service: "s", Target: "v2", Revision: 1, For: deadline * tick}}, 1)
+			i.view.Replace(f.time(), []Order{{Service: "s", Target: "v2", Revision: 1, TimeLimit: deadline * tick}}, 1)
 		}
 		f.serve(i)
 		f.tell(n, i)
@@ -145,8 +145,8 @@
 		goes := false
 		if ordered && !i.view.Withheld("s", "v2", true, false) {
 			share := s.Share(f.time(), 0.1)
-			goes = i.ledger.May(1, route, share, 1)
-			i.ledger.Sent(1, route, share, 1, goes)
+			goes = i.ledger.Allows(1, route, share, 1)
+			i.ledger.Record(1, route, share, 1, goes)
 			i.own.Sent++
 		}
 		f.count(i, route, goes)
@@ -167,9 +167,9 @@
 		}
 	}
 	if goes && f.fiftieth > 0 && f.now > f.fiftieth+rollback && f.now > i.fault+touch {
-		f.t.Fatalf("%s sends %d ticks after the 50th bad answer, at %d: %+v; %+v", i.name, f.now-f.fiftieth, f.now, i.view.Standing(), i.judge.Latest())
+		f.t.Fatalf("%s sends %d ticks after the 50th bad answer, at %d: %+v; %+v", i.name, f.now-f.fiftieth, f.now, i.view.Active(), i.judge.Latest())
 	}
-	k := Row{Route: route}
+	k := RowKey{Route: route}
 	if goes {
 		k.Replica = fmt.Sprint("r", f.random.IntN(2))
 	}
@@ -180,11 +180,11 @@
 }
 
 func (f *fleet) report(i *instance) Report {
-	i.own.Count++
+	i.own.Sequence++
 	r := i.own
 	s, _ := i.view.Current("s")
-	r.Moved = s.Moved(f.time())
-	r.Rows = make(map[Row]*Tally)
+	r.FullyShifted = s.IsFullyShifted(f.time())
+	r.Rows = make(map[RowKey]*Tally)
 	for k, t := range i.own.Rows {
 		c := *t
 		r.Rows[k] = &c
@@ -197,7 +197,7 @@
 	if f.now%2 != 0 || i.view.Empty() {
 		return
 	}
-	m := note{from: n, life: i.life, news: i.view.News(f.time()), report: f.report(i)}
+	m := note{from: n, life: i.life, news: i.view.Update(f.time()), report: f.report(i)}
 	for to := range f.instances {
 		for again := true; again && to != n && f.now >= i.off && !f.chance(0.2); again = f.chance(0.1) {
 			m.to, m.at = to, f.now+1
@@ -217,8 +217,8 @@
 			left = append(left, m)
 		case f.now < i.off:
 		default:
-			i.view.Take(f.time(), m.news)
-			i.reports.Take(f.instances[m.from].name, m.life, m.report)
+			i.view.Merge(f.time(), m.news)
+			i.reports.Merge(f.instances[m.from].name, m.life, m.report)
 			i.heard[f.instances[m.from].name] = f.now
 		}
 	}
@@ -234,8 +234,8 @@
 	if i.answer != nil {
 		i.status, i.answer, i.due = *i.answer, nil, f.now
 	}
-	facts := &Facts{Standing: s, Status: i.status, Configured: true, NewReady: 2, OldReady: 2, Slack: 50}
-	i.reports.Take(i.name, i.life, f.report(i))
+	facts := &Inputs{Order: s, Status: i.status, Configured: true, NewReady: 2, OldReady: 2, Slack: 50}
+	i.reports.Merge(i.name, i.life, f.report(i))
 	rank := 0
 	for m, other := range f.instances {
 		if m == n || f.now-i.heard[other.name] > heardFor {
@@ -244,34 +244,34 @@
 		if m < n {
 			rank++
 		}
-		if rep, known := i.reports.Of(other.name, other.life); !known || !rep.Moved {
-			facts.Behind++
+		if rep, known := i.reports.Latest(other.name, other.life); !known || !rep.FullyShifted {
+			facts.Lagging++
 		}
 	}
-	if !s.Moved(f.time()) {
-		facts.Behind++
+	if !s.IsFullyShifted(f.time()) {
+		facts.Lagging++
 	}
 	rows, sent, _ := i.reports.Sums()
 	facts.Sent = sent
-	facts.Judgement = i.judge.Look(f.time(), rows, s.Phase == Trusted)
+	facts.Judgement = i.judge.Observe(f.time(), rows, s.Phase == Promoted)
 	step := Decide(f.time(), facts)
 	if rank >= 3 {
 		return
 	}
-	if step.Say == Bad {
-		i.view.Say(f.time(), 1, Bad)
+	if step.SetPhase == Rejected {
+		i.view.SetPhase(f.time(), 1, Rejected)
 	}
-	if step.Read != i.last.Read || step.Say != i.last.Say || step.Write != i.last.Write {
+	if step.ReadStatus != i.last.ReadStatus || step.SetPhase != i.last.SetPhase || step.WriteState != i.last.WriteState {
 		i.due = f.now
 	}
 	i.last = step
 	if f.now-i.due < 7*rank {
 		return
 	}
-	if step.Say > s.Phase {
-		i.view.Say(f.time(), 1, step.Say)
+	if step.SetPhase > s.Phase {
+		i.view.SetPhase(f.time(), 1, step.SetPhase)
 	}
-	if step.Read || step.Write != None {
+	if step.ReadStatus || step.WriteState != None {
 		f.call(i, step)
 	}
 }
@@ -280,15 +280,15 @@
 func (f *fleet) call(i *instance, step Step) {
 	i.calling = f.now + 1
 	read := i.status
-	if step.Write != None {
+	if step.WriteState != None {
 		switch {
 		case f.now < i.off || f.chance(0.2):
 		case f.chance(0.2):
 			at := f.now + 1 + f.random.IntN(40)
-			f.late[at] = append(f.late[at], func() { f.write(read, step.Write) })
+			f.late[at] = append(f.late[at], func() { f.write(read, step.WriteState) })
 			i.calling = f.now + 15
 		default:
-			f.write(read, step.Write)
+			f.write(read, step.WriteState)
 		}
 	}
 	got := f.status
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -10,7 +10,7 @@
 )
 
 func order(service, target string, revision uint64) Order {
-	return Order{Service: service, Target: target, Revision: revision, For: 10 * time.Second}
+	return Order{Service: service, Target: target, Revision: revision, TimeLimit: 10 * time.Second}
 }
 
 // A second order, an order taken back, and phases that come late or of another order.
@@ -18,21 +18,21 @@
 	is := is.New(t)
 	v := NewView()
 	v.Replace(0, []Order{order("s", "v2", 5), order("t", "v9", 6)}, 7)
-	v.Say(1, 5, Open)
+	v.SetPhase(1, 5, Canary)
 	v.Apply(2, []Entry{{Order: order("s", "v3", 9)}}, 9)
 	is.True(v.Withheld("s", "v2", true, false)) // what was not completed gets nothing more
 	is.True(v.Withheld("s", "v3", true, false)) // its status is not known yet
 	is.True(!v.Withheld("s", "v1", true, false))
-	is.Equal(len(v.Say(3, 5, Open)), 0) // of the one before
-	v.Say(4, 9, Open)
+	is.Equal(len(v.SetPhase(3, 5, Canary)), 0) // of the one before
+	v.SetPhase(4, 9, Canary)
 	is.True(!v.Withheld("s", "v3", true, false))
 	changes := v.Apply(5, []Entry{{Order: Order{Service: "s", Revision: 11}, Gone: true}}, 11)
 	is.Equal(len(changes), 1)
-	is.Equal(changes[0].Phase, Bad)
+	is.Equal(changes[0].Phase, Rejected)
 	is.True(v.Withheld("s", "v3", true, false))
-	is.Equal(len(v.Led(6)), 3) // what was taken back needs its end, and t goes on
+	is.Equal(len(v.Unfinished(6)), 3) // what was taken back needs its end, and t goes on
 	v.Apply(7, []Entry{{Order: order("s", "v3", 12)}}, 12)
-	v.Say(7, 12, Open)
+	v.SetPhase(7, 12, Canary)
 	is.True(!v.Withheld("s", "v3", true, false)) // ordered anew
 }
 
@@ -50,14 +50,14 @@
 	a, b := NewView(), NewView()
 	for _, v := range []*View{a, b} {
 		v.Replace(0, []Order{order("s", "v2", 5)}, 7)
-		v.Say(1, 5, Trusted)
+		v.SetPhase(1, 5, Promoted)
 	}
-	a.Say(2, 5, Done)
+	a.SetPhase(2, 5, Done)
 	for _, v := range []*View{a, b} {
 		v.Apply(3, []Entry{{Order: Order{Service: "s", Revision: 9}, Gone: true}}, 9)
 	}
 	is.True(!a.Withheld("s", "v2", false, false))
-	b.Take(4, a.News(4))
+	b.Merge(4, a.Update(4))
 	is.True(!b.Withheld("s", "v2", false, false))
 }
 
@@ -69,8 +69,8 @@
 		l := NewLedger((float64(i) + 0.5) / 78)
 		for n := range 16 {
 			route := fmt.Sprint("r", n%5/4) // a fifth on one of two
-			goes := l.May(1, route, 0.07, 1)
-			l.Sent(1, route, 0.07, 1, goes)
+			goes := l.Allows(1, route, 0.07, 1)
+			l.Record(1, route, 0.07, 1, goes)
 			all++
 			if goes {
 				newer++
@@ -89,8 +89,8 @@
 		l := NewLedger(start)
 		all, newer, most := 0, 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(1, 60)).Draw(t, "sends") {
-			goes := l.May(1, "r", share, n)
-			l.Sent(1, "r", share, n, goes)
+			goes := l.Allows(1, "r", share, n)
+			l.Record(1, "r", share, n, goes)
 			all += n
 			if goes {
 				newer += n
@@ -115,36 +115,36 @@
 }
 
 // spreadRow is what the n-th new replica answered on a route.
-func at(route string, n int) Row { return Row{route, fmt.Sprint("new", n)} }
+func at(route string, n int) RowKey { return RowKey{route, fmt.Sprint("new", n)} }
 
 func TestVerdicts(t *testing.T) {
 	const ms = time.Millisecond
 	cases := map[string]struct {
-		rows map[Row]*Tally
+		rows map[RowKey]*Tally
 		want Verdict
 	}{
-		"nothing yet":      {map[Row]*Tally{{Route: "a"}: tally(100, 0, 30*ms)}, Undecided},
-		"good":             {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(8, 0, 30*ms), at("a", 2): tally(8, 0, 40*ms)}, Good},
-		"failures":         {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(3, 2, 30*ms), at("a", 2): tally(3, 2, 30*ms)}, Harmful},
-		"three times slow": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(0, 0, 0), at("a", 2): tally(5, 0, 95*ms)}, Harmful},
-		"a burst, slow for all and failing": {map[Row]*Tally{{Route: "a"}: tally(150, 90, 30*ms),
+		"nothing yet":      {map[RowKey]*Tally{{Route: "a"}: tally(100, 0, 30*ms)}, Undecided},
+		"good":             {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(8, 0, 30*ms), at("a", 2): tally(8, 0, 40*ms)}, Good},
+		"failures":         {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(3, 2, 30*ms), at("a", 2): tally(3, 2, 30*ms)}, Harmful},
+		"three times slow": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(0, 0, 0), at("a", 2): tally(5, 0, 95*ms)}, Harmful},
+		"a burst, slow for all and failing": {map[RowKey]*Tally{{Route: "a"}: tally(150, 90, 30*ms),
 			at("a", 1): tally(6, 4, 30*ms), at("a", 2): tally(6, 3, 30*ms)}, Undecided},
-		"one ill replica of a good version": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
+		"one ill replica of a good version": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			at("a", 1): tally(0, 9, 0), at("a", 2): tally(30, 0, 30*ms)}, Good},
-		"one ill replica, the others hardly seen": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
+		"one ill replica, the others hardly seen": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			at("a", 1): tally(0, 9, 0), at("a", 2): tally(6, 0, 30*ms)}, Undecided},
-		"many bad answers of one replica": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
+		"many bad answers of one replica": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			at("a", 1): tally(0, 41, 0), at("a", 2): tally(30, 0, 30*ms)}, Harmful},
-		"one route only": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms), at("a", 2): tally(40, 0, 30*ms),
+		"one route only": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms), at("a", 2): tally(40, 0, 30*ms),
 			{Route: "b"}: tally(60, 0, 30*ms), at("b", 1): tally(1, 2, 30*ms), at("b", 2): tally(0, 2, 30*ms)}, Harmful},
-		"a route not seen enough": {map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms),
+		"a route not seen enough": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms),
 			{Route: "b"}: tally(60, 0, 30*ms), at("b", 1): tally(4, 0, 30*ms)}, Undecided},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			j := NewJudge()
-			j.Look(time.Second, c.rows, false)
-			got := j.Look(time.Second+settleFor, c.rows, false)
+			j.Observe(time.Second, c.rows, false)
+			got := j.Observe(time.Second+settleFor, c.rows, false)
 			is.New(t).Equal(got.Verdict.String(), c.want.String())
 		})
 	}
@@ -154,15 +154,15 @@
 func TestAVersionTurnsBad(t *testing.T) {
 	is := is.New(t)
 	j := NewJudge()
-	rows := map[Row]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(200, 0, time.Millisecond), at("a", 2): tally(200, 0, time.Millisecond)}
-	j.Look(-settleFor, rows, false)
-	is.Equal(j.Look(0, rows, false).Verdict, Good)
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(200, 0, time.Millisecond), at("a", 2): tally(200, 0, time.Millisecond)}
+	j.Observe(-settleFor, rows, false)
+	is.Equal(j.Observe(0, rows, false).Verdict, Good)
 	for n := 1; ; n++ {
 		for i := 1; i <= 2; i++ {
 			rows[at("a", i)].Add(0, true)
 		}
-		rows[Row{Route: "a"}].Add(time.Millisecond, false)
-		if j.Look(time.Duration(n)*100*time.Millisecond, rows, false).Verdict == Harmful {
+		rows[RowKey{Route: "a"}].Add(time.Millisecond, false)
+		if j.Observe(time.Duration(n)*100*time.Millisecond, rows, false).Verdict == Harmful {
 			is.True(n <= 12) // 24 bad answers; the sickness shows from a tenth of each replica's
 			return
 		}
@@ -172,13 +172,13 @@
 // One ill replica that starts again all the while is one, whatever its lives are called.
 func TestLivesOfOneIllReplicaAreOne(t *testing.T) {
 	const ms = time.Millisecond
-	rows := map[Row]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(30, 0, 30*ms)}
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(30, 0, 30*ms)}
 	for _, life := range []string{"new2", "new2@1", "new2@2"} {
-		rows[Row{"a", life}] = tally(0, 3, 0)
+		rows[RowKey{"a", life}] = tally(0, 3, 0)
 	}
 	j := NewJudge()
-	j.Look(time.Second, rows, false)
-	is.New(t).Equal(j.Look(time.Second+settleFor, rows, false).Verdict, Good)
+	j.Observe(time.Second, rows, false)
+	is.New(t).Equal(j.Observe(time.Second+settleFor, rows, false).Verdict, Good)
 }
 
 // A burst begins: the new version's slow answers are told some moments before the old one's.
@@ -187,9 +187,9 @@
 	const ms = time.Millisecond
 	j := NewJudge()
 	old, newer := tally(300, 0, 15*ms), []*Tally{tally(12, 0, 15*ms), tally(12, 0, 15*ms)}
-	rows := map[Row]*Tally{{Route: "a"}: old, at("a", 1): newer[0], at("a", 2): newer[1]}
-	j.Look(0, rows, false)
-	j.Look(time.Second, rows, false)
+	rows := map[RowKey]*Tally{{Route: "a"}: old, at("a", 1): newer[0], at("a", 2): newer[1]}
+	j.Observe(0, rows, false)
+	j.Observe(time.Second, rows, false)
 	for n := range 20 { // 10 a second of the new one, 100 of the old one 0.3 s later
 		newer[n%2].Add(120*ms, false)
 		if n >= 3 {
@@ -197,7 +197,7 @@
 				old.Add(120*ms, false)
 			}
 		}
-		is.True(j.Look(time.Second+time.Duration(n+1)*100*ms, rows, false).Verdict != Harmful)
+		is.True(j.Observe(time.Second+time.Duration(n+1)*100*ms, rows, false).Verdict != Harmful)
 	}
 }
 
@@ -205,23 +205,23 @@
 func TestAMovingVersionIsJudgedAnew(t *testing.T) {
 	is := is.New(t)
 	j := NewJudge()
-	rows := map[Row]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(50, 0, time.Millisecond)}
-	j.Look(0, rows, false)
-	is.Equal(j.Look(settleFor, rows, false).Verdict, Good)
-	is.Equal(j.Look(settleFor+1, rows, true).Verdict, Undecided)
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(50, 0, time.Millisecond)}
+	j.Observe(0, rows, false)
+	is.Equal(j.Observe(settleFor, rows, false).Verdict, Good)
+	is.Equal(j.Observe(settleFor+1, rows, true).Verdict, Undecided)
 	rows[at("a", 1)] = tally(70, 0, time.Millisecond)
-	j.Look(settleFor+2, rows, true)
-	is.Equal(j.Look(3*settleFor, rows, true).Verdict, Good)
+	j.Observe(settleFor+2, rows, true)
+	is.Equal(j.Observe(3*settleFor, rows, true).Verdict, Good)
 }
 
 // Reports that hold a part of the rows each, come late or twice, or from a life that has ended: sums never fall.
 func TestSumsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seen := make(map[Row]*Tally)
+		seen := make(map[RowKey]*Tally)
 		r := NewReports()
 		var sent []Report
 		for n := range rapid.IntRange(1, 40).Draw(t, "reports") {
-			part := make(map[Row]*Tally)
+			part := make(map[RowKey]*Tally)
 			for i := range 3 {
 				k := at("a", i)
 				if seen[k] == nil {
@@ -235,9 +235,9 @@
 					part[k] = &c
 				}
 			}
-			sent = append(sent, Report{Count: uint64(n + 1), Rows: part})
+			sent = append(sent, Report{Sequence: uint64(n + 1), Rows: part})
 			before, _, _ := r.Sums()
-			r.Take("n1", 1, rapid.SampledFrom(sent).Draw(t, "comes"))
+			r.Merge("n1", 1, rapid.SampledFrom(sent).Draw(t, "comes"))
 			after, _, _ := r.Sums()
 			for k, old := range before {
 				if after[k].Failed < old.Failed || after[k].from(0) < old.from(0) {
@@ -251,8 +251,8 @@
 func TestStepsOfAnOrder(t *testing.T) {
 	good := Judgement{Verdict: Good}
 	running := Status{Known: true, Revision: 9, State: Running}
-	base := func(phase Phase, more func(*Facts)) *Facts {
-		f := &Facts{Standing: Standing{Order: order("s", "v2", 5), Phase: phase}, Status: running, Judgement: good,
+	base := func(phase Phase, more func(*Inputs)) *Inputs {
+		f := &Inputs{Order: OrderState{Order: order("s", "v2", 5), Phase: phase}, Status: running, Judgement: good,
 			Configured: true, NewReady: 4, OldReady: 4, Sent: 1000, Slack: 50}
 		more(f)
 		return f
@@ -260,44 +260,44 @@
 	const early, late, over = 4 * time.Second, 9 * time.Second, 11 * time.Second
 	cases := map[string]struct {
 		now  time.Duration
-		f    *Facts
+		f    *Inputs
 		want Step
 	}{
-		"its status first":         {0, base(Waits, func(f *Facts) { f.Status = Status{} }), Step{Read: true}},
-		"then that it runs":        {0, base(Waits, func(f *Facts) { f.Status.State = None }), Step{Write: Running}},
-		"then a small part":        {0, base(Waits, func(f *Facts) {}), Step{Say: Open}},
-		"watched":                  {early, base(Open, func(f *Facts) {}), Step{}},
-		"trusted late":             {late, base(Open, func(f *Facts) {}), Step{Say: Trusted}},
-		"not without a verdict":    {late, base(Open, func(f *Facts) { f.Judgement = Judgement{} }), Step{}},
-		"but within the slack":     {late, base(Open, func(f *Facts) { f.Judgement, f.Sent = Judgement{}, 100 }), Step{Say: Trusted}},
-		"late without a verdict":   {over, base(Open, func(f *Facts) { f.Judgement = Judgement{} }), Step{Say: Trusted}},
-		"not in doubt, ever":       {over, base(Open, func(f *Facts) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
-		"not to fewer replicas":    {late, base(Open, func(f *Facts) { f.NewReady = 3 }), Step{}},
-		"no replica ever":          {over, base(Open, func(f *Facts) { f.NewReady = 0 }), Step{Say: Bad, Write: RolledBack}},
-		"not configured":           {over, base(Open, func(f *Facts) { f.Configured = false }), Step{Say: Bad, Write: RolledBack}},
-		"a time of nothing":        {0, base(Waits, func(f *Facts) { f.Standing.For = 0 }), Step{Say: Bad, Write: RolledBack}},
-		"bad":                      {early, base(Open, func(f *Facts) { f.Judgement.Verdict = Harmful }), Step{Say: Bad, Write: RolledBack}},
-		"bad while it moves":       {late, base(Trusted, func(f *Facts) { f.Judgement.Verdict = Harmful }), Step{Say: Bad, Write: RolledBack}},
-		"some still send":          {late, base(Trusted, func(f *Facts) { f.Behind = 1 }), Step{}},
-		"some are bound there":     {over, base(Trusted, func(f *Facts) { f.Bound = 1 }), Step{}},
-		"streams may end":          {8 * time.Second, base(Trusted, func(f *Facts) { f.InFlight = 1 }), Step{}},
-		"or go on elsewhere":       {late + time.Millisecond, base(Trusted, func(f *Facts) { f.InFlight = 1 }), Step{Write: Completed}},
-		"not unseen":               {8 * time.Second, base(Trusted, func(f *Facts) { f.Judgement, f.Standing.Since = Judgement{}, 7*time.Second }), Step{}},
-		"not in doubt":             {late, base(Trusted, func(f *Facts) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
-		"never without a verdict":  {over + time.Minute, base(Trusted, func(f *Facts) { f.Judgement = Judgement{From: over} }), Step{}},
-		"not after a gap":          {late, base(Trusted, func(f *Facts) { f.Judgement.From = late - 500*time.Millisecond }), Step{}},
-		"nor trusted after one":    {over, base(Open, func(f *Facts) { f.Judgement.From = over - 500*time.Millisecond }), Step{}},
-		"completed":                {late, base(Trusted, func(f *Facts) {}), Step{Write: Completed}},
-		"it was completed":         {late, base(Trusted, func(f *Facts) { f.Status.State = Completed }), Step{Say: Done}},
-		"it was rolled back":       {late, base(Trusted, func(f *Facts) { f.Status.State = RolledBack }), Step{Say: Bad}},
-		"bad when it is done":      {late, base(Done, func(f *Facts) { f.Judgement.Verdict = Harmful }), Step{}},
-		"taken back":               {late, base(Bad, func(f *Facts) { f.Standing.Ended = true }), Step{Write: RolledBack}},
-		"taken back when it ended": {late, base(Bad, func(f *Facts) { f.Standing.Ended, f.Status.State = true, Completed }), Step{Say: Done}},
+		"its status first":         {0, base(Pending, func(f *Inputs) { f.Status = Status{} }), Step{ReadStatus: true}},
+		"then that it runs":        {0, base(Pending, func(f *Inputs) { f.Status.State = None }), Step{WriteState: Running}},
+		"then a small part":        {0, base(Pending, func(f *Inputs) {}), Step{SetPhase: Canary}},
+		"watched":                  {early, base(Canary, func(f *Inputs) {}), Step{}},
+		"trusted late":             {late, base(Canary, func(f *Inputs) {}), Step{SetPhase: Promoted}},
+		"not without a verdict":    {late, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{}},
+		"but within the slack":     {late, base(Canary, func(f *Inputs) { f.Judgement, f.Sent = Judgement{}, 100 }), Step{SetPhase: Promoted}},
+		"late without a verdict":   {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{SetPhase: Promoted}},
+		"not in doubt, ever":       {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
+		"not to fewer replicas":    {late, base(Canary, func(f *Inputs) { f.NewReady = 3 }), Step{}},
+		"no replica ever":          {over, base(Canary, func(f *Inputs) { f.NewReady = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"not configured":           {over, base(Canary, func(f *Inputs) { f.Configured = false }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"a time of nothing":        {0, base(Pending, func(f *Inputs) { f.Order.TimeLimit = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"bad":                      {early, base(Canary, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"bad while it moves":       {late, base(Promoted, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"some still send":          {late, base(Promoted, func(f *Inputs) { f.Lagging = 1 }), Step{}},
+		"some are bound there":     {over, base(Promoted, func(f *Inputs) { f.Pinned = 1 }), Step{}},
+		"streams may end":          {8 * time.Second, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{}},
+		"or go on elsewhere":       {late + time.Millisecond, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{WriteState: Completed}},
+		"not unseen":               {8 * time.Second, base(Promoted, func(f *Inputs) { f.Judgement, f.Order.PhaseSince = Judgement{}, 7*time.Second }), Step{}},
+		"not in doubt":             {late, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
+		"never without a verdict":  {over + time.Minute, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{WatchedSince: over} }), Step{}},
+		"not after a gap":          {late, base(Promoted, func(f *Inputs) { f.Judgement.WatchedSince = late - 500*time.Millisecond }), Step{}},
+		"nor trusted after one":    {over, base(Canary, func(f *Inputs) { f.Judgement.WatchedSince = over - 500*time.Millisecond }), Step{}},
+		"completed":                {late, base(Promoted, func(f *Inputs) {}), Step{WriteState: Completed}},
+		"it was completed":         {late, base(Promoted, func(f *Inputs) { f.Status.State = Completed }), Step{SetPhase: Done}},
+		"it was rolled back":       {late, base(Promoted, func(f *Inputs) { f.Status.State = RolledBack }), Step{SetPhase: Rejected}},
+		"bad when it is done":      {late, base(Done, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{}},
+		"taken back":               {late, base(Rejected, func(f *Inputs) { f.Order.Ended = true }), Step{WriteState: RolledBack}},
+		"taken back when it ended": {late, base(Rejected, func(f *Inputs) { f.Order.Ended, f.Status.State = true, Completed }), Step{SetPhase: Done}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := Decide(c.now, c.f)
-			got.Why = ""
+			got.Reason = ""
 			is.New(t).Equal(got, c.want)
 		})
 	}
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -18,15 +18,15 @@
 
 // Share returns which part of the requests to an order's service its version gets
 // now, by the share of a version that is not trusted.
-func (s *Standing) Share(now time.Duration, canary float64) float64 {
+func (s *OrderState) Share(now time.Duration, canary float64) float64 {
 	switch s.Phase {
-	case Open:
-		if now < s.Calm {
+	case Canary:
+		if now < s.PausedUntil {
 			return 0
 		}
 		return canary * openPart
-	case Trusted:
-		switch since := now - s.Since; {
+	case Promoted:
+		switch since := now - s.PhaseSince; {
 		case since < rampStep:
 			return firstStep
 		case since < 2*rampStep:
@@ -40,10 +40,12 @@
 }
 
 // Over reports whether the order is completed and its old replicas are gone by now.
-func (s *Standing) Over(now time.Duration) bool { return s.Phase == Done && now-s.Since >= doneFor }
+func (s *OrderState) IsFinished(now time.Duration) bool {
+	return s.Phase == Done && now-s.PhaseSince >= doneFor
+}
 
 // Moved reports whether all requests go to the order's version.
-func (s *Standing) Moved(now time.Duration) bool { return s.Share(now, 0) >= 1 }
+func (s *OrderState) IsFullyShifted(now time.Duration) bool { return s.Share(now, 0) >= 1 }
 
 // Withheld reports whether replicas of a version of a service get nothing now;
 // others reports whether replicas of another version could take its requests,
@@ -52,18 +54,18 @@
 	s := v.current[service]
 	switch {
 	case s != nil && s.Target == version:
-		return s.Phase == Bad || s.Phase == Waits && others
-	case s != nil && moved && s.Phase != Bad:
+		return s.Phase == Rejected || s.Phase == Pending && others
+	case s != nil && moved && s.Phase != Rejected:
 		return true
 	}
 	last := v.last(service, version)
-	return last != nil && last.Ended && last.Phase == Bad
+	return last != nil && last.Ended && last.Phase == Rejected
 }
 
 // last returns the newest order that is known for a version of a service: one
 // that ended earlier says nothing of a version that came in by a later one.
-func (v *View) last(service, version string) *Standing {
-	var last *Standing
+func (v *View) last(service, version string) *OrderState {
+	var last *OrderState
 	for _, s := range v.all {
 		if s.Service == service && s.Target == version && (last == nil || s.Revision > last.Revision) {
 			last = s
@@ -74,7 +76,7 @@
 
 // Chosen returns which of an order's new replicas get requests at a share: so
 // many that each is as busy as an old one, the same ones at every instance.
-func (s *Standing) Chosen(now time.Duration, canary float64, replicas []string) map[string]bool {
+func (s *OrderState) SelectReplicas(now time.Duration, canary float64, replicas []string) map[string]bool {
 	n := max(int(math.Ceil(s.Share(now, canary)*float64(len(replicas)))), leastChosen)
 	out := make(map[string]bool, n)
 	for range min(n, len(replicas)) {
@@ -127,7 +129,7 @@
 }
 
 // May reports whether so many more requests may go to an order's version.
-func (l *Ledger) May(order uint64, route string, share float64, n int) bool {
+func (l *Ledger) Allows(order uint64, route string, share float64, n int) bool {
 	if share <= 0 || share >= 1 {
 		return share >= 1
 	}
@@ -136,7 +138,7 @@
 }
 
 // Sent counts requests that are sent, to the new version or not.
-func (l *Ledger) Sent(order uint64, route string, share float64, n int, newer bool) {
+func (l *Ledger) Record(order uint64, route string, share float64, n int, newer bool) {
 	s := l.page(order, route, share)
 	s.all += float64(n)
 	if newer {
@@ -145,7 +147,7 @@
 }
 
 // Forget drops the orders that keep does not know.
-func (l *Ledger) Forget(keep func(order uint64) bool) {
+func (l *Ledger) Prune(keep func(order uint64) bool) {
 	for k := range l.pages {
 		if !keep(k.order) {
 			delete(l.pages, k)
--- a/coordination/rollout/withheld_test.go
+++ b/coordination/rollout/withheld_test.go
@@ -11,28 +11,28 @@
 // the one that runs: the earlier order's end says nothing of it any more. It was
 // withheld from all requests once the later order was removed or another came.
 func TestAVersionThatCameInByALaterOrderIsNotWithheld(t *testing.T) {
-	first := Order{Service: "s", Target: "v2", Revision: 3, For: time.Minute}
-	again := Order{Service: "s", Target: "v2", Revision: 7, For: time.Minute}
-	next := Order{Service: "s", Target: "v3", Revision: 9, For: time.Minute}
+	first := Order{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}
+	again := Order{Service: "s", Target: "v2", Revision: 7, TimeLimit: time.Minute}
+	next := Order{Service: "s", Target: "v3", Revision: 9, TimeLimit: time.Minute}
 	for name, before := range map[string][]Order{"taken back": nil, "ordered anew": {again}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := NewView()
 			v.Replace(0, []Order{first}, 3)
-			v.Say(time.Second, 3, Open)
+			v.SetPhase(time.Second, 3, Canary)
 			v.Replace(2*time.Second, before, 6)
 			if len(before) == 0 {
 				is.True(v.Withheld("s", "v2", true, false)) // taken back: it gets nothing more
 				v.Replace(3*time.Second, []Order{again}, 7)
 			}
-			for _, w := range []Phase{Open, Trusted, Done} {
-				v.Say(4*time.Second, 7, w)
+			for _, w := range []Phase{Canary, Promoted, Done} {
+				v.SetPhase(4*time.Second, 7, w)
 			}
 			is.True(!v.Withheld("s", "v2", true, true))
 			v.Replace(20*time.Second, nil, 8) // the operator removes what is done
 			is.True(!v.Withheld("s", "v2", false, false))
 			v.Replace(21*time.Second, []Order{next}, 9)
-			v.Say(22*time.Second, 9, Open)
+			v.SetPhase(22*time.Second, 9, Canary)
 			is.True(!v.Withheld("s", "v2", true, false)) // it is the old version now
 		})
 	}
@@ -42,8 +42,8 @@
 func TestABadVersionStaysWithheldWithoutItsOrder(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
-	v.Replace(0, []Order{{Service: "s", Target: "v2", Revision: 3, For: time.Minute}}, 3)
-	v.Say(time.Second, 3, Bad)
+	v.Replace(0, []Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
+	v.SetPhase(time.Second, 3, Rejected)
 	v.Replace(2*time.Second, nil, 4)
 	is.True(v.Withheld("s", "v2", true, false))
 	is.True(!v.Withheld("s", "v1", true, false))
