--- a/coordination/rollout/counts.go
+++ b/coordination/rollout/counts.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Buckets of the time to an answer: half an octave each, from 1 ms up to 46 s.
+// Buckets is the number of latency buckets. Each is half an octave wide; together
+// they cover 1 ms to 46 s.
 const Buckets = 32
 
-// BucketOf returns the bucket of a time.
+// BucketOf returns the latency bucket of a response time.
 func BucketOf(took time.Duration) int {
 	ms := took.Seconds() * 1e3
 	if ms <= 1 {
@@ -17,12 +18,12 @@
 	return min(int(2*math.Log2(ms)), Buckets-1)
 }
 
-// Tally counts answers, and requests that got none for an end of their replica's
-// life; each of its numbers only rises.
+// Tally counts answers, and requests that got none because their replica ended.
+// Its counters never decrease.
 type Tally struct {
 	Failed      uint32
-	ReplicaEnds uint32          // requests under which the replica's life was over
-	Latencies   [Buckets]uint32 // of answers that are no failures, until they began
+	ReplicaEnds uint32          // requests during which the replica's incarnation ended
+	Latencies   [Buckets]uint32 // by bucket: successful answers by the time to their first byte
 }
 
 // Add counts an answer.
@@ -34,14 +35,14 @@
 	t.Latencies[BucketOf(took)]++
 }
 
-// AddEnded counts a request under which its replica's life was over.
+// AddReplicaEnd counts a request during which its replica ended.
 func (t *Tally) AddReplicaEnd() { t.ReplicaEnds++ }
 
-// Answers is the number of all answers.
-func (t *Tally) Answers() int { return int(t.Failed) + t.from(0) }
+// Answers returns the number of answers, failures included.
+func (t *Tally) Answers() int { return int(t.Failed) + t.countFrom(0) }
 
-// from is the number of answers in a bucket and those above.
-func (t *Tally) from(bucket int) int {
+// countFrom returns the number of successful answers in a bucket and those above.
+func (t *Tally) countFrom(bucket int) int {
 	n := 0
 	for _, c := range t.Latencies[min(bucket, Buckets):] {
 		n += int(c)
@@ -49,12 +50,12 @@
 	return n
 }
 
-// bad is the number of failures and of answers in slow buckets.
-func (t *Tally) bad(slow int) int { return int(t.Failed) + t.from(slow) }
+// countBad returns the number of failures and of answers in bucket slow or above.
+func (t *Tally) countBad(slow int) int { return int(t.Failed) + t.countFrom(slow) }
 
-// median returns the bucket that holds the middle answer.
-func (t *Tally) median() int {
-	half := (t.from(0) + 1) / 2
+// medianBucket returns the bucket that holds the median response time.
+func (t *Tally) medianBucket() int {
+	half := (t.countFrom(0) + 1) / 2
 	for b, n := range t.Latencies {
 		if half -= int(n); half <= 0 {
 			return b
@@ -63,8 +64,8 @@
 	return 0
 }
 
-// raise takes in a later or earlier tally of the same answers.
-func (t *Tally) raise(o *Tally) {
+// mergeMax merges another snapshot of the same counters, taken earlier or later.
+func (t *Tally) mergeMax(o *Tally) {
 	t.Failed = max(t.Failed, o.Failed)
 	t.ReplicaEnds = max(t.ReplicaEnds, o.ReplicaEnds)
 	for b := range t.Latencies {
@@ -72,7 +73,7 @@
 	}
 }
 
-func (t *Tally) merge(o *Tally) {
+func (t *Tally) accumulate(o *Tally) {
 	t.Failed += o.Failed
 	t.ReplicaEnds += o.ReplicaEnds
 	for b := range t.Latencies {
@@ -80,38 +81,38 @@
 	}
 }
 
-// Row names what a tally is of: a route, and the new replica that answered; ""
-// stands for all replicas of other versions.
+// RowKey identifies a tally: a route and the replica of the new version that
+// answered. An empty Replica stands for all replicas of other versions.
 type RowKey struct{ Route, Replica string }
 
-// Report is what one life of an instance has seen of an order.
+// Report holds what one incarnation of an instance has counted for an order.
 type Report struct {
-	Sequence       uint64 // rises with each report of that life
-	FullyShifted   bool   // it sends everything to the new version
-	Pinned         int    // requests at old replicas that can't go on elsewhere
+	Sequence       uint64 // increases with each report of the incarnation
+	FullyShifted   bool   // the instance sends all requests to the new version
+	Pinned         int    // requests at old replicas that can't be moved to another replica
 	InFlight       int    // requests at old replicas
 	LongestRequest time.Duration
-	Sent           int // to the service, of either version
+	Sent           int // requests sent to the service, to either version
 	Rows           map[RowKey]*Tally
 }
 
-// life is one life of an instance.
-type life struct {
+// reportKey identifies one incarnation of an instance.
+type reportKey struct {
 	name        string
 	incarnation uint64
 }
 
-// Reports holds what each life has told of one order. As all that is summed only
-// rises, what is lost, late, repeated or told in parts does no harm.
-type Reports struct{ lives map[life]Report }
+// Reports holds the newest report of each instance incarnation on one order. All
+// counters only increase, so reports may be lost, late, repeated or partial.
+type Reports struct{ byIncarnation map[reportKey]Report }
 
 // NewReports returns an empty set.
-func NewReports() *Reports { return &Reports{lives: make(map[life]Report)} }
+func NewReports() *Reports { return &Reports{byIncarnation: make(map[reportKey]Report)} }
 
-// Take takes in a report of a life, or a part of one.
+// Merge adds a report of an instance incarnation, which may hold only some of its rows.
 func (r *Reports) Merge(name string, incarnation uint64, rep Report) {
-	k := life{name, incarnation}
-	old, known := r.lives[k]
+	k := reportKey{name, incarnation}
+	old, known := r.byIncarnation[k]
 	if !known {
 		old = Report{Rows: make(map[RowKey]*Tally)}
 	}
@@ -120,32 +121,32 @@
 		if rows[row] == nil {
 			rows[row] = &Tally{}
 		}
-		rows[row].raise(t)
+		rows[row].mergeMax(t)
 	}
 	if known && rep.Sequence < old.Sequence {
 		return
 	}
 	rep.Rows = rows
-	r.lives[k] = rep
+	r.byIncarnation[k] = rep
 }
 
-// Of returns the newest report of a life.
+// Latest returns the newest report of an instance incarnation.
 func (r *Reports) Latest(name string, incarnation uint64) (Report, bool) {
-	rep, ok := r.lives[life{name, incarnation}]
+	rep, ok := r.byIncarnation[reportKey{name, incarnation}]
 	return rep, ok
 }
 
-// Sums adds up what all lives have seen.
+// Sums returns the totals over all instance incarnations.
 func (r *Reports) Sums() (rows map[RowKey]*Tally, sent int, longest time.Duration) {
 	rows = make(map[RowKey]*Tally)
-	for _, rep := range r.lives {
+	for _, rep := range r.byIncarnation {
 		sent += rep.Sent
 		longest = max(longest, rep.LongestRequest)
 		for k, t := range rep.Rows {
 			if rows[k] == nil {
 				rows[k] = &Tally{}
 			}
-			rows[k].merge(t)
+			rows[k].accumulate(t)
 		}
 	}
 	return rows, sent, longest
--- a/coordination/rollout/ends.go
+++ b/coordination/rollout/ends.go
@@ -8,91 +8,95 @@
 )
 
 const (
-	waveFor     = 500 * time.Millisecond // from a replica's end under a request, within which others are told too: two heartbeats
-	mostBetween = 200 * time.Millisecond // between two looks, that counts: a judge that was suspended has not seen that all was quiet
-	endsGood    = leastRate              // share of bad answers, a wave being one, that a version is granted
-	endsHarm    = leastRate + leastHarm  // the same of a bad one
+	burstWindow         = 500 * time.Millisecond   // ends of replicas within this time count as one burst: reports of them take up to two heartbeats
+	maxObservedInterval = 200 * time.Millisecond   // longest time counted between two observations: a suspended judge can't tell whether replicas ended meanwhile
+	allowedEndRate      = minAllowedRate           // tolerated bursts per answer, a burst counting as one bad answer
+	harmfulEndRate      = minAllowedRate + minHarm // bursts per answer of a harmful version
 )
 
-// ends judges a version by how often lives of its replicas are over under
-// requests. What cuts off many at once, as a machine that restarts or a hall that
-// loses power, is one wave and one bad answer, however many requests ran there;
-// requests that end their replicas do so again whenever they are let in, in wave
-// after wave. A wave that old replicas are in as well says nothing of the version.
-type ends struct {
-	sums     route
-	watched  time.Duration // time between looks, each bounded
-	wave     *wave
-	oldAt    time.Duration // watched, when an old replica last ended under a request
-	oldEnded bool
-	names    map[string]bool // replicas in the waves that speak against the version
+// endMonitor judges a version by how often its replicas end while they serve
+// requests. Ends close together, as after the restart of a machine or a power loss
+// in a hall, form one burst and count as one bad answer, however many requests were
+// running. Requests that crash their replicas cause a new burst each time the
+// version gets traffic. A burst that includes old replicas doesn't count.
+type endMonitor struct {
+	score       routeScore
+	watchedTime time.Duration // sum of the times between observations, each at most maxObservedInterval
+	burst       *endBurst
+	lastOldEnd  time.Duration // watchedTime when an old replica last ended during a request
+	hasOldEnd   bool
+	replicas    map[string]bool // replicas in the bursts counted against the version
 }
 
-// wave is what ended of a version within waveFor.
-type wave struct {
-	at    time.Duration // watched, when it began
-	names map[string]bool
+// endBurst holds the replicas of a version that ended within burstWindow.
+type endBurst struct {
+	startedAt time.Duration // watchedTime at its first end
+	replicas  map[string]bool
 }
 
-func newEnds() *ends { return &ends{sums: route{Finding: Finding{Route: "ends of replicas"}}} }
+func newEndMonitor() *endMonitor {
+	return &endMonitor{score: routeScore{Finding: Finding{Route: "ends of replicas"}}}
+}
 
-// look takes in the rows as they are now and as they were.
-func (e *ends) look(since time.Duration, rows map[RowKey]*Tally, last map[RowKey]Tally) {
-	e.watched += min(since, mostBetween)
+// observe compares the current rows with those of the previous observation.
+func (e *endMonitor) observe(since time.Duration, rows map[RowKey]*Tally, last map[RowKey]Tally) {
+	e.watchedTime += min(since, maxObservedInterval)
 	good := 0
 	for k, t := range rows {
 		before := last[k]
 		ended := t.ReplicaEnds > before.ReplicaEnds
 		switch {
 		case k.Replica != "":
-			good += t.from(0) - before.from(0)
+			good += t.countFrom(0) - before.countFrom(0)
 			if ended {
-				e.join(catalog.NameOf(k.Replica))
+				e.addToBurst(catalog.NameOf(k.Replica))
 			}
 		case ended:
-			e.oldAt, e.oldEnded = e.watched, true
+			e.lastOldEnd, e.hasOldEnd = e.watchedTime, true
 		}
 	}
-	e.add(good, 0)
-	if e.wave != nil && e.watched-e.wave.at >= waveFor {
-		e.close()
+	e.updateScore(good, 0)
+	if e.burst != nil && e.watchedTime-e.burst.startedAt >= burstWindow {
+		e.closeBurst()
 	}
 }
 
-// join takes a replica's end into the wave that goes on, or begins one.
-func (e *ends) join(name string) {
-	if e.wave == nil {
-		e.wave = &wave{at: e.watched, names: make(map[string]bool)}
+// addToBurst adds a replica's end to the open burst, or opens one.
+func (e *endMonitor) addToBurst(name string) {
+	if e.burst == nil {
+		e.burst = &endBurst{startedAt: e.watchedTime, replicas: make(map[string]bool)}
 	}
-	e.wave.names[name] = true
+	e.burst.replicas[name] = true
 }
 
-// close weighs the wave.
-func (e *ends) close() {
-	w := e.wave
-	e.wave = nil
-	if e.oldEnded && e.oldAt >= w.at-waveFor {
+// closeBurst ends the open burst. It counts against the version unless an old replica
+// ended during it or up to burstWindow before it.
+func (e *endMonitor) closeBurst() {
+	burst := e.burst
+	e.burst = nil
+	if e.hasOldEnd && e.lastOldEnd >= burst.startedAt-burstWindow {
 		return
 	}
-	if e.sums.Against == 0 {
-		e.names = make(map[string]bool)
+	if e.score.Against == 0 {
+		e.replicas = make(map[string]bool)
 	}
-	for name := range w.names {
-		e.names[name] = true
+	for name := range burst.replicas {
+		e.replicas[name] = true
 	}
-	e.add(0, 1)
+	e.updateScore(0, 1)
 }
 
-func (e *ends) add(good, waves int) {
-	step := float64(waves)*math.Log(endsHarm/endsGood) + float64(good)*math.Log((1-endsHarm)/(1-endsGood))
-	e.sums.New += good + waves
-	e.sums.NewBad += waves
-	e.sums.Against = max(e.sums.Against+step, 0)
-	e.sums.GrantedRate = endsGood
+func (e *endMonitor) updateScore(good, waves int) {
+	step := float64(waves)*math.Log(harmfulEndRate/allowedEndRate) + float64(good)*math.Log((1-harmfulEndRate)/(1-allowedEndRate))
+	e.score.New += good + waves
+	e.score.NewBad += waves
+	e.score.Against = max(e.score.Against+step, 0)
+	e.score.GrantedRate = allowedEndRate
 }
 
-// harmful reports whether the version's replicas end under requests too often, and
-// not one of several alone.
-func (e *ends) harmful(answering int) bool {
-	return e.sums.Against >= accuse && (len(e.names) > 1 || answering <= 1)
+// isHarmful reports whether the version's replicas end during requests too often.
+// If several replicas answer, ends of a single one don't count: that replica may be
+// faulty by itself.
+func (e *endMonitor) isHarmful(answering int) bool {
+	return e.score.Against >= harmThreshold && (len(e.replicas) > 1 || answering <= 1)
 }
--- a/coordination/rollout/ends_test.go
+++ b/coordination/rollout/ends_test.go
@@ -7,24 +7,24 @@
 	"github.com/matryer/is"
 )
 
-// ending is a version of two replicas whose lives are over under requests, seen by
-// a judge that looks every tick.
-type endingVersion struct {
+// restartingVersion is a version of two replicas that end during requests, observed
+// by a judge at every tick.
+type restartingVersion struct {
 	judge *Judge
 	rows  map[RowKey]*Tally
 	now   time.Duration
 }
 
-func newEndingVersion() *endingVersion {
-	e := &endingVersion{judge: NewJudge(), rows: map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*time.Millisecond)}}
+func newRestartingVersion() *restartingVersion {
+	e := &restartingVersion{judge: NewJudge(), rows: map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*time.Millisecond)}}
 	for n := range 2 {
-		e.rows[at("a", n)] = tally(8, 0, 30*time.Millisecond)
+		e.rows[replicaKey("a", n)] = tally(8, 0, 30*time.Millisecond)
 	}
-	e.passes(time.Second)
+	e.advance(time.Second)
 	return e
 }
 
-func (e *endingVersion) passes(d time.Duration) Judgement {
+func (e *restartingVersion) advance(d time.Duration) Judgement {
 	for end := e.now + d; e.now < end; {
 		e.now += tick
 		e.judge.Observe(e.now, e.rows, false)
@@ -32,12 +32,12 @@
 	return e.judge.Latest()
 }
 
-// end has the lives of replicas be over under so many requests each; -1 is an old one.
-func (e *endingVersion) end(requests int, replicas ...int) {
+// endReplicas ends replicas during the given number of requests each; -1 is an old replica.
+func (e *restartingVersion) endReplicas(requests int, replicas ...int) {
 	for _, n := range replicas {
 		k := RowKey{Route: "a"}
 		if n >= 0 {
-			k = at("a", n)
+			k = replicaKey("a", n)
 		}
 		for range requests {
 			e.rows[k].AddReplicaEnd()
@@ -45,114 +45,116 @@
 	}
 }
 
-// answers has the version's replicas answer well.
-func (e *endingVersion) answers(each int) {
+// answerWell adds successful answers of each of the version's replicas.
+func (e *restartingVersion) answerWell(each int) {
 	for n := range 2 {
 		for range each {
-			e.rows[at("a", n)].Add(30*time.Millisecond, false)
+			e.rows[replicaKey("a", n)].Add(30*time.Millisecond, false)
 		}
 	}
 }
 
-// Replicas that start again (a machine's restart, a hall's loss of power, a loop of
-// crashes on each request): what cuts off many requests at once is one bad answer,
-// what ends the replicas whenever they are used is a bad version.
+// Replicas restart with their machine, by a power loss in their hall, or because
+// requests crash them. An outage that interrupts many requests at once counts as one
+// bad answer; a version whose replicas end whenever they get requests is harmful.
 func TestEndsOfReplicasUnderRequests(t *testing.T) {
 	cases := map[string]struct {
-		play func(e *endingVersion)
+		play func(e *restartingVersion)
 		want Verdict
 	}{
-		"none": {func(*endingVersion) {}, Good},
-		"all at once, under many requests": {func(e *endingVersion) {
-			e.end(50, 0, 1)
+		"none": {func(*restartingVersion) {}, Good},
+		"all at once, under many requests": {func(e *restartingVersion) {
+			e.endReplicas(50, 0, 1)
 		}, Good},
-		"told in parts": {func(e *endingVersion) {
+		"told in parts": {func(e *restartingVersion) {
 			for range 4 {
-				e.end(2, 0, 1)
-				e.passes(tick)
+				e.endReplicas(2, 0, 1)
+				e.advance(tick)
 			}
 		}, Good},
-		"two machines one after the other, answers between": {func(e *endingVersion) {
+		"two machines one after the other, answers between": {func(e *restartingVersion) {
 			for n := range 2 {
-				e.end(5, n)
-				e.passes(calmFor)
-				e.answers(10)
+				e.endReplicas(5, n)
+				e.advance(restartPause)
+				e.answerWell(10)
 			}
 		}, Good},
-		"again whenever they are used": {func(e *endingVersion) {
+		"again whenever they are used": {func(e *restartingVersion) {
 			for range 3 {
-				e.end(1, 0, 1)
-				e.passes(calmFor)
+				e.endReplicas(1, 0, 1)
+				e.advance(restartPause)
 			}
 		}, Harmful},
-		"each whenever it is used": {func(e *endingVersion) {
+		"each whenever it is used": {func(e *restartingVersion) {
 			for n := range 4 {
-				e.end(1, n%2)
-				e.passes(calmFor)
+				e.endReplicas(1, n%2)
+				e.advance(restartPause)
 			}
 		}, Harmful},
-		"one ill replica of two that answer": {func(e *endingVersion) {
+		"one ill replica of two that answer": {func(e *restartingVersion) {
 			for range 4 {
-				e.end(1, 0)
-				e.passes(calmFor)
+				e.endReplicas(1, 0)
+				e.advance(restartPause)
 			}
 		}, Good},
-		"rarely, over a long time": {func(e *endingVersion) {
+		"rarely, over a long time": {func(e *restartingVersion) {
 			for range 12 {
-				e.end(3, 0, 1)
-				e.passes(5 * time.Second)
-				e.answers(20)
+				e.endReplicas(3, 0, 1)
+				e.advance(5 * time.Second)
+				e.answerWell(20)
 			}
 		}, Good},
-		"with old replicas in each wave": {func(e *endingVersion) {
+		"with old replicas in each wave": {func(e *restartingVersion) {
 			for range 5 {
-				e.end(1, 0, 1, -1)
-				e.passes(calmFor)
+				e.endReplicas(1, 0, 1, -1)
+				e.advance(restartPause)
 			}
 		}, Good},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := newEndingVersion()
+			e := newRestartingVersion()
 			c.play(e)
-			got := e.passes(time.Second)
+			got := e.advance(time.Second)
 			t.Logf("%+v", got.Ends)
 			is.New(t).Equal(got.Verdict.String(), c.want.String())
 		})
 	}
 }
 
-// A judge that is suspended between two reports of one wave has not seen a second.
-func TestASuspendedJudgeSeesOneWave(t *testing.T) {
-	e := newEndingVersion()
+// Reports of one burst that arrive before and after the judge was suspended must not
+// count as several bursts.
+func TestSuspendedJudgeSeesOneBurst(t *testing.T) {
+	e := newRestartingVersion()
 	for range 3 {
-		e.end(1, 0, 1)
-		e.passes(tick)
+		e.endReplicas(1, 0, 1)
+		e.advance(tick)
 		e.now += 5 * time.Second
 	}
-	got := e.passes(time.Second)
+	got := e.advance(time.Second)
 	is.New(t).Equal(got.Ends.NewBad, 1)
 	is.New(t).Equal(got.Verdict, Good)
 }
 
-// Whatever old replicas do, what ends of a new version is granted no more for it: a
-// burst of ends there raised the share of bad answers that a version may give.
-func TestEndsOfOldReplicasGrantNothing(t *testing.T) {
+// Ends of old replicas must not raise the share of bad answers that the new version
+// may give; a burst of them once did.
+func TestEndsOfOldReplicasDoNotRaiseAllowedRate(t *testing.T) {
 	is := is.New(t)
-	e := newEndingVersion()
-	e.end(200, -1)
+	e := newRestartingVersion()
+	e.endReplicas(200, -1)
 	for range 8 {
-		e.passes(tick)
+		e.advance(tick)
 		for n := range 2 {
-			e.rows[at("a", n)].Add(0, true)
+			e.rows[replicaKey("a", n)].Add(0, true)
 		}
 	}
-	is.Equal(e.passes(time.Second).Verdict, Harmful)
+	is.Equal(e.advance(time.Second).Verdict, Harmful)
 }
 
-// After a restart of replicas that get requests their version gets none for a
-// moment, from the last of them on; another service's and a trusted version's goes on.
-func TestAVersionRestsAfterItsReplicasStartAgain(t *testing.T) {
+// After the restart of replicas that get requests, their version gets none until
+// restartPause has passed since the last restart. Other services and promoted
+// versions are not affected.
+func TestVersionPausesAfterReplicaRestart(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
 	v.Replace(0, []Order{order("s", "v2", 5), order("t", "v2", 6)}, 7)
@@ -163,13 +165,13 @@
 	v.SetPhase(1, 5, Canary)
 	v.SetPhase(1, 6, Canary)
 	v.RecordRestart(time.Second, "s", "v2")
-	v.RecordRestart(time.Second+calmFor/2, "s", "v2")
-	v.RecordRestart(time.Second, "t", "v1") // the old one
-	is.Equal(share("s", time.Second+calmFor), 0.0)
-	is.True(share("s", time.Second+3*calmFor/2) > 0)
+	v.RecordRestart(time.Second+restartPause/2, "s", "v2")
+	v.RecordRestart(time.Second, "t", "v1") // of the old version
+	is.Equal(share("s", time.Second+restartPause), 0.0)
+	is.True(share("s", time.Second+3*restartPause/2) > 0)
 	is.True(share("t", time.Second) > 0)
 	v.SetPhase(2*time.Second, 5, Promoted)
 	v.RecordRestart(2*time.Second, "s", "v2")
 	is.True(share("s", 2*time.Second) > 0)
-	is.Equal(v.Update(3 * time.Second).Orders[1].PausedUntil, time.Duration(0)) // its own clock, of use to nobody else
+	is.Equal(v.Update(3 * time.Second).Orders[1].PausedUntil, time.Duration(0)) // local time, not sent to others
 }
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -10,7 +10,7 @@
 	"quinceroad/state/catalog"
 )
 
-// Verdict is what the answers say.
+// Verdict is the result of judging a version by its answers.
 type Verdict int
 
 // The verdicts.
@@ -23,7 +23,7 @@
 // String returns the verdict's name for logs.
 func (v Verdict) String() string { return [...]string{"undecided", "good", "harmful"}[v] }
 
-// Finding is what was seen of one route.
+// Finding holds the counts and scores of one route.
 type Finding struct {
 	Route               string
 	New, NewBad         int
@@ -32,7 +32,7 @@
 	GrantedRate, Median float64 // share of bad answers that a good version may give; response time of the old version in milliseconds
 }
 
-// Judgement is a verdict and what it rests on.
+// Judgement is a verdict with the evidence for it.
 type Judgement struct {
 	Verdict      Verdict
 	Bad          int           // bad answers of the new version
@@ -43,55 +43,55 @@
 	Ends         Finding // ends of replicas under requests, counted like answers
 }
 
-// Judge follows the sums of one order.
+// Judge compares the new version with the old one over the life of one order.
 type Judge struct {
-	last      map[RowKey]Tally
-	routes    map[string]*route
-	replicas  map[RowKey]*replica
-	unweighed []answers
-	ends      *ends
-	moving    bool
-	against   float64 // as of a route, of all together: where each sees little, what is bad everywhere shows sooner
-	at        time.Duration
-	from      time.Duration // since when it looks without a gap
-	latest    Judgement
+	last         map[RowKey]Tally
+	routes       map[string]*routeScore
+	replicas     map[RowKey]*replicaScore
+	pending      []pendingAnswers
+	endMonitor   *endMonitor
+	shifting     bool
+	harmScore    float64 // score over all routes together: finds a version that is bad everywhere sooner where each route has little traffic
+	observedAt   time.Duration
+	watchedSince time.Duration // start of the current period of observation without a gap
+	latest       Judgement
 }
 
-// answers are new ones of a replica on a route that are not weighed yet.
-type answers struct {
-	row      RowKey
-	at       time.Duration
+// pendingAnswers are answers of a replica on a route that are not scored yet.
+type pendingAnswers struct {
+	key      RowKey
+	seenAt   time.Duration
 	all, bad int
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without observations.
 func NewJudge() *Judge {
-	return &Judge{last: make(map[RowKey]Tally), routes: make(map[string]*route), replicas: make(map[RowKey]*replica), ends: newEnds()}
+	return &Judge{last: make(map[RowKey]Tally), routes: make(map[string]*routeScore), replicas: make(map[RowKey]*replicaScore), endMonitor: newEndMonitor()}
 }
 
-// Look takes in the sums as they are now. What spoke for the version while it got
-// a small part counts no more from the moment that requests move to it: it is
-// completed by what it does under the whole load.
+// Observe compares the current totals with the previous ones and returns the new
+// judgement. Once requests shift to the version, good answers from the canary phase
+// no longer count: it is completed only by its answers under the full load.
 func (j *Judge) Observe(now time.Duration, rows map[RowKey]*Tally, moving bool) Judgement {
-	if moving && !j.moving {
-		j.moving = true
+	if moving && !j.shifting {
+		j.shifting = true
 		for _, r := range j.routes {
 			r.Accepted = max(r.Accepted, 0)
 		}
 		for _, r := range j.replicas {
-			r.accepted = max(r.accepted, 0)
+			r.acceptScore = max(r.acceptScore, 0)
 		}
 	}
-	fade := math.Exp2(-float64(now-j.at) / float64(halfLife))
-	if now-j.at > gap {
-		j.from = now
+	decay := math.Exp2(-float64(now-j.observedAt) / float64(baselineHalfLife))
+	if now-j.observedAt > maxObservationGap {
+		j.watchedSince = now
 	}
-	j.ends.look(now-j.at, rows, j.last)
-	j.at = now
+	j.endMonitor.observe(now-j.observedAt, rows, j.last)
+	j.observedAt = now
 	slow := make(map[string]int)
 	for k, t := range rows {
 		if k.Replica == "" {
-			slow[k.Route] = j.old(k.Route, t, fade)
+			slow[k.Route] = j.updateBaseline(k.Route, t, decay)
 		}
 	}
 	for _, r := range j.routes {
@@ -105,90 +105,90 @@
 		if !known {
 			limit = Buckets
 		}
-		r := j.route(k.Route)
+		r := j.routeFor(k.Route)
 		r.New += t.Answers()
-		r.NewBad += t.bad(limit)
+		r.NewBad += t.countBad(limit)
 		before := j.last[k]
 		if n := t.Answers() - before.Answers(); n > 0 {
-			j.replica(k).answers += n
-			j.unweighed = append(j.unweighed, answers{row: k, at: now, all: n, bad: t.bad(limit) - before.bad(limit)})
+			j.replicaFor(k).answers += n
+			j.pending = append(j.pending, pendingAnswers{key: k, seenAt: now, all: n, bad: t.countBad(limit) - before.countBad(limit)})
 		}
 	}
-	j.weigh(now)
+	j.scoreSettled(now)
 	for k, t := range rows {
 		j.last[k] = *t
 	}
-	j.latest = j.judge()
+	j.latest = j.evaluate()
 	return j.latest
 }
 
-// weigh takes in the answers that have settled.
-func (j *Judge) weigh(now time.Duration) {
-	settled := make(map[string]answers) // by route
-	j.unweighed = slices.DeleteFunc(j.unweighed, func(a answers) bool {
-		if now-a.at < settleFor {
+// scoreSettled scores the answers that are at least settleTime old.
+func (j *Judge) scoreSettled(now time.Duration) {
+	settled := make(map[string]pendingAnswers) // by route
+	j.pending = slices.DeleteFunc(j.pending, func(a pendingAnswers) bool {
+		if now-a.seenAt < settleTime {
 			return false
 		}
-		r := j.route(a.row.Route)
-		j.replica(a.row).weigh(r.step(a.all, a.bad), r.speaks())
-		s := settled[a.row.Route]
-		settled[a.row.Route] = answers{all: s.all + a.all, bad: s.bad + a.bad}
+		r := j.routeFor(a.key.Route)
+		j.replicaFor(a.key).addScore(r.logLikelihoodRatio(a.all, a.bad), r.countsForAcceptance())
+		s := settled[a.key.Route]
+		settled[a.key.Route] = pendingAnswers{all: s.all + a.all, bad: s.bad + a.bad}
 		return true
 	})
 	step := 0.0
 	for _, name := range slices.Sorted(maps.Keys(settled)) {
-		step += j.routes[name].weigh(settled[name].all, settled[name].bad)
+		step += j.routes[name].addAnswers(settled[name].all, settled[name].bad)
 	}
-	j.against = max(j.against+step, 0)
+	j.harmScore = max(j.harmScore+step, 0)
 }
 
 // Latest returns the last judgement.
 func (j *Judge) Latest() Judgement { return j.latest }
 
-func (j *Judge) route(name string) *route {
+func (j *Judge) routeFor(name string) *routeScore {
 	r := j.routes[name]
 	if r == nil {
-		r = &route{Finding: Finding{Route: name}}
+		r = &routeScore{Finding: Finding{Route: name}}
 		j.routes[name] = r
 	}
 	return r
 }
 
-// old takes in what the old version has answered on a route, and returns the
-// bucket from which an answer is slow.
-func (j *Judge) old(name string, t *Tally, fade float64) int {
-	r := j.route(name)
+// updateBaseline records the old version's answers on a route and returns the
+// latency bucket from which an answer counts as slow.
+func (j *Judge) updateBaseline(name string, t *Tally, decay float64) int {
+	r := j.routeFor(name)
 	limit := Buckets
-	if t.from(0) >= knownFrom {
-		limit = t.median() + slowSteps
-		r.Median = math.Exp2(float64(t.median()) / 2)
+	if t.countFrom(0) >= minMedianAnswers {
+		limit = t.medianBucket() + slowBuckets
+		r.Median = math.Exp2(float64(t.medianBucket()) / 2)
 	}
 	before := j.last[RowKey{Route: name}]
-	r.oldSeen = r.oldSeen*fade + float64(t.Answers()-before.Answers())
-	r.oldFailed = r.oldFailed*fade + float64(t.bad(limit)-before.bad(limit))
-	r.Old, r.OldBad = t.Answers(), t.bad(limit)
+	r.recentOldAnswers = r.recentOldAnswers*decay + float64(t.Answers()-before.Answers())
+	r.recentOldBad = r.recentOldBad*decay + float64(t.countBad(limit)-before.countBad(limit))
+	r.Old, r.OldBad = t.Answers(), t.countBad(limit)
 	return limit
 }
 
-// replica returns what was seen of a replica on a route, in all its lives: one that
-// is ill alone stays one.
-func (j *Judge) replica(k RowKey) *replica {
+// replicaFor returns the score of a replica on a route over all its incarnations, so
+// that a single faulty replica counts as one however often it restarts.
+func (j *Judge) replicaFor(k RowKey) *replicaScore {
 	k.Replica = catalog.NameOf(k.Replica)
 	r := j.replicas[k]
 	if r == nil {
-		r = &replica{}
+		r = &replicaScore{}
 		j.replicas[k] = r
 	}
 	return r
 }
 
-func (j *Judge) judge() Judgement {
-	out := Judgement{WatchedSince: j.from, Against: j.against, Ends: j.ends.sums.Finding}
+func (j *Judge) evaluate() Judgement {
+	out := Judgement{WatchedSince: j.watchedSince, Against: j.harmScore, Ends: j.endMonitor.score.Finding}
 	total, old, oldBad := 0, 0, 0
 	for _, name := range slices.Sorted(maps.Keys(j.routes)) {
 		f := j.routes[name].Finding
-		if !j.spread(name) {
-			f.Against, f.Accepted = j.ofOthers(name)
+		if !j.isWidespread(name) {
+			f.Against, f.Accepted = j.scoresOfHealthy(name)
 		}
 		out.Routes = append(out.Routes, f)
 		out.Bad += f.NewBad
@@ -196,31 +196,31 @@
 		old += f.Old
 		oldBad += f.OldBad
 	}
-	widely := j.spread("")
-	if !widely {
+	widespread := j.isWidespread("")
+	if !widespread {
 		out.Against = 0
 	}
 	oldRate := float64(oldBad) / float64(max(old, 1))
-	worse := float64(out.Bad) > (2*oldRate+leastRate)*float64(total)
+	worse := float64(out.Bad) > (2*oldRate+minAllowedRate)*float64(total)
 	switch {
-	case worse && out.Bad >= mostBad && widely, worse && out.Bad >= alone:
+	case worse && out.Bad >= maxBadAnswers && widespread, worse && out.Bad >= maxBadOfOneReplica:
 		out.Verdict, out.Reason = Harmful, "bad answers"
 		return out
-	case j.against >= accuse && widely:
+	case j.harmScore >= harmThreshold && widespread:
 		out.Verdict, out.Reason = Harmful, "all routes together"
 		return out
-	case j.ends.harmful(j.answering()):
+	case j.endMonitor.isHarmful(j.countAnswering()):
 		out.Verdict, out.Reason = Harmful, out.Ends.Route
 		return out
 	}
 	out.Verdict, out.Reason = Good, ""
 	for _, f := range out.Routes {
-		thin := float64(f.Old+f.New) < thinPart*float64(old+total)
+		minor := float64(f.Old+f.New) < minorRouteShare*float64(old+total)
 		switch {
-		case f.Against >= accuse:
+		case f.Against >= harmThreshold:
 			out.Verdict, out.Reason = Harmful, "route "+f.Route
 			return out
-		case f.Accepted <= acquit, thin && f.Against < doubt:
+		case f.Accepted <= acceptThreshold, minor && f.Against < doubtThreshold:
 		default:
 			out.Verdict, out.Reason = Undecided, "route "+f.Route
 		}
@@ -231,58 +231,58 @@
 	return out
 }
 
-// spread reports whether what speaks against a version on a route, or on all
-// ("") taken together, comes from several of its replicas, where several have
-// answered: one ill replica is left alone by those that judge replicas.
-func (j *Judge) spread(route string) bool {
-	speak, against := make(map[string]bool), make(map[string]bool)
+// isWidespread reports whether the evidence against a version on a route, or on all
+// routes (""), comes from more than one replica if more than one has answered. A
+// single faulty replica is ejected by outlier detection (package health) instead.
+func (j *Judge) isWidespread(route string) bool {
+	answering, against := make(map[string]bool), make(map[string]bool)
 	for k, r := range j.replicas {
 		if route != "" && k.Route != route {
 			continue
 		}
-		if r.answers >= seenFrom {
-			speak[k.Replica] = true
+		if r.answers >= minReplicaAnswers {
+			answering[k.Replica] = true
 		}
-		if r.sick() {
+		if r.isFaulty() {
 			against[k.Replica] = true
 		}
 	}
-	return len(speak) <= 1 || len(against) != 1
+	return len(answering) <= 1 || len(against) != 1
 }
 
-// answering returns how many of the version's replicas have answered often enough
-// to speak for the others.
-func (j *Judge) answering() int {
+// countAnswering returns how many of the version's replicas have at least
+// minReplicaAnswers answers.
+func (j *Judge) countAnswering() int {
 	answers := make(map[string]int)
 	for k, r := range j.replicas {
 		answers[k.Replica] += r.answers
 	}
 	n := 0
 	for _, a := range answers {
-		if a >= seenFrom {
+		if a >= minReplicaAnswers {
 			n++
 		}
 	}
 	return n
 }
 
-// ofOthers returns the sums on a route of all replicas but the ill one.
-func (j *Judge) ofOthers(route string) (against, accepted float64) {
+// scoresOfHealthy returns the scores on a route without its faulty replicas.
+func (j *Judge) scoresOfHealthy(route string) (against, accepted float64) {
 	for k, r := range j.replicas {
-		if k.Route == route && !r.sick() {
-			against = max(against, r.against)
-			accepted += r.accepted
+		if k.Route == route && !r.isFaulty() {
+			against = max(against, r.harmScore)
+			accepted += r.acceptScore
 		}
 	}
 	return against, accepted
 }
 
-// inDoubt reports whether something speaks against the version, although not
-// enough for a verdict.
-func (j *Judgement) inDoubt() bool { return max(j.Against, j.Worst().Against) >= doubt }
+// inDoubt reports whether there is evidence against the version, even if too little
+// for a verdict.
+func (j *Judgement) inDoubt() bool { return max(j.Against, j.Worst().Against) >= doubtThreshold }
 
-// Worst returns the route that most speaks against the version, or the ends of its
-// replicas.
+// Worst returns the finding with the most evidence against the version: that of a
+// route, or of the ends of its replicas.
 func (j *Judgement) Worst() Finding {
 	return slices.MaxFunc(append(slices.Clone(j.Routes), j.Ends), func(a, b Finding) int { return cmp.Compare(a.Against, b.Against) })
 }
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -1,12 +1,14 @@
-// Package rollout decides how the traffic of a service moves to replicas of a
-// new software version, and whether it does.
+// Package rollout decides whether and how the traffic of a service shifts to
+// replicas of a new software version.
 //
-// An operator orders it for a time. Until the version is trusted, each instance
-// sends a small part of its own requests there and tells what became of them;
-// a few of the instances judge the sums. Its parts: the orders and what is said
-// of each (this file), shares (share.go), what was seen (counts.go), the
-// judgement (judge.go) and what whoever leads does next (plan.go). All are
-// pure: news and time in, decisions out. None is safe for concurrent use.
+// An operator orders a rollout with a time limit. Until the version is promoted,
+// each instance sends a small part of its own requests to it (the canary phase) and
+// reports their outcomes; a few instances judge the totals. The package holds the
+// orders and their phases (orders.go), traffic shares (share.go), counters
+// (counts.go), the judgement (judge.go, score.go, ends.go) and the next step of the
+// instance that leads a rollout (plan.go). It does no I/O and reads no clock:
+// events and times are passed in, decisions are returned. None of its types is safe
+// for concurrent use.
 package rollout
 
 import (
@@ -16,51 +18,52 @@
 	"time"
 )
 
-// Order is an operator's wish to move a service to a version.
+// Order is an operator's order to move a service to a version.
 type Order struct {
 	Service   string
 	Target    string // the version
-	Revision  uint64 // of the store, at which it was written; names the order
+	Revision  uint64 // store revision at which it was written; identifies the order
 	TimeLimit time.Duration
 }
 
-// Phase is what is said of an order by those who judge it. It only rises.
+// Phase is the progress of an order as announced by the instances that judge it.
+// It never decreases.
 type Phase uint8
 
 // The phases.
 const (
-	Pending  Phase = iota // the order's status is not known: the version gets nothing yet
+	Pending  Phase = iota // the order's status is not known: the version gets no requests yet
 	Canary                // the version gets a small part of the requests
-	Promoted              // all requests move there, in steps
-	Rejected              // the version gets nothing any more, or the order was taken back
-	Done                  // the store says that it is completed: the old replicas stop
+	Promoted              // all requests shift to the version, in steps
+	Rejected              // the version gets no more requests, or the order was withdrawn
+	Done                  // the store holds its completion: the old replicas stop
 )
 
 // String returns the phase's name for logs.
-func (w Phase) String() string {
-	return [...]string{"waits", "open", "trusted", "bad", "done"}[min(w, Done)]
+func (p Phase) String() string {
+	return [...]string{"waits", "open", "trusted", "bad", "done"}[min(p, Done)]
 }
 
-// Entry is an order as a watch brings it, or its end.
+// Entry is a change of an order as received from a watch.
 type Entry struct {
 	Order
 	Gone bool
 }
 
-// Standing is an order and what is known of it.
+// OrderState is an order with its phase as known to an instance.
 type OrderState struct {
 	Order
-	OrderedAt   time.Duration // by the own clock, when it was first heard of
+	OrderedAt   time.Duration // local time at which it was first known
 	Phase       Phase
-	PhaseSince  time.Duration // that the phase is known
-	Ended       bool          // it was taken back, or another came for its service
-	PausedUntil time.Duration // from when on its version gets requests after its replicas have started again; of this instance alone
+	PhaseSince  time.Duration // local time at which the phase was reached
+	Ended       bool          // it was withdrawn, or replaced by another order for its service
+	PausedUntil time.Duration // the version gets no requests until then, as its replicas have restarted; local to this instance
 }
 
-// News is a view as instances tell it each other.
+// Update is a view as instances send it to each other.
 type Update struct {
-	Revision uint64       // of the store, at which the orders were true; 0: nothing is known
-	Orders   []OrderState // Begun and Since hold ages instead of times
+	Revision uint64       // store revision of the orders; 0: none was read
+	Orders   []OrderState // OrderedAt and PhaseSince hold ages instead of times
 }
 
 // Change is a new order, a new phase, or an order's end.
@@ -69,25 +72,25 @@
 	New bool
 }
 
-// View is what an instance knows of the orders.
+// View holds the orders that an instance knows.
 type View struct {
 	revision uint64
 	current  map[string]*OrderState // by service
-	all      map[uint64]*OrderState // by revision, those that have ended included
+	all      map[uint64]*OrderState // by revision, including ended orders
 }
 
-// NewView returns a view that knows nothing.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{current: make(map[string]*OrderState), all: make(map[uint64]*OrderState)}
 }
 
-// Revision is that of the store at which the orders were true.
+// Revision returns the store revision of the orders.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Empty reports whether no order was ever heard of.
+// Empty reports whether no order was ever known.
 func (v *View) Empty() bool { return len(v.all) == 0 }
 
-// Current returns the order that stands for a service.
+// Current returns the active order of a service.
 func (v *View) Current(service string) (OrderState, bool) {
 	s := v.current[service]
 	if s == nil {
@@ -96,7 +99,7 @@
 	return *s, true
 }
 
-// Standing returns all orders that stand, by service.
+// Active returns all active orders, sorted by service.
 func (v *View) Active() []OrderState {
 	var out []OrderState
 	for _, service := range slices.Sorted(maps.Keys(v.current)) {
@@ -105,8 +108,8 @@
 	return out
 }
 
-// Led returns the orders that somebody has to lead: those that stand and are not
-// over, and those that were taken back, by service.
+// Unfinished returns the orders that an instance still has to lead, sorted by
+// revision: active ones that are not finished, and withdrawn ones.
 func (v *View) Unfinished(now time.Duration) []OrderState {
 	var out []OrderState
 	for _, revision := range slices.Sorted(maps.Keys(v.all)) {
@@ -119,10 +122,10 @@
 	return out
 }
 
-// Knows reports whether an order is known, or was.
+// Has reports whether an order is in the view, ended or not.
 func (v *View) Has(revision uint64) bool { return v.all[revision] != nil }
 
-// Replace takes in the orders as they were read whole at a revision.
+// Replace sets the orders to the complete set read at a store revision.
 func (v *View) Replace(now time.Duration, orders []Order, revision uint64) []Change {
 	if revision <= v.revision {
 		return nil
@@ -131,11 +134,11 @@
 	for _, o := range orders {
 		next[o.Service] = o
 	}
-	return v.become(now, next, revision)
+	return v.setOrders(now, next, revision)
 }
 
-// Apply takes in what a watch brought, in its order, after which all up to a
-// revision is known.
+// Apply applies the changes from a watch in their order. The view is complete up to
+// revision at afterwards.
 func (v *View) Apply(now time.Duration, entries []Entry, at uint64) []Change {
 	next := make(map[string]Order, len(v.current))
 	for service, s := range v.current {
@@ -150,11 +153,11 @@
 			next[e.Service] = e.Order
 		}
 	}
-	return v.become(now, next, max(at, v.revision))
+	return v.setOrders(now, next, max(at, v.revision))
 }
 
-// Take takes in what another instance tells: the newest set of orders, and the
-// highest phase on each.
+// Merge merges another instance's view: the set of orders with the newer revision,
+// and the highest phase of each order.
 func (v *View) Merge(now time.Duration, n Update) []Change {
 	var orders []Order
 	for _, s := range n.Orders {
@@ -164,49 +167,50 @@
 	}
 	changes := v.Replace(now, orders, n.Revision)
 	for _, s := range n.Orders {
-		changes = append(changes, v.hear(now, s)...)
+		changes = append(changes, v.mergeOrder(now, s)...)
 	}
 	return changes
 }
 
-// hear takes in what is said of one order; ages are in the place of times.
-func (v *View) hear(now time.Duration, s OrderState) []Change {
+// mergeOrder merges the received state of one order, which holds ages instead of times.
+func (v *View) mergeOrder(now time.Duration, s OrderState) []Change {
 	known := v.all[s.Revision]
 	if known == nil {
 		if !s.Ended {
-			return nil // of a set of orders that is older than the own one
+			return nil // it belongs to an older set of orders than this view's
 		}
 		known = &OrderState{Order: s.Order, OrderedAt: now - s.OrderedAt, Ended: true}
 		v.all[s.Revision] = known
 	}
 	known.OrderedAt = min(known.OrderedAt, now-s.OrderedAt)
-	return v.say(now-s.PhaseSince, s.Revision, s.Phase)
+	return v.raisePhase(now-s.PhaseSince, s.Revision, s.Phase)
 }
 
-// Say takes in a phase on an order; a lower one than is known changes nothing.
-func (v *View) SetPhase(now time.Duration, revision uint64, w Phase) []Change {
-	return v.say(now, revision, w)
+// SetPhase raises the phase of an order; it ignores a phase lower than the known one.
+func (v *View) SetPhase(now time.Duration, revision uint64, phase Phase) []Change {
+	return v.raisePhase(now, revision, phase)
 }
 
-func (v *View) say(since time.Duration, revision uint64, w Phase) []Change {
+func (v *View) raisePhase(since time.Duration, revision uint64, phase Phase) []Change {
 	s := v.all[revision]
-	if s == nil || w <= s.Phase {
+	if s == nil || phase <= s.Phase {
 		return nil
 	}
-	s.Phase, s.PhaseSince = w, since
+	s.Phase, s.PhaseSince = phase, since
 	return []Change{{OrderState: *s}}
 }
 
-// StartedAgain takes in that a replica of a version, one of those that get requests,
-// has started again. Until calmFor has gone by without another the version gets none:
-// what is let in meanwhile would be cut off by the next, and say nothing of it.
+// RecordRestart records the restart of a replica of a version that gets requests.
+// The version then gets no requests until restartPause has passed without a further
+// restart: requests sent earlier could be interrupted by the same outage, which says
+// nothing about the version.
 func (v *View) RecordRestart(now time.Duration, service, version string) {
 	if s := v.current[service]; s != nil && s.Target == version {
-		s.PausedUntil = now + calmFor
+		s.PausedUntil = now + restartPause
 	}
 }
 
-func (v *View) become(now time.Duration, next map[string]Order, revision uint64) []Change {
+func (v *View) setOrders(now time.Duration, next map[string]Order, revision uint64) []Change {
 	var out []Change
 	for service, s := range v.current {
 		if next[service].Revision == s.Revision {
@@ -232,18 +236,19 @@
 	return out
 }
 
-// mostEnded orders that have ended are kept and told, the newest; a heartbeat
-// has to stay one datagram.
-const mostEnded = 8
+// maxEndedOrders is the number of ended orders that are kept and sent, the newest
+// first. It is bounded so that a heartbeat fits into one datagram.
+const maxEndedOrders = 8
 
-// News returns the view for others.
+// Update returns the view to send to other instances and drops ended orders beyond
+// maxEndedOrders.
 func (v *View) Update(now time.Duration) Update {
 	n := Update{Revision: v.revision}
 	ended := 0
 	for _, revision := range slices.Backward(slices.Sorted(maps.Keys(v.all))) {
 		s := *v.all[revision]
 		if s.Ended {
-			if ended++; ended > mostEnded {
+			if ended++; ended > maxEndedOrders {
 				delete(v.all, revision)
 				continue
 			}
--- a/coordination/rollout/plan.go
+++ b/coordination/rollout/plan.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// State is what an order's status says.
+// State is the state of an order in its stored status.
 type State int
 
 // The states.
 const (
-	None State = iota // nothing of this order
+	None State = iota // the stored status, if any, is of another order
 	Running
 	Completed
 	RolledBack
@@ -21,33 +21,34 @@
 	return [...]string{"none", "running", "completed", "rolled back"}[s]
 }
 
-// Status is an order's status in the store.
+// Status is the status of a service's rollout as stored.
 type Status struct {
 	Known    bool   // it was read
-	Revision uint64 // of the status, whichever order it is of; 0: there is none
+	Revision uint64 // store revision of the status, whichever order it belongs to; 0: there is none
 	State    State  // of this order
 }
 
-// Ended reports whether nothing may be written any more.
+// Ended reports whether the state is final.
 func (s Status) Ended() bool { return s.State >= Completed }
 
-// Facts are what whoever leads an order knows of it.
+// Inputs holds what the leader of an order decides by.
 type Inputs struct {
 	Order          OrderState
 	Status         Status
 	Judgement      Judgement
 	Configured     bool // the service is in the configuration
-	NewReady       int  // replicas of the version that may get work and are not cold
+	NewReady       int  // replicas of the version that may get work and are not warming up
 	OldReady       int  // replicas of other versions that may get work
 	Sent           int  // requests to the service since the order
 	LongestRequest time.Duration
 	Lagging        int     // instances that still send to old replicas
-	Pinned         int     // requests at old replicas that can't go on elsewhere
+	Pinned         int     // requests at old replicas that can't be moved to another replica
 	InFlight       int     // requests at old replicas
-	Slack          float64 // requests that a version may get beside its share
+	Slack          float64 // requests that a version may get in addition to its share
 }
 
-// Step is what is to be done now; Why says why nothing more is.
+// Step is the action to take now. Reason explains a rejection, or why the order
+// doesn't proceed.
 type Step struct {
 	ReadStatus bool
 	SetPhase   Phase
@@ -55,22 +56,22 @@
 	Reason     string
 }
 
-// The plan, reckoned back from the end of the order's time. Until a version is
-// trusted its share binds, and what turns bad after it is trusted gets more. So
-// it is trusted as late as what follows allows.
+// The schedule, computed backwards from the end of the order's time limit. Until a
+// version is promoted its traffic share is bounded; one that turns bad afterwards gets
+// more requests. So it is promoted as late as the remaining steps allow.
 const (
-	watchedPart = 0.6                    // of the order's time, that a version is watched at least
-	toldFor     = 1 * time.Second        // for the phase to all and their reports back: five heartbeats
-	writtenFor  = 500 * time.Millisecond // for the last phase at the store
-	drainTimes  = 1.2                    // of the longest old request seen
-	leastDrain  = 300 * time.Millisecond // where none was seen
-	lastCall    = 2 * writtenFor         // before the end: what can go on elsewhere is then not waited for
-	slackPart   = 0.5                    // of the slack, that a version may get without a verdict
-	rampFor     = 2 * rampStep           // until all requests go there
-	lookBack    = 100 * time.Millisecond // a step more than the look that finds it
+	minWatchedFraction = 0.6                    // minimum fraction of the order's time limit before promotion
+	propagationTime    = 1 * time.Second        // until all instances have the phase and their reports are back: five heartbeats
+	storeWriteTime     = 500 * time.Millisecond // for writing the final state to the store
+	drainFactor        = 1.2                    // times the longest observed request at old replicas
+	minDrainTime       = 300 * time.Millisecond // if no request was observed
+	drainCutoff        = 2 * storeWriteTime     // remaining time below which requests that can be moved to another replica are no longer waited for
+	slackFraction      = 0.5                    // fraction of the slack that a version may get without a verdict
+	rampTime           = 2 * rampStepTime       // until all requests go to the version
+	evaluationInterval = 100 * time.Millisecond // time between two evaluations of an order
 )
 
-// Decide returns what whoever leads an order does next.
+// Decide returns the next step of the instance that leads an order.
 func Decide(now time.Duration, f *Inputs) Step {
 	s := &f.Order
 	age := now - s.OrderedAt
@@ -100,43 +101,43 @@
 	case f.NewReady == 0 && s.Phase == Canary:
 		return Step{Reason: "no replica of the version is ready"}
 	case s.Phase == Canary:
-		return f.trust(age)
+		return f.decidePromotion(age)
 	}
-	return f.complete(now, age)
+	return f.decideCompletion(now, age)
 }
 
-// trust decides whether the version gets everything from now on.
-func (f *Inputs) trust(age time.Duration) Step {
+// decidePromotion decides whether requests start to shift to the version.
+func (f *Inputs) decidePromotion(age time.Duration) Step {
 	s := &f.Order
 	left := s.TimeLimit - age
-	need := rampFor + toldFor + writtenFor + max(time.Duration(drainTimes*float64(f.LongestRequest)), leastDrain)
-	watched := time.Duration(watchedPart * float64(s.TimeLimit))
-	rest := float64(f.Sent) / max(age, lookBack).Seconds() * max(left, 0).Seconds() // requests that are still to come
+	need := rampTime + propagationTime + storeWriteTime + max(time.Duration(drainFactor*float64(f.LongestRequest)), minDrainTime)
+	watched := time.Duration(minWatchedFraction * float64(s.TimeLimit))
+	rest := float64(f.Sent) / max(age, evaluationInterval).Seconds() * max(left, 0).Seconds() // expected requests until the time limit
 	switch {
 	case f.NewReady < max(f.OldReady, 1):
 		return Step{Reason: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
 	case age < watched:
-		return Step{Reason: fmt.Sprintf("it is watched for %v more", (watched - age).Round(lookBack))}
+		return Step{Reason: fmt.Sprintf("it is watched for %v more", (watched - age).Round(evaluationInterval))}
 	case left > need:
-		return Step{Reason: fmt.Sprintf("all moves in %v", (left - need).Round(lookBack))}
-	case f.looked(s.OrderedAt+age) < toldFor:
+		return Step{Reason: fmt.Sprintf("all moves in %v", (left - need).Round(evaluationInterval))}
+	case f.watchedFor(s.OrderedAt+age) < propagationTime:
 		return Step{Reason: "it looks for a moment only since a gap"}
 	case f.Judgement.Verdict == Good:
 		return Step{SetPhase: Promoted, Reason: "answers are good"}
 	case f.Judgement.inDoubt():
 		return Step{Reason: "in doubt of route " + f.Judgement.Worst().Route}
-	case rest <= slackPart*f.Slack:
+	case rest <= slackFraction*f.Slack:
 		return Step{SetPhase: Promoted, Reason: "what is still to come is within the slack"}
 	}
 	return Step{Reason: "not enough is seen: " + f.Judgement.Reason}
 }
 
-// looked is for how long the answers have been looked at without a gap: who was
-// frozen for some seconds has not watched the version meanwhile.
-func (f *Inputs) looked(now time.Duration) time.Duration { return now - f.Judgement.WatchedSince }
+// watchedFor returns how long the answers have been observed without a gap: an
+// instance that was suspended has not watched the version meanwhile.
+func (f *Inputs) watchedFor(now time.Duration) time.Duration { return now - f.Judgement.WatchedSince }
 
-// complete decides whether the old replicas may stop.
-func (f *Inputs) complete(now, age time.Duration) Step {
+// decideCompletion decides whether the old replicas may stop.
+func (f *Inputs) decideCompletion(now, age time.Duration) Step {
 	left := f.Order.TimeLimit - age
 	switch {
 	case !f.Order.IsFullyShifted(now):
@@ -147,13 +148,13 @@
 		return Step{Reason: fmt.Sprintf("%d instances still send to old replicas", f.Lagging)}
 	case f.Pinned > 0:
 		return Step{Reason: fmt.Sprintf("%d requests at old replicas can't go on elsewhere", f.Pinned)}
-	case f.InFlight > 0 && left > lastCall:
+	case f.InFlight > 0 && left > drainCutoff:
 		return Step{Reason: fmt.Sprintf("%d requests are at old replicas", f.InFlight)}
 	case f.Judgement.inDoubt():
 		return Step{Reason: "in doubt of route " + f.Judgement.Worst().Route}
-	case f.looked(now) < toldFor:
+	case f.watchedFor(now) < propagationTime:
 		return Step{Reason: "it looks for a moment only since a gap"}
-	case f.Judgement.Verdict != Good: // the old replicas can't be had back
+	case f.Judgement.Verdict != Good: // completion can't be undone: the old replicas stop
 		return Step{Reason: "not enough is seen: " + f.Judgement.Reason}
 	}
 	return Step{WriteState: Completed}
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	tick      = 100 * time.Millisecond
-	orderedAt = 1
-	deadline  = 100 // ticks
-	healed    = 150 // ticks, from which nothing fails
-	theEnd    = 400
-	touch     = 40 // ticks without a fault, after which an instance is held to the time of a roll-back
-	rollback  = 50 // ticks
-	heardFor  = 8  // ticks, that an instance is taken for alive
+	tick           = 100 * time.Millisecond
+	orderedAt      = 1
+	deadline       = 100 // ticks
+	faultsEnd      = 150 // ticks, after which no more faults are injected
+	lastTick       = 400
+	faultFreeTicks = 40 // ticks without a fault after which an instance must respect rollbackTicks
+	rollbackTicks  = 50 // ticks
+	aliveTicks     = 8  // ticks for which an instance counts as alive after its last message
 )
 
-// instance is one instance of a simulated fleet, as the node drives this package.
+// instance is an instance of a simulated fleet, which uses this package as cmd/node does.
 type instance struct {
-	name    string
-	life    uint64
-	view    *View
-	ledger  *Ledger
-	own     Report
-	reports *Reports
-	judge   *Judge
-	status  Status
-	last    Step
-	due     int
-	calling int // until then a call to the store is under way
-	answer  *Status
-	heard   map[string]int
-	off     int // until then it is cut off
-	frozen  int // until then it does nothing
-	fault   int // when it last had one
+	name           string
+	incarnation    uint64
+	view           *View
+	ledger         *Ledger
+	own            Report
+	reports        *Reports
+	judge          *Judge
+	status         Status
+	last           Step
+	due            int
+	callUntil      int // tick until which a call to the store is in progress
+	readStatus     *Status
+	lastHeard      map[string]int
+	cutOffUntil    int // tick until which it is partitioned from the others and the store
+	suspendedUntil int // tick until which it is suspended
+	lastFault      int // tick of its last fault
 }
 
 func (i *instance) restart(start float64) {
-	*i = instance{name: i.name, life: i.life + 1, view: NewView(), ledger: NewLedger(start), reports: NewReports(), judge: NewJudge(),
-		own: Report{Rows: make(map[RowKey]*Tally)}, heard: make(map[string]int), off: i.off}
+	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), ledger: NewLedger(start), reports: NewReports(), judge: NewJudge(),
+		own: Report{Rows: make(map[RowKey]*Tally)}, lastHeard: make(map[string]int), cutOffUntil: i.cutOffUntil}
 }
 
-// note is one message on its way.
-type note struct {
-	at, from, to int
-	life         uint64
-	news         Update
-	report       Report
+// message is a message in flight.
+type message struct {
+	deliverAt, from, to int
+	incarnation         uint64
+	update              Update
+	report              Report
 }
 
-// fleet is the simulated whole.
+// fleet is the simulated fleet with its store.
 type fleet struct {
-	t         *rapid.T
-	random    *rand.Rand
-	now       int
-	instances []*instance
-	notes     []note
-	status    Status // in the store
-	revision  uint64
-	late      map[int][]func() // writes that are done later
-	states    []State
-	badFrom   int // tick; theEnd: never
-	all       int
-	newer     int
-	bad       int
-	fiftieth  int // tick; 0: not yet
-	faults    float64
+	t             *rapid.T
+	random        *rand.Rand
+	now           int
+	instances     []*instance
+	messages      []message
+	status        Status // in the store
+	revision      uint64
+	lateWrites    map[int][]func() // writes by the tick at which the store applies them
+	states        []State
+	badFrom       int // tick; lastTick: never
+	sent          int
+	sentToTarget  int
+	bad           int
+	fiftiethBadAt int // tick; 0: not yet
+	faults        float64
 }
 
-func (f *fleet) chance(p float64) bool { return f.now < healed && f.random.Float64() < p*f.faults }
+func (f *fleet) chance(p float64) bool { return f.now < faultsEnd && f.random.Float64() < p*f.faults }
 
 func (f *fleet) time() time.Duration { return time.Duration(f.now) * tick }
 
-// write is the store's condition.
+// write is the store's conditional write.
 func (f *fleet) write(read Status, state State) {
 	if f.status.Revision != read.Revision {
 		return
@@ -91,43 +91,44 @@
 
 func (f *fleet) step() {
 	f.now++
-	for _, w := range f.late[f.now] {
+	for _, w := range f.lateWrites[f.now] {
 		w()
 	}
 	for n, i := range f.instances {
-		f.fail(i)
-		if f.now < i.frozen {
+		f.injectFaults(i)
+		if f.now < i.suspendedUntil {
 			continue
 		}
-		f.hear(n, i)
-		if f.now == orderedAt || i.view.Empty() && i.off <= f.now && f.random.IntN(3) == 0 { // it reads the store
+		f.deliver(n, i)
+		if f.now == orderedAt || i.view.Empty() && i.cutOffUntil <= f.now && f.random.IntN(3) == 0 { // reads the store
 			i.view.Replace(f.time(), []Order{{Service: "s", Target: "v2", Revision: 1, TimeLimit: deadline * tick}}, 1)
 		}
 		f.serve(i)
-		f.tell(n, i)
+		f.broadcast(n, i)
 		f.lead(n, i)
 	}
 }
 
-func (f *fleet) fail(i *instance) {
+func (f *fleet) injectFaults(i *instance) {
 	switch {
-	case f.chance(0.004) && f.remembered(i):
+	case f.chance(0.004) && f.othersRemember(i):
 		i.restart(f.random.Float64())
 	case f.chance(0.004):
-		i.off = f.now + 1 + f.random.IntN(40)
+		i.cutOffUntil = f.now + 1 + f.random.IntN(40)
 	case f.chance(0.004):
-		i.frozen = f.now + 1 + f.random.IntN(40)
-	case f.now >= i.off && f.now >= i.frozen:
+		i.suspendedUntil = f.now + 1 + f.random.IntN(40)
+	case f.now >= i.cutOffUntil && f.now >= i.suspendedUntil:
 		return
 	}
-	i.fault = f.now
+	i.lastFault = f.now
 }
 
-// remembered reports whether another instance than one that restarts keeps what
-// was seen: what all forget at once nobody can know (docs/design/rollouts.md).
-func (f *fleet) remembered(but *instance) bool {
+// othersRemember reports whether an instance other than the restarting one still has
+// the counts. If all instances lose them at once they can't be recovered
+// (docs/design/rollouts.md), so the simulation avoids that.
+func (f *fleet) othersRemember(but *instance) bool {
 	for _, i := range f.instances {
-		if i != but && !i.view.Empty() && f.now > i.fault+2*heardFor {
+		if i != but && !i.view.Empty() && f.now > i.lastFault+2*aliveTicks {
 			return true
 		}
 	}
@@ -156,18 +157,18 @@
 func (f *fleet) count(i *instance, route string, goes bool) {
 	bad := goes && f.now >= f.badFrom && f.random.IntN(2) == 0
 	if f.now <= deadline {
-		f.all++
+		f.sent++
 		if goes {
-			f.newer++
+			f.sentToTarget++
 		}
 	}
 	if bad {
 		if f.bad++; f.bad == 50 {
-			f.fiftieth = f.now
+			f.fiftiethBadAt = f.now
 		}
 	}
-	if goes && f.fiftieth > 0 && f.now > f.fiftieth+rollback && f.now > i.fault+touch {
-		f.t.Fatalf("%s sends %d ticks after the 50th bad answer, at %d: %+v; %+v", i.name, f.now-f.fiftieth, f.now, i.view.Active(), i.judge.Latest())
+	if goes && f.fiftiethBadAt > 0 && f.now > f.fiftiethBadAt+rollbackTicks && f.now > i.lastFault+faultFreeTicks {
+		f.t.Fatalf("%s sends %d ticks after the 50th bad answer, at %d: %+v; %+v", i.name, f.now-f.fiftiethBadAt, f.now, i.view.Active(), i.judge.Latest())
 	}
 	k := RowKey{Route: route}
 	if goes {
@@ -192,59 +193,60 @@
 	return r
 }
 
-// tell sends what the instance knows to all, late, twice or never.
-func (f *fleet) tell(n int, i *instance) {
+// broadcast sends the instance's view and report to all others; messages may be
+// delayed, duplicated or lost.
+func (f *fleet) broadcast(n int, i *instance) {
 	if f.now%2 != 0 || i.view.Empty() {
 		return
 	}
-	m := note{from: n, life: i.life, news: i.view.Update(f.time()), report: f.report(i)}
+	m := message{from: n, incarnation: i.incarnation, update: i.view.Update(f.time()), report: f.report(i)}
 	for to := range f.instances {
-		for again := true; again && to != n && f.now >= i.off && !f.chance(0.2); again = f.chance(0.1) {
-			m.to, m.at = to, f.now+1
+		for again := true; again && to != n && f.now >= i.cutOffUntil && !f.chance(0.2); again = f.chance(0.1) {
+			m.to, m.deliverAt = to, f.now+1
 			if f.chance(0.2) {
-				m.at += f.random.IntN(8)
+				m.deliverAt += f.random.IntN(8)
 			}
-			f.notes = append(f.notes, m)
+			f.messages = append(f.messages, m)
 		}
 	}
 }
 
-func (f *fleet) hear(n int, i *instance) {
-	var left []note
-	for _, m := range f.notes {
+func (f *fleet) deliver(n int, i *instance) {
+	var left []message
+	for _, m := range f.messages {
 		switch {
-		case m.to != n || m.at > f.now:
+		case m.to != n || m.deliverAt > f.now:
 			left = append(left, m)
-		case f.now < i.off:
+		case f.now < i.cutOffUntil:
 		default:
-			i.view.Merge(f.time(), m.news)
-			i.reports.Merge(f.instances[m.from].name, m.life, m.report)
-			i.heard[f.instances[m.from].name] = f.now
+			i.view.Merge(f.time(), m.update)
+			i.reports.Merge(f.instances[m.from].name, m.incarnation, m.report)
+			i.lastHeard[f.instances[m.from].name] = f.now
 		}
 	}
-	f.notes = left
+	f.messages = left
 }
 
-// lead does what a node does that judges: the first three that are heard of.
+// lead does what a judging node does; the first three live instances judge.
 func (f *fleet) lead(n int, i *instance) {
 	s, ok := i.view.Current("s")
-	if !ok || f.now < i.calling {
+	if !ok || f.now < i.callUntil {
 		return
 	}
-	if i.answer != nil {
-		i.status, i.answer, i.due = *i.answer, nil, f.now
+	if i.readStatus != nil {
+		i.status, i.readStatus, i.due = *i.readStatus, nil, f.now
 	}
 	facts := &Inputs{Order: s, Status: i.status, Configured: true, NewReady: 2, OldReady: 2, Slack: 50}
-	i.reports.Merge(i.name, i.life, f.report(i))
+	i.reports.Merge(i.name, i.incarnation, f.report(i))
 	rank := 0
 	for m, other := range f.instances {
-		if m == n || f.now-i.heard[other.name] > heardFor {
+		if m == n || f.now-i.lastHeard[other.name] > aliveTicks {
 			continue
 		}
 		if m < n {
 			rank++
 		}
-		if rep, known := i.reports.Latest(other.name, other.life); !known || !rep.FullyShifted {
+		if rep, known := i.reports.Latest(other.name, other.incarnation); !known || !rep.FullyShifted {
 			facts.Lagging++
 		}
 	}
@@ -276,36 +278,39 @@
 	}
 }
 
-// call is a call to the store: it may be refused, or done without an answer, or done seconds later.
+// call simulates a call to the store, which may fail, be applied without a response,
+// or be applied seconds later.
 func (f *fleet) call(i *instance, step Step) {
-	i.calling = f.now + 1
+	i.callUntil = f.now + 1
 	read := i.status
 	if step.WriteState != None {
 		switch {
-		case f.now < i.off || f.chance(0.2):
+		case f.now < i.cutOffUntil || f.chance(0.2):
 		case f.chance(0.2):
 			at := f.now + 1 + f.random.IntN(40)
-			f.late[at] = append(f.late[at], func() { f.write(read, step.WriteState) })
-			i.calling = f.now + 15
+			f.lateWrites[at] = append(f.lateWrites[at], func() { f.write(read, step.WriteState) })
+			i.callUntil = f.now + 15
 		default:
 			f.write(read, step.WriteState)
 		}
 	}
 	got := f.status
-	if f.now < i.off || f.chance(0.3) {
+	if f.now < i.cutOffUntil || f.chance(0.3) {
 		got = Status{}
-		i.calling += 10
+		i.callUntil += 10
 	}
-	i.answer = &got
+	i.readStatus = &got
 }
 
-// Instances restart, freeze and are cut off, messages are lost, late, repeated and reordered, and the store loses answers
-// and does writes late: a bad version gets no more than its part, nothing long after its 50th bad answer, and is rolled
-// back; a good one is completed; there is one end.
+// Instances restart, are suspended and partitioned; messages are lost, delayed,
+// duplicated and reordered; the store loses responses and applies writes late. A bad
+// version must get at most its share, no requests later than rollbackTicks after its
+// 50th bad answer, and be rolled back; a good one must be completed. The final state is
+// written once.
 func TestAFleetUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), late: make(map[int][]func()), revision: 1,
-			status: Status{Known: true}, badFrom: theEnd, faults: rapid.Float64Range(0, 1).Draw(t, "faults")}
+		f := &fleet{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), lateWrites: make(map[int][]func()), revision: 1,
+			status: Status{Known: true}, badFrom: lastTick, faults: rapid.Float64Range(0, 1).Draw(t, "faults")}
 		if rapid.Bool().Draw(t, "bad") {
 			f.badFrom = rapid.IntRange(0, 60).Draw(t, "from")
 		}
@@ -314,14 +319,14 @@
 			i.restart(f.random.Float64())
 			f.instances = append(f.instances, i)
 		}
-		for f.now < theEnd {
+		for f.now < lastTick {
 			f.step()
 		}
-		if f.badFrom < theEnd && float64(f.newer) > 0.1*float64(f.all)+50 {
-			t.Fatalf("a bad version got %d of %d", f.newer, f.all)
+		if f.badFrom < lastTick && float64(f.sentToTarget) > 0.1*float64(f.sent)+50 {
+			t.Fatalf("a bad version got %d of %d", f.sentToTarget, f.sent)
 		}
 		want := Completed
-		if f.badFrom < theEnd {
+		if f.badFrom < lastTick {
 			want = RolledBack
 		}
 		if f.status.State != want {
@@ -330,12 +335,13 @@
 	})
 }
 
-// Without faults, a good version is completed in its time where requests are many enough to judge it by: some 240 a
-// second, of which one route has 60, for 10 s. (With a third of that it is completed later.)
-func TestAGoodVersionIsCompletedInItsTime(t *testing.T) {
+// Without faults a good version is completed within its time limit if there are enough
+// requests to judge it: about 240/s, 60/s of them on the smaller route, for 10 s. With
+// a third of that it is completed later.
+func TestGoodVersionCompletesWithinTimeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), late: make(map[int][]func()), revision: 1,
-			status: Status{Known: true}, badFrom: theEnd}
+		f := &fleet{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), lateWrites: make(map[int][]func()), revision: 1,
+			status: Status{Known: true}, badFrom: lastTick}
 		for n := range 16 {
 			i := &instance{name: fmt.Sprint("n", n)}
 			i.restart(f.random.Float64())
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -13,39 +13,42 @@
 	return Order{Service: service, Target: target, Revision: revision, TimeLimit: 10 * time.Second}
 }
 
-// A second order, an order taken back, and phases that come late or of another order.
+// Covers a second order for a service, a withdrawn order, and phases that arrive late
+// or belong to another order.
 func TestOrdersFollowOneAnother(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
 	v.Replace(0, []Order{order("s", "v2", 5), order("t", "v9", 6)}, 7)
 	v.SetPhase(1, 5, Canary)
 	v.Apply(2, []Entry{{Order: order("s", "v3", 9)}}, 9)
-	is.True(v.Withheld("s", "v2", true, false)) // what was not completed gets nothing more
+	is.True(v.Withheld("s", "v2", true, false)) // replaced before completion: no more requests
 	is.True(v.Withheld("s", "v3", true, false)) // its status is not known yet
 	is.True(!v.Withheld("s", "v1", true, false))
-	is.Equal(len(v.SetPhase(3, 5, Canary)), 0) // of the one before
+	is.Equal(len(v.SetPhase(3, 5, Canary)), 0) // phase of the replaced order
 	v.SetPhase(4, 9, Canary)
 	is.True(!v.Withheld("s", "v3", true, false))
 	changes := v.Apply(5, []Entry{{Order: Order{Service: "s", Revision: 11}, Gone: true}}, 11)
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Phase, Rejected)
 	is.True(v.Withheld("s", "v3", true, false))
-	is.Equal(len(v.Unfinished(6)), 3) // what was taken back needs its end, and t goes on
+	is.Equal(len(v.Unfinished(6)), 3) // withdrawn orders still need their final status, and t is active
 	v.Apply(7, []Entry{{Order: order("s", "v3", 12)}}, 12)
 	v.SetPhase(7, 12, Canary)
-	is.True(!v.Withheld("s", "v3", true, false)) // ordered anew
+	is.True(!v.Withheld("s", "v3", true, false)) // ordered again
 }
 
-// A stop of all after an order was completed: there are new replicas only, and its status is not read yet.
-func TestWhatIsCompletedServesAfterAStopOfAll(t *testing.T) {
+// After a restart of all instances following a completed order there are only new
+// replicas and the order's status is not read yet; they must still serve.
+func TestCompletedVersionServesAfterFullRestart(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
 	v.Replace(0, []Order{order("s", "v2", 5)}, 7)
 	is.True(!v.Withheld("s", "v2", false, false))
 }
 
-// A completed order that is taken back harms nothing, also where the phase done comes later.
-func TestACompletedOrderIsTakenBack(t *testing.T) {
+// Withdrawing a completed order must not withhold the version, even at an instance
+// that learns of the completion only afterwards.
+func TestCompletedOrderIsWithdrawn(t *testing.T) {
 	is := is.New(t)
 	a, b := NewView(), NewView()
 	for _, v := range []*View{a, b} {
@@ -61,14 +64,15 @@
 	is.True(!b.Withheld("s", "v2", false, false))
 }
 
-// Where each of many instances sends little, the version still gets its share of all, and of each route.
-func TestManyInstancesOfLittleTraffic(t *testing.T) {
+// Where each of many instances sends few requests, the version still gets its share
+// of the total and of each route.
+func TestManyInstancesWithLittleTraffic(t *testing.T) {
 	is := is.New(t)
 	all, newer := 0, 0
 	for i := range 78 {
 		l := NewLedger((float64(i) + 0.5) / 78)
 		for n := range 16 {
-			route := fmt.Sprint("r", n%5/4) // a fifth on one of two
+			route := fmt.Sprint("r", n%5/4) // a fifth of the requests on one of two routes
 			goes := l.Allows(1, route, 0.07, 1)
 			l.Record(1, route, 0.07, 1, goes)
 			all++
@@ -81,8 +85,9 @@
 	is.True(share > 0.055 && share < 0.085)
 }
 
-// Whatever is sent in whatever order and pieces, and whoever starts anew: the share holds at every moment, but for one request of each life.
-func TestALedgerHoldsItsShare(t *testing.T) {
+// Whatever the order and sizes of sends, the share holds at every moment, except for
+// at most one send per ledger, that is per incarnation.
+func TestLedgerBoundsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.9).Draw(t, "share")
 		start := rapid.Float64Range(0, 1).Draw(t, "start")
@@ -114,8 +119,8 @@
 	return t
 }
 
-// spreadRow is what the n-th new replica answered on a route.
-func at(route string, n int) RowKey { return RowKey{route, fmt.Sprint("new", n)} }
+// replicaKey returns the key of the n-th new replica's answers on a route.
+func replicaKey(route string, n int) RowKey { return RowKey{route, fmt.Sprint("new", n)} }
 
 func TestVerdicts(t *testing.T) {
 	const ms = time.Millisecond
@@ -124,73 +129,76 @@
 		want Verdict
 	}{
 		"nothing yet":      {map[RowKey]*Tally{{Route: "a"}: tally(100, 0, 30*ms)}, Undecided},
-		"good":             {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(8, 0, 30*ms), at("a", 2): tally(8, 0, 40*ms)}, Good},
-		"failures":         {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(3, 2, 30*ms), at("a", 2): tally(3, 2, 30*ms)}, Harmful},
-		"three times slow": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(0, 0, 0), at("a", 2): tally(5, 0, 95*ms)}, Harmful},
+		"good":             {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(8, 0, 30*ms), replicaKey("a", 2): tally(8, 0, 40*ms)}, Good},
+		"failures":         {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(3, 2, 30*ms), replicaKey("a", 2): tally(3, 2, 30*ms)}, Harmful},
+		"three times slow": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(0, 0, 0), replicaKey("a", 2): tally(5, 0, 95*ms)}, Harmful},
 		"a burst, slow for all and failing": {map[RowKey]*Tally{{Route: "a"}: tally(150, 90, 30*ms),
-			at("a", 1): tally(6, 4, 30*ms), at("a", 2): tally(6, 3, 30*ms)}, Undecided},
+			replicaKey("a", 1): tally(6, 4, 30*ms), replicaKey("a", 2): tally(6, 3, 30*ms)}, Undecided},
 		"one ill replica of a good version": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
-			at("a", 1): tally(0, 9, 0), at("a", 2): tally(30, 0, 30*ms)}, Good},
+			replicaKey("a", 1): tally(0, 9, 0), replicaKey("a", 2): tally(30, 0, 30*ms)}, Good},
 		"one ill replica, the others hardly seen": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
-			at("a", 1): tally(0, 9, 0), at("a", 2): tally(6, 0, 30*ms)}, Undecided},
+			replicaKey("a", 1): tally(0, 9, 0), replicaKey("a", 2): tally(6, 0, 30*ms)}, Undecided},
 		"many bad answers of one replica": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
-			at("a", 1): tally(0, 41, 0), at("a", 2): tally(30, 0, 30*ms)}, Harmful},
-		"one route only": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms), at("a", 2): tally(40, 0, 30*ms),
-			{Route: "b"}: tally(60, 0, 30*ms), at("b", 1): tally(1, 2, 30*ms), at("b", 2): tally(0, 2, 30*ms)}, Harmful},
-		"a route not seen enough": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(40, 0, 30*ms),
-			{Route: "b"}: tally(60, 0, 30*ms), at("b", 1): tally(4, 0, 30*ms)}, Undecided},
+			replicaKey("a", 1): tally(0, 41, 0), replicaKey("a", 2): tally(30, 0, 30*ms)}, Harmful},
+		"one route only": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms), replicaKey("a", 2): tally(40, 0, 30*ms),
+			{Route: "b"}: tally(60, 0, 30*ms), replicaKey("b", 1): tally(1, 2, 30*ms), replicaKey("b", 2): tally(0, 2, 30*ms)}, Harmful},
+		"a route not seen enough": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms),
+			{Route: "b"}: tally(60, 0, 30*ms), replicaKey("b", 1): tally(4, 0, 30*ms)}, Undecided},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			j := NewJudge()
 			j.Observe(time.Second, c.rows, false)
-			got := j.Observe(time.Second+settleFor, c.rows, false)
+			got := j.Observe(time.Second+settleTime, c.rows, false)
 			is.New(t).Equal(got.Verdict.String(), c.want.String())
 		})
 	}
 }
 
-// A version that was good for long and turns bad is found as fast as one that was bad at once.
-func TestAVersionTurnsBad(t *testing.T) {
+// A version that turns bad after a long good time is detected as fast as one that was
+// bad from the start.
+func TestVersionTurnsHarmful(t *testing.T) {
 	is := is.New(t)
 	j := NewJudge()
-	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(200, 0, time.Millisecond), at("a", 2): tally(200, 0, time.Millisecond)}
-	j.Observe(-settleFor, rows, false)
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), replicaKey("a", 1): tally(200, 0, time.Millisecond), replicaKey("a", 2): tally(200, 0, time.Millisecond)}
+	j.Observe(-settleTime, rows, false)
 	is.Equal(j.Observe(0, rows, false).Verdict, Good)
 	for n := 1; ; n++ {
 		for i := 1; i <= 2; i++ {
-			rows[at("a", i)].Add(0, true)
+			rows[replicaKey("a", i)].Add(0, true)
 		}
 		rows[RowKey{Route: "a"}].Add(time.Millisecond, false)
 		if j.Observe(time.Duration(n)*100*time.Millisecond, rows, false).Verdict == Harmful {
-			is.True(n <= 12) // 24 bad answers; the sickness shows from a tenth of each replica's
+			is.True(n <= 12) // 24 bad answers; each replica counts as faulty by the tenth of its own at the latest
 			return
 		}
 	}
 }
 
-// One ill replica that starts again all the while is one, whatever its lives are called.
-func TestLivesOfOneIllReplicaAreOne(t *testing.T) {
+// A single faulty replica that keeps restarting counts as one replica, although each
+// incarnation has its own name.
+func TestIncarnationsOfFaultyReplicaCountAsOne(t *testing.T) {
 	const ms = time.Millisecond
-	rows := map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), at("a", 1): tally(30, 0, 30*ms)}
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(30, 0, 30*ms)}
 	for _, life := range []string{"new2", "new2@1", "new2@2"} {
 		rows[RowKey{"a", life}] = tally(0, 3, 0)
 	}
 	j := NewJudge()
 	j.Observe(time.Second, rows, false)
-	is.New(t).Equal(j.Observe(time.Second+settleFor, rows, false).Verdict, Good)
+	is.New(t).Equal(j.Observe(time.Second+settleTime, rows, false).Verdict, Good)
 }
 
-// A burst begins: the new version's slow answers are told some moments before the old one's.
-func TestABurstIsToldInTwoParts(t *testing.T) {
+// When a slowdown of both versions begins, the new version's slow answers are reported
+// shortly before the old one's. This must not make the new version harmful.
+func TestBurstReportedInTwoParts(t *testing.T) {
 	is := is.New(t)
 	const ms = time.Millisecond
 	j := NewJudge()
 	old, newer := tally(300, 0, 15*ms), []*Tally{tally(12, 0, 15*ms), tally(12, 0, 15*ms)}
-	rows := map[RowKey]*Tally{{Route: "a"}: old, at("a", 1): newer[0], at("a", 2): newer[1]}
+	rows := map[RowKey]*Tally{{Route: "a"}: old, replicaKey("a", 1): newer[0], replicaKey("a", 2): newer[1]}
 	j.Observe(0, rows, false)
 	j.Observe(time.Second, rows, false)
-	for n := range 20 { // 10 a second of the new one, 100 of the old one 0.3 s later
+	for n := range 20 { // 10 answers/s of the new version, 100 answers/s of the old one 0.3 s later
 		newer[n%2].Add(120*ms, false)
 		if n >= 3 {
 			for range 10 {
@@ -201,21 +209,23 @@
 	}
 }
 
-// What a version did with a small part does not complete it: under the whole load it is judged anew.
-func TestAMovingVersionIsJudgedAnew(t *testing.T) {
+// Good answers from the canary phase must not complete a version: it is judged again
+// under the full load.
+func TestShiftingVersionIsJudgedAgain(t *testing.T) {
 	is := is.New(t)
 	j := NewJudge()
-	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), at("a", 1): tally(50, 0, time.Millisecond)}
+	rows := map[RowKey]*Tally{{Route: "a"}: tally(900, 0, time.Millisecond), replicaKey("a", 1): tally(50, 0, time.Millisecond)}
 	j.Observe(0, rows, false)
-	is.Equal(j.Observe(settleFor, rows, false).Verdict, Good)
-	is.Equal(j.Observe(settleFor+1, rows, true).Verdict, Undecided)
-	rows[at("a", 1)] = tally(70, 0, time.Millisecond)
-	j.Observe(settleFor+2, rows, true)
-	is.Equal(j.Observe(3*settleFor, rows, true).Verdict, Good)
+	is.Equal(j.Observe(settleTime, rows, false).Verdict, Good)
+	is.Equal(j.Observe(settleTime+1, rows, true).Verdict, Undecided)
+	rows[replicaKey("a", 1)] = tally(70, 0, time.Millisecond)
+	j.Observe(settleTime+2, rows, true)
+	is.Equal(j.Observe(3*settleTime, rows, true).Verdict, Good)
 }
 
-// Reports that hold a part of the rows each, come late or twice, or from a life that has ended: sums never fall.
-func TestSumsOnlyRise(t *testing.T) {
+// Sums never decrease, whether reports are partial, late, repeated or from an
+// incarnation that has ended.
+func TestSumsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seen := make(map[RowKey]*Tally)
 		r := NewReports()
@@ -223,7 +233,7 @@
 		for n := range rapid.IntRange(1, 40).Draw(t, "reports") {
 			part := make(map[RowKey]*Tally)
 			for i := range 3 {
-				k := at("a", i)
+				k := replicaKey("a", i)
 				if seen[k] == nil {
 					seen[k] = &Tally{}
 				}
@@ -240,7 +250,7 @@
 			r.Merge("n1", 1, rapid.SampledFrom(sent).Draw(t, "comes"))
 			after, _, _ := r.Sums()
 			for k, old := range before {
-				if after[k].Failed < old.Failed || after[k].from(0) < old.from(0) {
+				if after[k].Failed < old.Failed || after[k].countFrom(0) < old.countFrom(0) {
 					t.Fatalf("%v fell from %+v to %+v", k, old, after[k])
 				}
 			}
@@ -248,7 +258,7 @@
 	})
 }
 
-func TestStepsOfAnOrder(t *testing.T) {
+func TestDecide(t *testing.T) {
 	good := Judgement{Verdict: Good}
 	running := Status{Known: true, Revision: 9, State: Running}
 	base := func(phase Phase, more func(*Inputs)) *Inputs {
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	openPart  = 0.7                    // of the share that a version may get, that it does get: a route that makes a fifth of 100 a second is judged in 8 s, at 0.5 in 11; the rest is for the move
-	rampStep  = 400 * time.Millisecond // between steps once it is trusted: two heartbeats and a look of those who judge
-	doneFor   = 10 * time.Second       // that the old replicas get nothing after a completion: they stop at once, lists lag by 3 s
-	calmFor   = 1 * time.Second        // twice waveFor, so that ends under what is let in after it are a wave of their own
-	firstStep = 0.25
-	nextStep  = 0.5
+	canaryFraction  = 0.7                    // fraction of the allowed share that the version gets. At 0.7 a route with a fifth of 100 requests/s is judged in 8 s, at 0.5 in 11 s; the rest is left for the shift
+	rampStepTime    = 400 * time.Millisecond // between steps after promotion: two heartbeats and one evaluation by the judging instances
+	retireTime      = 10 * time.Second       // old replicas get no requests for this time after completion: they stop at once, but replica lists lag by 3 s
+	restartPause    = 1 * time.Second        // twice burstWindow, so that later ends of replicas form a burst of their own
+	firstRampShare  = 0.25
+	secondRampShare = 0.5
 )
 
-// Share returns which part of the requests to an order's service its version gets
-// now, by the share of a version that is not trusted.
+// Share returns the fraction of a service's requests that the order's version gets
+// now; canary is the largest share of a version that is not promoted.
 func (s *OrderState) Share(now time.Duration, canary float64) float64 {
 	switch s.Phase {
 	case Canary:
 		if now < s.PausedUntil {
 			return 0
 		}
-		return canary * openPart
+		return canary * canaryFraction
 	case Promoted:
 		switch since := now - s.PhaseSince; {
-		case since < rampStep:
-			return firstStep
-		case since < 2*rampStep:
-			return nextStep
+		case since < rampStepTime:
+			return firstRampShare
+		case since < 2*rampStepTime:
+			return secondRampShare
 		}
 		return 1
 	case Done:
@@ -39,17 +39,17 @@
 	return 0
 }
 
-// Over reports whether the order is completed and its old replicas are gone by now.
+// IsFinished reports whether the order is completed and its old replicas have stopped.
 func (s *OrderState) IsFinished(now time.Duration) bool {
-	return s.Phase == Done && now-s.PhaseSince >= doneFor
+	return s.Phase == Done && now-s.PhaseSince >= retireTime
 }
 
-// Moved reports whether all requests go to the order's version.
+// IsFullyShifted reports whether all requests go to the order's version.
 func (s *OrderState) IsFullyShifted(now time.Duration) bool { return s.Share(now, 0) >= 1 }
 
-// Withheld reports whether replicas of a version of a service get nothing now;
-// others reports whether replicas of another version could take its requests,
-// moved whether all of them go to the ordered version by now.
+// Withheld reports whether replicas of a version of a service get no requests now.
+// others is true if replicas of another version could take its requests, moved if
+// all requests go to the ordered version already.
 func (v *View) Withheld(service, version string, others, moved bool) bool {
 	s := v.current[service]
 	switch {
@@ -58,13 +58,13 @@
 	case s != nil && moved && s.Phase != Rejected:
 		return true
 	}
-	last := v.last(service, version)
+	last := v.latestOrder(service, version)
 	return last != nil && last.Ended && last.Phase == Rejected
 }
 
-// last returns the newest order that is known for a version of a service: one
-// that ended earlier says nothing of a version that came in by a later one.
-func (v *View) last(service, version string) *OrderState {
+// latestOrder returns the newest known order for a version of a service. Older ended
+// orders don't apply to a version that was ordered again later.
+func (v *View) latestOrder(service, version string) *OrderState {
 	var last *OrderState
 	for _, s := range v.all {
 		if s.Service == service && s.Target == version && (last == nil || s.Revision > last.Revision) {
@@ -74,16 +74,17 @@
 	return last
 }
 
-// Chosen returns which of an order's new replicas get requests at a share: so
-// many that each is as busy as an old one, the same ones at every instance.
+// SelectReplicas returns which of an order's new replicas get requests at the current
+// share: enough that each is as busy as an old replica, and the same ones at every
+// instance.
 func (s *OrderState) SelectReplicas(now time.Duration, canary float64, replicas []string) map[string]bool {
-	n := max(int(math.Ceil(s.Share(now, canary)*float64(len(replicas)))), leastChosen)
+	n := max(int(math.Ceil(s.Share(now, canary)*float64(len(replicas)))), minSelected)
 	out := make(map[string]bool, n)
 	for range min(n, len(replicas)) {
-		best, most := "", uint64(0)
+		best, maxWeight := "", uint64(0)
 		for _, id := range replicas {
-			if w := rendezvous.Weight(s.Target, id); !out[id] && (best == "" || w > most) {
-				best, most = id, w
+			if w := rendezvous.Weight(s.Target, id); !out[id] && (best == "" || w > maxWeight) {
+				best, maxWeight = id, w
 			}
 		}
 		out[best] = true
@@ -91,66 +92,67 @@
 	return out
 }
 
-// leastChosen replicas tell one ill replica of a good version from a bad version.
-const leastChosen = 2
+// minSelected is the number of replicas needed to distinguish one faulty replica of a
+// good version from a bad version.
+const minSelected = 2
 
-// Ledger counts what one life of an instance sends to a service in a roll-out,
-// apart by route, so that the version sees each. It holds the version to its
-// share of these sends at every moment, so the sums over all instances and
-// lives hold it too, with no counter that they share.
+// Ledger counts the requests that one incarnation of an instance sends to a service
+// during a rollout, per route so that the version gets requests of each route. It
+// bounds the version to its share of these requests at every moment, so the totals
+// over all instances and incarnations are bounded too, without a shared counter.
 type Ledger struct {
-	start float64 // 0 to 1: the part of a request that is owed from the start
-	pages map[page]*sends
+	initialCredit float64 // fraction of a request, 0 to 1, that the version may get at the start
+	counts        map[ledgerKey]*sendCounts
 }
 
-type page struct {
+type ledgerKey struct {
 	order uint64
 	route string
-	share float64 // each step counts anew
+	share float64 // counts start at 0 for each new share
 }
 
-type sends struct{ all, newer float64 }
+type sendCounts struct{ all, toTarget float64 }
 
-// NewLedger returns an empty ledger. start differs from life to life, evenly
-// between 0 and 1: where every instance sends little, rounding down would leave
-// the version without requests, and rounding up would give it one from each.
-func NewLedger(start float64) *Ledger {
-	return &Ledger{start: start, pages: make(map[page]*sends)}
+// NewLedger returns an empty ledger. initialCredit should be drawn evenly from 0 to 1 for each
+// incarnation: where every instance sends few requests, rounding down would leave the
+// version without any, and rounding up would give it one from each instance.
+func NewLedger(initialCredit float64) *Ledger {
+	return &Ledger{initialCredit: initialCredit, counts: make(map[ledgerKey]*sendCounts)}
 }
 
-func (l *Ledger) page(order uint64, route string, share float64) *sends {
-	k := page{order, route, share}
-	s := l.pages[k]
+func (l *Ledger) countsFor(order uint64, route string, share float64) *sendCounts {
+	k := ledgerKey{order, route, share}
+	s := l.counts[k]
 	if s == nil {
-		s = &sends{}
-		l.pages[k] = s
+		s = &sendCounts{}
+		l.counts[k] = s
 	}
 	return s
 }
 
-// May reports whether so many more requests may go to an order's version.
+// Allows reports whether n more requests may go to an order's version.
 func (l *Ledger) Allows(order uint64, route string, share float64, n int) bool {
 	if share <= 0 || share >= 1 {
 		return share >= 1
 	}
-	s, k := l.page(order, route, share), float64(n)
-	return s.newer+k <= share*(s.all+k)+l.start*k
+	s, k := l.countsFor(order, route, share), float64(n)
+	return s.toTarget+k <= share*(s.all+k)+l.initialCredit*k
 }
 
-// Sent counts requests that are sent, to the new version or not.
-func (l *Ledger) Record(order uint64, route string, share float64, n int, newer bool) {
-	s := l.page(order, route, share)
+// Record counts n requests that were sent, to the order's version if toTarget is true.
+func (l *Ledger) Record(order uint64, route string, share float64, n int, toTarget bool) {
+	s := l.countsFor(order, route, share)
 	s.all += float64(n)
-	if newer {
-		s.newer += float64(n)
+	if toTarget {
+		s.toTarget += float64(n)
 	}
 }
 
-// Forget drops the orders that keep does not know.
+// Prune drops the counts of orders for which keep returns false.
 func (l *Ledger) Prune(keep func(order uint64) bool) {
-	for k := range l.pages {
+	for k := range l.counts {
 		if !keep(k.order) {
-			delete(l.pages, k)
+			delete(l.counts, k)
 		}
 	}
 }
--- a/coordination/rollout/withheld_test.go
+++ b/coordination/rollout/withheld_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// A version that was ordered, taken back or ordered anew, and then moved to, is
-// the one that runs: the earlier order's end says nothing of it any more. It was
-// withheld from all requests once the later order was removed or another came.
-func TestAVersionThatCameInByALaterOrderIsNotWithheld(t *testing.T) {
+// A version whose first order was withdrawn or replaced and that was then rolled out
+// by a later order must serve. The ended first order once withheld it as soon as the
+// later order was removed or another one came.
+func TestVersionOrderedAgainIsNotWithheld(t *testing.T) {
 	first := Order{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}
 	again := Order{Service: "s", Target: "v2", Revision: 7, TimeLimit: time.Minute}
 	next := Order{Service: "s", Target: "v3", Revision: 9, TimeLimit: time.Minute}
@@ -22,14 +22,14 @@
 			v.SetPhase(time.Second, 3, Canary)
 			v.Replace(2*time.Second, before, 6)
 			if len(before) == 0 {
-				is.True(v.Withheld("s", "v2", true, false)) // taken back: it gets nothing more
+				is.True(v.Withheld("s", "v2", true, false)) // withdrawn: no more requests
 				v.Replace(3*time.Second, []Order{again}, 7)
 			}
 			for _, w := range []Phase{Canary, Promoted, Done} {
 				v.SetPhase(4*time.Second, 7, w)
 			}
 			is.True(!v.Withheld("s", "v2", true, true))
-			v.Replace(20*time.Second, nil, 8) // the operator removes what is done
+			v.Replace(20*time.Second, nil, 8) // the operator removes the finished order
 			is.True(!v.Withheld("s", "v2", false, false))
 			v.Replace(21*time.Second, []Order{next}, 9)
 			v.SetPhase(22*time.Second, 9, Canary)
@@ -38,8 +38,8 @@
 	}
 }
 
-// A version that was found bad stays withheld when its order is removed.
-func TestABadVersionStaysWithheldWithoutItsOrder(t *testing.T) {
+// A rejected version stays withheld when its order is removed.
+func TestRejectedVersionStaysWithheldWithoutOrder(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
 	v.Replace(0, []Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
