--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -148,7 +148,7 @@
 		return pipeline.Broken
 	}
 	for request, f := range asked {
-		if n.verdict(f) == quarantine.Condemned {
+		if n.verdict(f) == quarantine.Quarantined {
 			c.giveUp(request)
 		}
 	}
--- a/cmd/node/look.go
+++ b/cmd/node/look.go
@@ -31,9 +31,9 @@
 // they were sent so long after the process began, and has it looked at.
 func (n *Node) brokeOff(r *catalog.Replica, sent time.Duration, requests ...quarantine.Fingerprint) *look {
 	life := n.quarantine.lifeAt(r.ID, sent)
-	n.noteQuarantine(fromEnd, func(b *quarantine.Book, now time.Duration) (changes []quarantine.Change) {
+	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
 		for _, f := range requests {
-			changes = append(changes, b.Broke(now, f, quarantine.LifeOf(life))...)
+			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(life))...)
 		}
 		return changes
 	})
@@ -57,8 +57,10 @@
 // before its answer was whole. If the replica ends within seconds, the request
 // may be to blame: who sends one and leaves at once must not go unnoticed.
 func (n *Node) endedUnfinished(replica string, sent time.Duration, f quarantine.Fingerprint) {
-	life := quarantine.LifeOf(n.quarantine.lifeAt(replica, sent))
-	n.noteQuarantine(fromEnd, func(b *quarantine.Book, now time.Duration) []quarantine.Change { return b.Broke(now, f, life) })
+	life := quarantine.IncarnationOf(n.quarantine.lifeAt(replica, sent))
+	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return b.RecordBroken(now, f, life)
+	})
 }
 
 // lifeEnds counts the ends of a replica that this instance has seen before the
@@ -93,7 +95,7 @@
 func (q *quarantined) hasEnded(life string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.HasEnded(quarantine.LifeOf(life))
+	return q.book.HasEnded(quarantine.IncarnationOf(life))
 }
 
 // sawEnd counts the end of a life, unless it is known.
@@ -138,15 +140,15 @@
 	}
 	switch {
 	case err == nil, errors.Is(err, errNotLasting):
-		n.noteQuarantine(fromEnd, func(b *quarantine.Book, _ time.Duration) []quarantine.Change {
-			b.Answers(quarantine.LifeOf(life))
+		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
+			b.RecordConnection(quarantine.IncarnationOf(life))
 			return nil
 		})
 	case errors.Is(err, syscall.ECONNREFUSED):
 		event.NodeReplicaEnded.Log(n.log, "replica", life, "service", r.Service, "sign", "its port refuses")
 		n.quarantine.sawEnd(n.now(), r.ID, life)
-		n.noteQuarantine(fromEnd, func(b *quarantine.Book, now time.Duration) []quarantine.Change {
-			return b.Ended(now, quarantine.LifeOf(life))
+		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+			return b.RecordEnd(now, quarantine.IncarnationOf(life))
 		})
 	}
 }
@@ -170,8 +172,8 @@
 // lifeOver takes in that a replica has begun another life.
 func (n *Node) lifeOver(listed string) {
 	life := n.quarantine.lifeAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Book, now time.Duration) []quarantine.Change {
-		return b.Ended(now, quarantine.LifeOf(life))
+	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return b.RecordEnd(now, quarantine.IncarnationOf(life))
 	})
 }
 
@@ -179,7 +181,7 @@
 // that it would leave.
 func (n *Node) gone(listed string) {
 	life := n.quarantine.lifeAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Book, now time.Duration) []quarantine.Change {
-		return b.Gone(now, quarantine.LifeOf(life))
+	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return b.RecordRemoval(now, quarantine.IncarnationOf(life))
 	})
 }
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -22,7 +22,7 @@
 // quarantined is what an instance knows of requests that crash replicas.
 type quarantined struct {
 	mu     sync.Mutex
-	book   *quarantine.Book
+	book   *quarantine.Tracker
 	told   time.Duration                                  // when others were last told of a change alone
 	looks  map[string]*look                               // by life
 	ends   map[string]*lifeEnds                           // by listed life
@@ -32,7 +32,7 @@
 
 func newQuarantined(spread float64) *quarantined {
 	return &quarantined{
-		book:   quarantine.New(quarantine.Standard(), int(spread*quarantineTurns)),
+		book:   quarantine.New(quarantine.DefaultOptions(), int(spread*quarantineTurns)),
 		looks:  make(map[string]*look),
 		ends:   make(map[string]*lifeEnds),
 		trials: make(map[quarantine.Fingerprint]chan struct{}),
@@ -45,7 +45,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.Verdict(n.now(), f)
+	return q.book.Check(n.now(), f)
 }
 
 // endedUnder returns how many replicas have ended under a request.
@@ -53,12 +53,12 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	e, _ := q.book.Known(n.now(), f)
+	e, _ := q.book.Lookup(n.now(), f)
 	return len(e.Ended)
 }
 
 // noteQuarantine runs one event of the book, logs what it changes and tells the others.
-func (n *Node) noteQuarantine(why string, step func(b *quarantine.Book, now time.Duration) []quarantine.Change) {
+func (n *Node) noteQuarantine(why string, step func(b *quarantine.Tracker, now time.Duration) []quarantine.Change) {
 	q := n.quarantine
 	q.mu.Lock()
 	changes := step(q.book, n.now())
@@ -98,22 +98,22 @@
 )
 
 func (n *Node) logQuarantine(c quarantine.Change, why string) {
-	if c.Before == c.Now && c.Now != quarantine.Suspect {
+	if c.Before == c.After && c.After != quarantine.Suspect {
 		return
 	}
-	switch c.Now {
+	switch c.After {
 	case quarantine.Unsuspected:
 		event.NodeAcquits.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", why)
 	case quarantine.Suspect:
 		event.NodeSuspects.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
-	case quarantine.Condemned:
+	case quarantine.Quarantined:
 		event.NodeCondemns.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
 	}
 }
 
 // answeredWhole takes in that a request got a whole answer.
 func (n *Node) answeredWhole(f quarantine.Fingerprint) {
-	n.noteQuarantine(fromAnswer, func(b *quarantine.Book, now time.Duration) []quarantine.Change { return b.Good(now, f) })
+	n.noteQuarantine(fromAnswer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.RecordSuccess(now, f) })
 }
 
 // quarantineNews is what a heartbeat tells of suspects and condemned requests.
@@ -121,7 +121,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return casesOf(q.book.Tell(n.now()))
+	return casesOf(q.book.Announce(n.now()))
 }
 
 // allOfQuarantine is what an instance that has just started is told.
@@ -129,7 +129,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return casesOf(q.book.TellAll(n.now()))
+	return casesOf(q.book.Snapshot(n.now()))
 }
 
 func casesOf(entries []quarantine.Entry) []*pb.QuarantineCase {
@@ -142,7 +142,7 @@
 
 func (n *Node) takeQuarantine(cases []*pb.QuarantineCase) {
 	for _, c := range cases {
-		n.noteQuarantine(fromPeer, func(b *quarantine.Book, now time.Duration) []quarantine.Change { return b.Merge(now, entryOf(c)) })
+		n.noteQuarantine(fromPeer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Merge(now, entryOf(c)) })
 	}
 }
 
@@ -160,17 +160,17 @@
 func entryOf(c *pb.QuarantineCase) quarantine.Entry {
 	e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(c.GetFingerprint()), Age: time.Duration(c.GetAgeS()) * time.Second}
 	for _, life := range c.GetEnded() {
-		e.Ended = append(e.Ended, quarantine.Life(life))
+		e.Ended = append(e.Ended, quarantine.Incarnation(life))
 	}
 	for _, life := range c.GetCleared() {
-		e.Cleared = append(e.Cleared, quarantine.Life(life))
+		e.Cleared = append(e.Cleared, quarantine.Incarnation(life))
 	}
 	return e
 }
 
 // forgetQuarantine drops what is old.
 func (n *Node) forgetQuarantine() {
-	n.noteQuarantine(fromAge, func(b *quarantine.Book, now time.Duration) []quarantine.Change { return b.Forget(now) })
+	n.noteQuarantine(fromAge, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Expire(now) })
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/cmd/node/quarantine_state.go
+++ b/cmd/node/quarantine_state.go
@@ -24,7 +24,7 @@
 	var out []QuarantineState
 	for _, e := range q.book.All(now) {
 		out = append(out, QuarantineState{
-			Fingerprint: e.Fingerprint.String(), Verdict: q.book.Held(e.Fingerprint).String(),
+			Fingerprint: e.Fingerprint.String(), Verdict: q.book.Verdict(e.Fingerprint).String(),
 			Ended: len(e.Ended), Cleared: len(e.Cleared), Asked: e.Age.Round(time.Second).String(),
 		})
 	}
@@ -38,8 +38,8 @@
 		return fmt.Errorf("%q is no fingerprint", fingerprint)
 	}
 	known := false
-	n.noteQuarantine(fromOperator, func(b *quarantine.Book, now time.Duration) []quarantine.Change {
-		changes := b.Acquit(now, f)
+	n.noteQuarantine(fromOperator, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		changes := b.Release(now, f)
 		known = len(changes) > 0
 		return changes
 	})
--- a/cmd/node/quarantine_test.go
+++ b/cmd/node/quarantine_test.go
@@ -20,10 +20,10 @@
 	size := func() int { return proto.Size(&pb.Heartbeat{Quarantine: n.quarantineNews()}) }
 	is.Equal(size(), 0)
 	for f := 1; f <= 100; f++ {
-		n.noteQuarantine(fromPeer, func(b *quarantine.Book, now time.Duration) (out []quarantine.Change) {
+		n.noteQuarantine(fromPeer, func(b *quarantine.Tracker, now time.Duration) (out []quarantine.Change) {
 			for life := range 3 {
-				out = append(out, b.Broke(now, quarantine.Fingerprint(f), quarantine.LifeOf(fmt.Sprint(f, life)))...)
-				out = append(out, b.Ended(now, quarantine.LifeOf(fmt.Sprint(f, life)))...)
+				out = append(out, b.RecordBroken(now, quarantine.Fingerprint(f), quarantine.IncarnationOf(fmt.Sprint(f, life)))...)
+				out = append(out, b.RecordEnd(now, quarantine.IncarnationOf(fmt.Sprint(f, life)))...)
 			}
 			return out
 		})
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -262,7 +262,7 @@
 		verdict = s.node.verdict(s.fingerprint) // the last trial may have shown more
 		event.NodeTries.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
 	}
-	if verdict == quarantine.Condemned {
+	if verdict == quarantine.Quarantined {
 		s.node.counters.condemned.Inc(1)
 		return errCondemned
 	}
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -127,7 +127,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	e, ok := q.book.Known(n.now(), f)
+	e, ok := q.book.Lookup(n.now(), f)
 	if !ok {
 		e.Fingerprint = f
 	}
--- a/coordination/quarantine/news.go
+++ b/coordination/quarantine/news.go
@@ -8,7 +8,7 @@
 
 // Tell returns what a message to other instances holds: the cases that have
 // changed lately, and some condemned ones in their turn.
-func (b *Book) Tell(now time.Duration) []Entry {
+func (b *Tracker) Announce(now time.Duration) []Entry {
 	var out []Entry
 	for _, c := range b.changed() {
 		c.told++
@@ -18,11 +18,11 @@
 	for range b.order {
 		b.turn++
 		c := b.order[b.turn%len(b.order)]
-		if b.verdict(c) != Condemned || c.told < b.opts.Tells {
+		if b.verdict(c) != Quarantined || c.told < b.opts.Announcements {
 			continue
 		}
 		out = append(out, c.entry(now))
-		if inTurn++; inTurn == b.opts.Turn {
+		if inTurn++; inTurn == b.opts.RepeatsPerMessage {
 			break
 		}
 	}
@@ -32,29 +32,29 @@
 // changed returns the cases that are to be told now: what is condemned before
 // those that ran beside it, which may be many, and of equals the one that was told
 // least.
-func (b *Book) changed() []*Case {
+func (b *Tracker) changed() []*Case {
 	var out []*Case
 	for _, c := range b.order {
-		if c.told < b.opts.Tells {
+		if c.told < b.opts.Announcements {
 			out = append(out, c)
 		}
 	}
-	if len(out) <= b.opts.MostTold {
+	if len(out) <= b.opts.MaxChangedPerMessage {
 		return out
 	}
 	slices.SortStableFunc(out, func(x, y *Case) int {
 		return cmp.Or(cmp.Compare(b.verdict(y), b.verdict(x)), cmp.Compare(x.told, y.told), cmp.Compare(len(y.Ended), len(x.Ended)))
 	})
-	return out[:b.opts.MostTold]
+	return out[:b.opts.MaxChangedPerMessage]
 }
 
 // TellAll returns what an instance that has just started is told: what is
 // condemned and suspected, as much as a message holds.
-func (b *Book) TellAll(now time.Duration) []Entry {
+func (b *Tracker) Snapshot(now time.Duration) []Entry {
 	var out []Entry
-	for _, least := range []Verdict{Condemned, Suspect} {
+	for _, least := range []Verdict{Quarantined, Suspect} {
 		for _, c := range b.order {
-			if b.verdict(c) == least && len(out) < b.opts.MostAtOnce {
+			if b.verdict(c) == least && len(out) < b.opts.MaxPerSnapshot {
 				out = append(out, c.entry(now))
 			}
 		}
@@ -63,7 +63,7 @@
 }
 
 // Known returns what is known of a request, as it is told.
-func (b *Book) Known(now time.Duration, f Fingerprint) (Entry, bool) {
+func (b *Tracker) Lookup(now time.Duration, f Fingerprint) (Entry, bool) {
 	c := b.cases[f]
 	if c == nil {
 		return Entry{}, false
@@ -72,34 +72,34 @@
 }
 
 func (c *Case) entry(now time.Duration) Entry {
-	return Entry{Fingerprint: c.Fingerprint, Ended: slices.Clone(c.Ended), Cleared: slices.Clone(c.Cleared), Age: now - c.Asked}
+	return Entry{Fingerprint: c.Fingerprint, Ended: slices.Clone(c.Ended), Cleared: slices.Clone(c.Cleared), Age: now - c.LastRequested}
 }
 
 // Merge takes in what another instance tells. What is older than such a case is
 // kept is passed over: or two instances would remind each other of it for ever.
-func (b *Book) Merge(now time.Duration, e Entry) []Change {
+func (b *Tracker) Merge(now time.Duration, e Entry) []Change {
 	known := b.cases[e.Fingerprint]
 	if known == nil && (e.Age > b.keepFor(len(e.Ended)) || len(e.Ended) == 0) {
 		return nil
 	}
 	c := b.open(now, e.Fingerprint)
 	if known == nil {
-		c.Asked = now - e.Age
+		c.LastRequested = now - e.Age
 	}
 	ended, cleared := b.merged(now, c, e)
 	if len(ended) == len(c.Ended) && len(cleared) == len(c.Cleared) {
-		c.Asked = max(c.Asked, now-e.Age)
+		c.LastRequested = max(c.LastRequested, now-e.Age)
 		return nil
 	}
-	asked := max(c.Asked, now-e.Age)
+	asked := max(c.LastRequested, now-e.Age)
 	out := b.change(now, c, func() { c.Ended, c.Cleared = ended, cleared })
-	c.Asked = asked
+	c.LastRequested = asked
 	return out
 }
 
 // merged returns the lives of a case after another's word: what one of the two
 // has cleared is cleared.
-func (b *Book) merged(now time.Duration, c *Case, e Entry) (ended, cleared []Life) {
+func (b *Tracker) merged(now time.Duration, c *Case, e Entry) (ended, cleared []Incarnation) {
 	cleared = slices.Clone(c.Cleared)
 	for _, life := range e.Cleared {
 		if !slices.Contains(cleared, life) {
@@ -112,7 +112,7 @@
 		case slices.Contains(cleared, life) || slices.Contains(ended, life):
 		case good:
 			cleared = append(cleared, life)
-		case len(ended) < b.opts.Lives:
+		case len(ended) < b.opts.MaxIncarnations:
 			ended = append(ended, life)
 		}
 	}
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -20,10 +20,10 @@
 )
 
 // Life names one life of a replica among those that a book knows.
-type Life uint32
+type Incarnation uint32
 
 // LifeOf returns the name of a replica's life.
-func LifeOf(replica string) Life { return Life(xxhash.Sum64String(replica)) }
+func IncarnationOf(replica string) Incarnation { return Incarnation(xxhash.Sum64String(replica)) }
 
 // Verdict is what a book holds of a request.
 type Verdict int
@@ -32,7 +32,7 @@
 const (
 	Unsuspected Verdict = iota
 	Suspect             // replicas have ended under it; it may be tried where nothing else is at stake
-	Condemned           // it is not sent any more
+	Quarantined         // it is not sent any more
 )
 
 // String returns the verdict's name for logs.
@@ -42,42 +42,42 @@
 
 // Options are a book's constants.
 type Options struct {
-	Condemns     int           // replicas that end under a request before it is condemned
-	BreakFor     time.Duration // that an answer's breaking off and a replica's end may lie apart
-	GoodFor      time.Duration // that a whole answer speaks for all tries of a request, whatever ends beside them
-	SuspectFor   time.Duration // without news, after which a suspect is forgotten
-	CondemnedFor time.Duration // without a try, after which a condemned one is
-	Most         int           // cases; those with least against them give way
-	Lives        int           // kept of a case, on each side
-	Tells        int           // times that changed cases are told
-	MostTold     int           // changed cases in a message
-	MostAtOnce   int           // cases in a message to an instance that has just started
-	Turn         int           // condemned cases in a message besides, in their turn, for instances that were suspended or cut off
+	QuarantineAt         int           // replicas that end under a request before it is condemned
+	MaxEndDelay          time.Duration // that an answer's breaking off and a replica's end may lie apart
+	SuccessTTL           time.Duration // that a whole answer speaks for all tries of a request, whatever ends beside them
+	SuspectTTL           time.Duration // without news, after which a suspect is forgotten
+	QuarantineTTL        time.Duration // without a try, after which a condemned one is
+	MaxCases             int           // cases; those with least against them give way
+	MaxIncarnations      int           // kept of a case, on each side
+	Announcements        int           // times that changed cases are told
+	MaxChangedPerMessage int           // changed cases in a message
+	MaxPerSnapshot       int           // cases in a message to an instance that has just started
+	RepeatsPerMessage    int           // condemned cases in a message besides, in their turn, for instances that were suspended or cut off
 }
 
 // Standard returns the constants in use.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{
-		Condemns:     3,                // as many as the users' rule leaves; with two, one that was beside another twice is condemned
-		BreakFor:     5 * time.Second,  // a replica's entry goes about 3 s after its end
-		GoodFor:      10 * time.Second, // a request that many ask for is answered more often than that
-		SuspectFor:   time.Minute,      // longer than callers repeat a request that failed
-		CondemnedFor: time.Hour,
-		Most:         4096, // about 0.5 MB
-		Lives:        8,
-		Tells:        6, // rounds of heartbeats: all of 390 instances hear in five
-		MostTold:     16,
-		MostAtOnce:   200, // some 8 KB, half of the longest datagram
-		Turn:         8,
+		QuarantineAt:         3,                // as many as the users' rule leaves; with two, one that was beside another twice is condemned
+		MaxEndDelay:          5 * time.Second,  // a replica's entry goes about 3 s after its end
+		SuccessTTL:           10 * time.Second, // a request that many ask for is answered more often than that
+		SuspectTTL:           time.Minute,      // longer than callers repeat a request that failed
+		QuarantineTTL:        time.Hour,
+		MaxCases:             4096, // about 0.5 MB
+		MaxIncarnations:      8,
+		Announcements:        6, // rounds of heartbeats: all of 390 instances hear in five
+		MaxChangedPerMessage: 16,
+		MaxPerSnapshot:       200, // some 8 KB, half of the longest datagram
+		RepeatsPerMessage:    8,
 	}
 }
 
 // Case is what is known of one request.
 type Case struct {
-	Fingerprint Fingerprint
-	Ended       []Life // that ended under it
-	Cleared     []Life // that ended beside it: it has had a whole answer since
-	Asked       time.Duration
+	Fingerprint   Fingerprint
+	Ended         []Incarnation // that ended under it
+	Cleared       []Incarnation // that ended beside it: it has had a whole answer since
+	LastRequested time.Duration
 
 	told int
 }
@@ -85,92 +85,92 @@
 // Entry is a case as instances tell it each other.
 type Entry struct {
 	Fingerprint Fingerprint
-	Ended       []Life
-	Cleared     []Life
+	Ended       []Incarnation
+	Cleared     []Incarnation
 	Age         time.Duration // since it was last asked for or changed, as far as the sender knows
 }
 
 // Change is what an event has changed of a request.
 type Change struct {
-	Fingerprint Fingerprint
-	Before, Now Verdict
-	Ended       int // replicas under it
+	Fingerprint   Fingerprint
+	Before, After Verdict
+	Ended         int // replicas under it
 }
 
 // brokenAnswer is an answer that broke off, of which it is not known yet why.
 type brokenAnswer struct {
 	fingerprint Fingerprint
-	life        Life
+	life        Incarnation
 	at          time.Duration
 	answers     bool // the replica took a connection after it
 }
 
 // Book is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	opts   Options
 	cases  map[Fingerprint]*Case
 	order  []*Case // the same, by when they came
 	turn   int
 	broken []brokenAnswer
-	ended  map[Life]time.Duration // lives that ended lately
+	ended  map[Incarnation]time.Duration // lives that ended lately
 	good   goodAnswers
 }
 
 // New returns an empty book. Books that begin at different turns tell condemned
 // cases in different order, so that who hears of several learns all soon.
-func New(o Options, turn int) *Book {
-	return &Book{opts: o, turn: turn, cases: make(map[Fingerprint]*Case), ended: make(map[Life]time.Duration), good: newGoodAnswers(o.GoodFor)}
+func New(o Options, turn int) *Tracker {
+	return &Tracker{opts: o, turn: turn, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), good: newGoodAnswers(o.SuccessTTL)}
 }
 
 // Verdict returns what is held of a request that a caller asks for.
-func (b *Book) Verdict(now time.Duration, f Fingerprint) Verdict {
+func (b *Tracker) Check(now time.Duration, f Fingerprint) Verdict {
 	c := b.cases[f]
 	if c == nil {
 		return Unsuspected
 	}
-	c.Asked = now
+	c.LastRequested = now
 	return b.verdict(c)
 }
 
-func (b *Book) verdict(c *Case) Verdict {
+func (b *Tracker) verdict(c *Case) Verdict {
 	switch {
 	case len(c.Ended) == 0:
 		return Unsuspected
-	case len(c.Ended) < b.opts.Condemns:
+	case len(c.Ended) < b.opts.QuarantineAt:
 		return Suspect
 	}
-	return Condemned
+	return Quarantined
 }
 
 // Broke takes in that an answer to a request broke off at a replica, which may
 // have ended; whether it has, the next or the last seconds show.
-func (b *Book) Broke(now time.Duration, f Fingerprint, life Life) []Change {
-	if at, ok := b.ended[life]; ok && now-at <= b.opts.BreakFor {
+func (b *Tracker) RecordBroken(now time.Duration, f Fingerprint, life Incarnation) []Change {
+	if at, ok := b.ended[life]; ok && now-at <= b.opts.MaxEndDelay {
 		return b.against(now, f, life)
 	}
-	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.BreakFor })
+	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.MaxEndDelay })
 	b.broken = append(b.broken, brokenAnswer{fingerprint: f, life: life, at: now})
 	return nil
 }
 
 // Ended takes in that a replica's life is over without a word: it speaks against
 // all requests whose answers broke off there.
-func (b *Book) Ended(now time.Duration, life Life) []Change {
+func (b *Tracker) RecordEnd(now time.Duration, life Incarnation) []Change {
 	return b.end(now, life, func(brokenAnswer) bool { return true })
 }
 
 // Gone takes in that a replica is no longer told of, which it may have survived:
 // it speaks against requests whose answers broke off there, unless the replica
 // has taken a connection since.
-func (b *Book) Gone(now time.Duration, life Life) []Change {
+func (b *Tracker) RecordRemoval(now time.Duration, life Incarnation) []Change {
 	return b.end(now, life, func(x brokenAnswer) bool { return !x.answers })
 }
 
-func (b *Book) end(now time.Duration, life Life, counts func(brokenAnswer) bool) []Change {
+func (b *Tracker) end(now time.Duration, life Incarnation, counts func(brokenAnswer) bool) []Change {
 	b.ended[life] = now
 	var out []Change
 	for _, x := range b.broken {
-		if x.life == life && now-x.at <= b.opts.BreakFor && counts(x) {
+		if x.life == life && now-x.at <= b.opts.MaxEndDelay && counts(x) {
 			out = append(out, b.against(now, x.fingerprint, life)...)
 		}
 	}
@@ -179,14 +179,14 @@
 }
 
 // HasEnded reports whether a replica's life was over lately.
-func (b *Book) HasEnded(life Life) bool {
+func (b *Tracker) HasEnded(life Incarnation) bool {
 	_, ok := b.ended[life]
 	return ok
 }
 
 // Answers takes in that a replica takes connections after answers broke off
 // there: it has not ended, or is back already in another life.
-func (b *Book) Answers(life Life) {
+func (b *Tracker) RecordConnection(life Incarnation) {
 	for i := range b.broken {
 		if b.broken[i].life == life {
 			b.broken[i].answers = true
@@ -194,16 +194,16 @@
 	}
 }
 
-func (b *Book) dropBroken(of func(brokenAnswer) bool) { b.broken = slices.DeleteFunc(b.broken, of) }
+func (b *Tracker) dropBroken(of func(brokenAnswer) bool) { b.broken = slices.DeleteFunc(b.broken, of) }
 
 // Good takes in that a request got a whole answer.
-func (b *Book) Good(now time.Duration, f Fingerprint) []Change {
+func (b *Tracker) RecordSuccess(now time.Duration, f Fingerprint) []Change {
 	b.good.note(now, f)
-	return b.Acquit(now, f)
+	return b.Release(now, f)
 }
 
 // Acquit takes in that a request had no part in the ends that are known.
-func (b *Book) Acquit(now time.Duration, f Fingerprint) []Change {
+func (b *Tracker) Release(now time.Duration, f Fingerprint) []Change {
 	c := b.cases[f]
 	if c == nil || len(c.Ended) == 0 {
 		return nil
@@ -215,41 +215,41 @@
 }
 
 // against counts a replica's end under a request.
-func (b *Book) against(now time.Duration, f Fingerprint, life Life) []Change {
+func (b *Tracker) against(now time.Duration, f Fingerprint, life Incarnation) []Change {
 	if b.good.has(now, f) {
 		return nil
 	}
 	c := b.open(now, f)
-	if slices.Contains(c.Cleared, life) || slices.Contains(c.Ended, life) || len(c.Ended) >= b.opts.Lives {
+	if slices.Contains(c.Cleared, life) || slices.Contains(c.Ended, life) || len(c.Ended) >= b.opts.MaxIncarnations {
 		return nil
 	}
 	return b.change(now, c, func() { c.Ended = append(c.Ended, life) })
 }
 
 // change applies an edit to a case, which is then told to others.
-func (b *Book) change(now time.Duration, c *Case, edit func()) []Change {
+func (b *Tracker) change(now time.Duration, c *Case, edit func()) []Change {
 	before := b.verdict(c)
 	edit()
-	c.Asked, c.told = now, 0
-	return []Change{{Fingerprint: c.Fingerprint, Before: before, Now: b.verdict(c), Ended: len(c.Ended)}}
+	c.LastRequested, c.told = now, 0
+	return []Change{{Fingerprint: c.Fingerprint, Before: before, After: b.verdict(c), Ended: len(c.Ended)}}
 }
 
 // newest returns the last of the lives, as many as are kept.
-func (b *Book) newest(lives []Life) []Life {
-	if len(lives) <= b.opts.Lives {
+func (b *Tracker) newest(lives []Incarnation) []Incarnation {
+	if len(lives) <= b.opts.MaxIncarnations {
 		return lives
 	}
-	return slices.Clone(lives[len(lives)-b.opts.Lives:])
+	return slices.Clone(lives[len(lives)-b.opts.MaxIncarnations:])
 }
 
 // open returns the case of a request, a new one if there is none.
-func (b *Book) open(now time.Duration, f Fingerprint) *Case {
+func (b *Tracker) open(now time.Duration, f Fingerprint) *Case {
 	c := b.cases[f]
 	if c == nil {
-		if len(b.order) >= b.opts.Most {
+		if len(b.order) >= b.opts.MaxCases {
 			b.giveWay()
 		}
-		c = &Case{Fingerprint: f, Asked: now, told: b.opts.Tells}
+		c = &Case{Fingerprint: f, LastRequested: now, told: b.opts.Announcements}
 		b.cases[f] = c
 		b.order = append(b.order, c)
 	}
@@ -258,17 +258,17 @@
 
 // giveWay drops the case with least against it; of equals the one that was not
 // asked for the longest.
-func (b *Book) giveWay() {
+func (b *Tracker) giveWay() {
 	least := b.order[0]
 	for _, c := range b.order {
-		if len(c.Ended) < len(least.Ended) || len(c.Ended) == len(least.Ended) && c.Asked < least.Asked {
+		if len(c.Ended) < len(least.Ended) || len(c.Ended) == len(least.Ended) && c.LastRequested < least.LastRequested {
 			least = c
 		}
 	}
 	b.drop(func(c *Case) bool { return c == least })
 }
 
-func (b *Book) drop(of func(*Case) bool) {
+func (b *Tracker) drop(of func(*Case) bool) {
 	b.order = slices.DeleteFunc(b.order, func(c *Case) bool {
 		if !of(c) {
 			return false
@@ -279,28 +279,28 @@
 }
 
 // keepFor is how long a case is kept without news.
-func (b *Book) keepFor(ended int) time.Duration {
-	if ended >= b.opts.Condemns {
-		return b.opts.CondemnedFor
+func (b *Tracker) keepFor(ended int) time.Duration {
+	if ended >= b.opts.QuarantineAt {
+		return b.opts.QuarantineTTL
 	}
-	return b.opts.SuspectFor
+	return b.opts.SuspectTTL
 }
 
 // Forget drops what is old, and returns the suspects and condemned ones among it.
-func (b *Book) Forget(now time.Duration) []Change {
+func (b *Tracker) Expire(now time.Duration) []Change {
 	var out []Change
 	b.drop(func(c *Case) bool {
-		if now-c.Asked <= b.keepFor(len(c.Ended)) {
+		if now-c.LastRequested <= b.keepFor(len(c.Ended)) {
 			return false
 		}
 		if before := b.verdict(c); before != Unsuspected {
-			out = append(out, Change{Fingerprint: c.Fingerprint, Before: before, Now: Unsuspected})
+			out = append(out, Change{Fingerprint: c.Fingerprint, Before: before, After: Unsuspected})
 		}
 		return true
 	})
-	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.BreakFor })
+	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.MaxEndDelay })
 	for life, at := range b.ended {
-		if now-at > b.opts.BreakFor {
+		if now-at > b.opts.MaxEndDelay {
 			delete(b.ended, life)
 		}
 	}
@@ -308,7 +308,7 @@
 }
 
 // All returns what is known, by when it came.
-func (b *Book) All(now time.Duration) []Entry {
+func (b *Tracker) All(now time.Duration) []Entry {
 	out := make([]Entry, 0, len(b.order))
 	for _, c := range b.order {
 		out = append(out, c.entry(now))
@@ -317,7 +317,7 @@
 }
 
 // Held returns what is held of a request, without its being asked for.
-func (b *Book) Held(f Fingerprint) Verdict {
+func (b *Tracker) Verdict(f Fingerprint) Verdict {
 	if c := b.cases[f]; c != nil {
 		return b.verdict(c)
 	}
