--- /dev/null
+++ b/coordination/quarantine/exchange.go
@@ -0,0 +1,121 @@
+package quarantine
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Announce returns the entries of the next message to other instances: recently
+// changed cases, and some quarantined ones repeated round-robin.
+func (t *Tracker) Announce(now time.Duration) []Entry {
+	var out []Entry
+	for _, c := range t.unannounced() {
+		c.announced++
+		out = append(out, c.entry(now))
+	}
+	repeated := 0
+	for range t.order {
+		t.nextRepeat++
+		c := t.order[t.nextRepeat%len(t.order)]
+		if t.verdictOf(c) != Quarantined || c.announced < t.opts.Announcements {
+			continue
+		}
+		out = append(out, c.entry(now))
+		if repeated++; repeated == t.opts.RepeatsPerMessage {
+			break
+		}
+	}
+	return out
+}
+
+// unannounced returns the changed cases to announce next. If they exceed one message,
+// quarantined requests go before suspects, of which there may be many that ran
+// concurrently, then the least announced cases.
+func (t *Tracker) unannounced() []*Case {
+	var out []*Case
+	for _, c := range t.order {
+		if c.announced < t.opts.Announcements {
+			out = append(out, c)
+		}
+	}
+	if len(out) <= t.opts.MaxChangedPerMessage {
+		return out
+	}
+	slices.SortStableFunc(out, func(x, y *Case) int {
+		return cmp.Or(cmp.Compare(t.verdictOf(y), t.verdictOf(x)), cmp.Compare(x.announced, y.announced), cmp.Compare(len(y.Ended), len(x.Ended)))
+	})
+	return out[:t.opts.MaxChangedPerMessage]
+}
+
+// Snapshot returns the entries for an instance that has just started: quarantined
+// requests, then suspects, at most MaxPerSnapshot.
+func (t *Tracker) Snapshot(now time.Duration) []Entry {
+	var out []Entry
+	for _, least := range []Verdict{Quarantined, Suspect} {
+		for _, c := range t.order {
+			if t.verdictOf(c) == least && len(out) < t.opts.MaxPerSnapshot {
+				out = append(out, c.entry(now))
+			}
+		}
+	}
+	return out
+}
+
+// Lookup returns the entry of a request.
+func (t *Tracker) Lookup(now time.Duration, f Fingerprint) (Entry, bool) {
+	c := t.cases[f]
+	if c == nil {
+		return Entry{}, false
+	}
+	return c.entry(now), true
+}
+
+func (c *Case) entry(now time.Duration) Entry {
+	return Entry{Fingerprint: c.Fingerprint, Ended: slices.Clone(c.Ended), Cleared: slices.Clone(c.Cleared), Age: now - c.LastRequested}
+}
+
+// Merge merges an entry of another instance. Entries older than the case's TTL are
+// ignored; otherwise two instances would keep an expired case alive forever by sending
+// it to each other.
+func (t *Tracker) Merge(now time.Duration, e Entry) []Change {
+	known := t.cases[e.Fingerprint]
+	if known == nil && (e.Age > t.ttl(len(e.Ended)) || len(e.Ended) == 0) {
+		return nil
+	}
+	c := t.caseFor(now, e.Fingerprint)
+	if known == nil {
+		c.LastRequested = now - e.Age
+	}
+	ended, cleared := t.mergeIncarnations(now, c, e)
+	if len(ended) == len(c.Ended) && len(cleared) == len(c.Cleared) {
+		c.LastRequested = max(c.LastRequested, now-e.Age)
+		return nil
+	}
+	asked := max(c.LastRequested, now-e.Age)
+	out := t.update(now, c, func() { c.Ended, c.Cleared = ended, cleared })
+	c.LastRequested = asked
+	return out
+}
+
+// mergeIncarnations returns the incarnations of a case merged with those of an entry.
+// An incarnation that either side has cleared is cleared.
+func (t *Tracker) mergeIncarnations(now time.Duration, c *Case, e Entry) (ended, cleared []Incarnation) {
+	cleared = slices.Clone(c.Cleared)
+	for _, inc := range e.Cleared {
+		if !slices.Contains(cleared, inc) {
+			cleared = append(cleared, inc)
+		}
+	}
+	good := t.successes.has(now, c.Fingerprint)
+	for _, inc := range slices.Concat(c.Ended, e.Ended) {
+		switch {
+		case slices.Contains(cleared, inc) || slices.Contains(ended, inc):
+		case good:
+			cleared = append(cleared, inc)
+		case len(ended) < t.opts.MaxIncarnations:
+			ended = append(ended, inc)
+		}
+	}
+	return ended, t.newest(cleared)
+}
--- a/coordination/quarantine/fingerprint_test.go
+++ b/coordination/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAFingerprintHoldsWhatIsRepeated(t *testing.T) {
+func TestFingerprintCoversRepeatedParts(t *testing.T) {
 	is := is.New(t)
 	f := FingerprintOf("c", "POST", "h", "/a?b=1", []byte("body"))
 	is.Equal(f, FingerprintOf("c", "POST", "h", "/a?b=1", []byte("body")))
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -1,15 +1,15 @@
-// Package quarantine tells requests that crash the replicas which run them (a
-// query of death, a poison message) from those that ran beside one.
+// Package quarantine distinguishes requests that crash their replicas (queries of
+// death, poison messages) from requests that only ran concurrently with one.
 //
-// What speaks against a request is that a replica ended while it ran there, one
-// life of a replica at a time; what speaks for it is a whole answer, since a
-// request that crashes its replica never gets one. A request under which some
-// have ended is suspect: it is tried at one place at a time, apart from other
-// suspects. One under which as many as Options.Condemns have ended is condemned
-// and is not sent any more.
+// A request is blamed for each replica incarnation that ended while running it. A
+// complete answer clears it, as a request that crashes its replica never gets one. A
+// blamed request is suspect: it is tried at one replica at a time, isolated from other
+// suspects. A request blamed for Options.QuarantineAt incarnations is quarantined and
+// not sent any more.
 //
-// What instances know is merged by union, in any order, and needs no clocks
-// that agree. A Book is pure: events and time in, verdicts and news out.
+// The records of instances are merged by set union, so messages may arrive in any
+// order and clocks need not agree. A Tracker does no I/O and reads no clock: events
+// and times are passed in, verdicts and entries are returned.
 package quarantine
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Life names one life of a replica among those that a book knows.
+// Incarnation identifies one incarnation of a replica, as a hash of its name.
 type Incarnation uint32
 
-// LifeOf returns the name of a replica's life.
+// IncarnationOf returns the identifier of a replica's incarnation.
 func IncarnationOf(replica string) Incarnation { return Incarnation(xxhash.Sum64String(replica)) }
 
-// Verdict is what a book holds of a request.
+// Verdict is the state of a request.
 type Verdict int
 
 // The verdicts.
 const (
 	Unsuspected Verdict = iota
-	Suspect             // replicas have ended under it; it may be tried where nothing else is at stake
+	Suspect             // replicas ended while running it; it may be tried in isolation
 	Quarantined         // it is not sent any more
 )
 
@@ -40,286 +40,289 @@
 	return [...]string{"unsuspected", "suspect", "condemned"}[v]
 }
 
-// Options are a book's constants.
+// Options are the settings of a Tracker.
 type Options struct {
-	QuarantineAt         int           // replicas that end under a request before it is condemned
-	MaxEndDelay          time.Duration // that an answer's breaking off and a replica's end may lie apart
-	SuccessTTL           time.Duration // that a whole answer speaks for all tries of a request, whatever ends beside them
-	SuspectTTL           time.Duration // without news, after which a suspect is forgotten
-	QuarantineTTL        time.Duration // without a try, after which a condemned one is
-	MaxCases             int           // cases; those with least against them give way
-	MaxIncarnations      int           // kept of a case, on each side
-	Announcements        int           // times that changed cases are told
+	QuarantineAt         int           // number of replicas ended under a request from which it is quarantined
+	MaxEndDelay          time.Duration // maximum time between a broken answer and the replica's end
+	SuccessTTL           time.Duration // time for which a complete answer clears all attempts of a request, whichever replicas end
+	SuspectTTL           time.Duration // time without changes after which a suspect expires
+	QuarantineTTL        time.Duration // time without attempts after which a quarantined request expires
+	MaxCases             int           // cases; the one with the fewest ended replicas is evicted first
+	MaxIncarnations      int           // incarnations kept of a case: ended and cleared each
+	Announcements        int           // messages in which a changed case is announced
 	MaxChangedPerMessage int           // changed cases in a message
 	MaxPerSnapshot       int           // cases in a message to an instance that has just started
-	RepeatsPerMessage    int           // condemned cases in a message besides, in their turn, for instances that were suspended or cut off
+	RepeatsPerMessage    int           // further quarantined cases in a message, round-robin, for instances that were suspended or partitioned
 }
 
-// Standard returns the constants in use.
+// DefaultOptions returns the settings used in production.
 func DefaultOptions() Options {
 	return Options{
-		QuarantineAt:         3,                // as many as the users' rule leaves; with two, one that was beside another twice is condemned
-		MaxEndDelay:          5 * time.Second,  // a replica's entry goes about 3 s after its end
-		SuccessTTL:           10 * time.Second, // a request that many ask for is answered more often than that
-		SuspectTTL:           time.Minute,      // longer than callers repeat a request that failed
+		QuarantineAt:         3,                // the most that the requirements allow; with two, a request that ran concurrently with a poisonous one twice would be quarantined
+		MaxEndDelay:          5 * time.Second,  // a replica's registration is removed about 3 s after its end
+		SuccessTTL:           10 * time.Second, // frequent requests are answered more often than that
+		SuspectTTL:           time.Minute,      // longer than callers retry a failed request
 		QuarantineTTL:        time.Hour,
 		MaxCases:             4096, // about 0.5 MB
 		MaxIncarnations:      8,
-		Announcements:        6, // rounds of heartbeats: all of 390 instances hear in five
+		Announcements:        6, // rounds of heartbeats; five reach all of 390 instances
 		MaxChangedPerMessage: 16,
-		MaxPerSnapshot:       200, // some 8 KB, half of the longest datagram
+		MaxPerSnapshot:       200, // about 8 KB, half of the largest datagram
 		RepeatsPerMessage:    8,
 	}
 }
 
-// Case is what is known of one request.
+// Case is the record of one request.
 type Case struct {
 	Fingerprint   Fingerprint
-	Ended         []Incarnation // that ended under it
-	Cleared       []Incarnation // that ended beside it: it has had a whole answer since
+	Ended         []Incarnation // ended while running it
+	Cleared       []Incarnation // ended while running it, but a complete answer since has cleared the request
 	LastRequested time.Duration
 
-	told int
+	announced int
 }
 
-// Entry is a case as instances tell it each other.
+// Entry is a case as exchanged between instances.
 type Entry struct {
 	Fingerprint Fingerprint
 	Ended       []Incarnation
 	Cleared     []Incarnation
-	Age         time.Duration // since it was last asked for or changed, as far as the sender knows
+	Age         time.Duration // since it was last requested or changed, as known to the sender
 }
 
-// Change is what an event has changed of a request.
+// Change is the effect of an event on a request.
 type Change struct {
 	Fingerprint   Fingerprint
 	Before, After Verdict
-	Ended         int // replicas under it
+	Ended         int // replicas ended while running it
 }
 
-// brokenAnswer is an answer that broke off, of which it is not known yet why.
+// brokenAnswer is an answer that broke off, while it is unknown whether its replica
+// ended.
 type brokenAnswer struct {
 	fingerprint Fingerprint
-	life        Incarnation
+	incarnation Incarnation
 	at          time.Duration
-	answers     bool // the replica took a connection after it
+	reconnected bool // the replica has accepted a connection since
 }
 
-// Book is not safe for concurrent use.
+// Tracker records which replicas ended while running which requests. It is not safe
+// for concurrent use.
 type Tracker struct {
-	opts   Options
-	cases  map[Fingerprint]*Case
-	order  []*Case // the same, by when they came
-	turn   int
-	broken []brokenAnswer
-	ended  map[Incarnation]time.Duration // lives that ended lately
-	good   goodAnswers
+	opts       Options
+	cases      map[Fingerprint]*Case
+	order      []*Case // the same cases, oldest first
+	nextRepeat int
+	broken     []brokenAnswer
+	ended      map[Incarnation]time.Duration // incarnations that ended recently, with the time of their end
+	successes  successes
 }
 
-// New returns an empty book. Books that begin at different turns tell condemned
-// cases in different order, so that who hears of several learns all soon.
+// New returns an empty tracker. The values of turn should differ between instances:
+// they then repeat quarantined cases in different order, so that an instance that
+// receives messages of several learns all cases sooner.
 func New(o Options, turn int) *Tracker {
-	return &Tracker{opts: o, turn: turn, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), good: newGoodAnswers(o.SuccessTTL)}
+	return &Tracker{opts: o, nextRepeat: turn, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), successes: newSuccesses(o.SuccessTTL)}
 }
 
-// Verdict returns what is held of a request that a caller asks for.
-func (b *Tracker) Check(now time.Duration, f Fingerprint) Verdict {
-	c := b.cases[f]
+// Check returns the verdict on a request that a caller sends and renews its case.
+func (t *Tracker) Check(now time.Duration, f Fingerprint) Verdict {
+	c := t.cases[f]
 	if c == nil {
 		return Unsuspected
 	}
 	c.LastRequested = now
-	return b.verdict(c)
+	return t.verdictOf(c)
 }
 
-func (b *Tracker) verdict(c *Case) Verdict {
+func (t *Tracker) verdictOf(c *Case) Verdict {
 	switch {
 	case len(c.Ended) == 0:
 		return Unsuspected
-	case len(c.Ended) < b.opts.QuarantineAt:
+	case len(c.Ended) < t.opts.QuarantineAt:
 		return Suspect
 	}
 	return Quarantined
 }
 
-// Broke takes in that an answer to a request broke off at a replica, which may
-// have ended; whether it has, the next or the last seconds show.
-func (b *Tracker) RecordBroken(now time.Duration, f Fingerprint, life Incarnation) []Change {
-	if at, ok := b.ended[life]; ok && now-at <= b.opts.MaxEndDelay {
-		return b.against(now, f, life)
+// RecordBroken records that an answer broke off at a replica, which may have ended. The
+// request is blamed if the replica's end is reported within MaxEndDelay, before or after.
+func (t *Tracker) RecordBroken(now time.Duration, f Fingerprint, inc Incarnation) []Change {
+	if at, ok := t.ended[inc]; ok && now-at <= t.opts.MaxEndDelay {
+		return t.blame(now, f, inc)
 	}
-	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.MaxEndDelay })
-	b.broken = append(b.broken, brokenAnswer{fingerprint: f, life: life, at: now})
+	t.dropBroken(func(x brokenAnswer) bool { return now-x.at > t.opts.MaxEndDelay })
+	t.broken = append(t.broken, brokenAnswer{fingerprint: f, incarnation: inc, at: now})
 	return nil
 }
 
-// Ended takes in that a replica's life is over without a word: it speaks against
-// all requests whose answers broke off there.
-func (b *Tracker) RecordEnd(now time.Duration, life Incarnation) []Change {
-	return b.end(now, life, func(brokenAnswer) bool { return true })
+// RecordEnd records that a replica's incarnation ended without an announcement. All
+// requests whose answers broke off there are blamed.
+func (t *Tracker) RecordEnd(now time.Duration, inc Incarnation) []Change {
+	return t.recordEnd(now, inc, func(brokenAnswer) bool { return true })
 }
 
-// Gone takes in that a replica is no longer told of, which it may have survived:
-// it speaks against requests whose answers broke off there, unless the replica
-// has taken a connection since.
-func (b *Tracker) RecordRemoval(now time.Duration, life Incarnation) []Change {
-	return b.end(now, life, func(x brokenAnswer) bool { return !x.answers })
+// RecordRemoval records that a replica is no longer listed, although it may still run.
+// Requests whose answers broke off there are blamed unless the replica has accepted a
+// connection since.
+func (t *Tracker) RecordRemoval(now time.Duration, inc Incarnation) []Change {
+	return t.recordEnd(now, inc, func(x brokenAnswer) bool { return !x.reconnected })
 }
 
-func (b *Tracker) end(now time.Duration, life Incarnation, counts func(brokenAnswer) bool) []Change {
-	b.ended[life] = now
+func (t *Tracker) recordEnd(now time.Duration, inc Incarnation, counts func(brokenAnswer) bool) []Change {
+	t.ended[inc] = now
 	var out []Change
-	for _, x := range b.broken {
-		if x.life == life && now-x.at <= b.opts.MaxEndDelay && counts(x) {
-			out = append(out, b.against(now, x.fingerprint, life)...)
+	for _, x := range t.broken {
+		if x.incarnation == inc && now-x.at <= t.opts.MaxEndDelay && counts(x) {
+			out = append(out, t.blame(now, x.fingerprint, inc)...)
 		}
 	}
-	b.dropBroken(func(x brokenAnswer) bool { return x.life == life })
+	t.dropBroken(func(x brokenAnswer) bool { return x.incarnation == inc })
 	return out
 }
 
-// HasEnded reports whether a replica's life was over lately.
-func (b *Tracker) HasEnded(life Incarnation) bool {
-	_, ok := b.ended[life]
+// HasEnded reports whether a replica's incarnation ended recently.
+func (t *Tracker) HasEnded(inc Incarnation) bool {
+	_, ok := t.ended[inc]
 	return ok
 }
 
-// Answers takes in that a replica takes connections after answers broke off
-// there: it has not ended, or is back already in another life.
-func (b *Tracker) RecordConnection(life Incarnation) {
-	for i := range b.broken {
-		if b.broken[i].life == life {
-			b.broken[i].answers = true
+// RecordConnection records that a replica accepts connections after answers broke off
+// there: it has not ended, or already runs in another incarnation.
+func (t *Tracker) RecordConnection(inc Incarnation) {
+	for i := range t.broken {
+		if t.broken[i].incarnation == inc {
+			t.broken[i].reconnected = true
 		}
 	}
 }
 
-func (b *Tracker) dropBroken(of func(brokenAnswer) bool) { b.broken = slices.DeleteFunc(b.broken, of) }
+func (t *Tracker) dropBroken(of func(brokenAnswer) bool) { t.broken = slices.DeleteFunc(t.broken, of) }
 
-// Good takes in that a request got a whole answer.
-func (b *Tracker) RecordSuccess(now time.Duration, f Fingerprint) []Change {
-	b.good.note(now, f)
-	return b.Release(now, f)
+// RecordSuccess records that a request got a complete answer.
+func (t *Tracker) RecordSuccess(now time.Duration, f Fingerprint) []Change {
+	t.successes.record(now, f)
+	return t.Release(now, f)
 }
 
-// Acquit takes in that a request had no part in the ends that are known.
-func (b *Tracker) Release(now time.Duration, f Fingerprint) []Change {
-	c := b.cases[f]
+// Release clears a request of all known ends.
+func (t *Tracker) Release(now time.Duration, f Fingerprint) []Change {
+	c := t.cases[f]
 	if c == nil || len(c.Ended) == 0 {
 		return nil
 	}
-	return b.change(now, c, func() {
-		c.Cleared = b.newest(append(c.Cleared, c.Ended...))
+	return t.update(now, c, func() {
+		c.Cleared = t.newest(append(c.Cleared, c.Ended...))
 		c.Ended = nil
 	})
 }
 
-// against counts a replica's end under a request.
-func (b *Tracker) against(now time.Duration, f Fingerprint, life Incarnation) []Change {
-	if b.good.has(now, f) {
+// blame counts the end of a replica against a request.
+func (t *Tracker) blame(now time.Duration, f Fingerprint, inc Incarnation) []Change {
+	if t.successes.has(now, f) {
 		return nil
 	}
-	c := b.open(now, f)
-	if slices.Contains(c.Cleared, life) || slices.Contains(c.Ended, life) || len(c.Ended) >= b.opts.MaxIncarnations {
+	c := t.caseFor(now, f)
+	if slices.Contains(c.Cleared, inc) || slices.Contains(c.Ended, inc) || len(c.Ended) >= t.opts.MaxIncarnations {
 		return nil
 	}
-	return b.change(now, c, func() { c.Ended = append(c.Ended, life) })
+	return t.update(now, c, func() { c.Ended = append(c.Ended, inc) })
 }
 
-// change applies an edit to a case, which is then told to others.
-func (b *Tracker) change(now time.Duration, c *Case, edit func()) []Change {
-	before := b.verdict(c)
+// update applies an edit to a case, which is then announced to others.
+func (t *Tracker) update(now time.Duration, c *Case, edit func()) []Change {
+	before := t.verdictOf(c)
 	edit()
-	c.LastRequested, c.told = now, 0
-	return []Change{{Fingerprint: c.Fingerprint, Before: before, After: b.verdict(c), Ended: len(c.Ended)}}
+	c.LastRequested, c.announced = now, 0
+	return []Change{{Fingerprint: c.Fingerprint, Before: before, After: t.verdictOf(c), Ended: len(c.Ended)}}
 }
 
-// newest returns the last of the lives, as many as are kept.
-func (b *Tracker) newest(lives []Incarnation) []Incarnation {
-	if len(lives) <= b.opts.MaxIncarnations {
-		return lives
+// newest returns the last MaxIncarnations incarnations.
+func (t *Tracker) newest(incarnations []Incarnation) []Incarnation {
+	if len(incarnations) <= t.opts.MaxIncarnations {
+		return incarnations
 	}
-	return slices.Clone(lives[len(lives)-b.opts.MaxIncarnations:])
+	return slices.Clone(incarnations[len(incarnations)-t.opts.MaxIncarnations:])
 }
 
-// open returns the case of a request, a new one if there is none.
-func (b *Tracker) open(now time.Duration, f Fingerprint) *Case {
-	c := b.cases[f]
+// caseFor returns the case of a request, a new one if there is none.
+func (t *Tracker) caseFor(now time.Duration, f Fingerprint) *Case {
+	c := t.cases[f]
 	if c == nil {
-		if len(b.order) >= b.opts.MaxCases {
-			b.giveWay()
+		if len(t.order) >= t.opts.MaxCases {
+			t.evict()
 		}
-		c = &Case{Fingerprint: f, LastRequested: now, told: b.opts.Announcements}
-		b.cases[f] = c
-		b.order = append(b.order, c)
+		c = &Case{Fingerprint: f, LastRequested: now, announced: t.opts.Announcements}
+		t.cases[f] = c
+		t.order = append(t.order, c)
 	}
 	return c
 }
 
-// giveWay drops the case with least against it; of equals the one that was not
-// asked for the longest.
-func (b *Tracker) giveWay() {
-	least := b.order[0]
-	for _, c := range b.order {
+// evict drops the case with the fewest ended replicas; of these the least recently
+// requested one.
+func (t *Tracker) evict() {
+	least := t.order[0]
+	for _, c := range t.order {
 		if len(c.Ended) < len(least.Ended) || len(c.Ended) == len(least.Ended) && c.LastRequested < least.LastRequested {
 			least = c
 		}
 	}
-	b.drop(func(c *Case) bool { return c == least })
+	t.drop(func(c *Case) bool { return c == least })
 }
 
-func (b *Tracker) drop(of func(*Case) bool) {
-	b.order = slices.DeleteFunc(b.order, func(c *Case) bool {
+func (t *Tracker) drop(of func(*Case) bool) {
+	t.order = slices.DeleteFunc(t.order, func(c *Case) bool {
 		if !of(c) {
 			return false
 		}
-		delete(b.cases, c.Fingerprint)
+		delete(t.cases, c.Fingerprint)
 		return true
 	})
 }
 
-// keepFor is how long a case is kept without news.
-func (b *Tracker) keepFor(ended int) time.Duration {
-	if ended >= b.opts.QuarantineAt {
-		return b.opts.QuarantineTTL
+// ttl returns how long a case is kept without changes.
+func (t *Tracker) ttl(ended int) time.Duration {
+	if ended >= t.opts.QuarantineAt {
+		return t.opts.QuarantineTTL
 	}
-	return b.opts.SuspectTTL
+	return t.opts.SuspectTTL
 }
 
-// Forget drops what is old, and returns the suspects and condemned ones among it.
-func (b *Tracker) Expire(now time.Duration) []Change {
+// Expire drops expired cases and returns the suspects and quarantined ones among them.
+func (t *Tracker) Expire(now time.Duration) []Change {
 	var out []Change
-	b.drop(func(c *Case) bool {
-		if now-c.LastRequested <= b.keepFor(len(c.Ended)) {
+	t.drop(func(c *Case) bool {
+		if now-c.LastRequested <= t.ttl(len(c.Ended)) {
 			return false
 		}
-		if before := b.verdict(c); before != Unsuspected {
+		if before := t.verdictOf(c); before != Unsuspected {
 			out = append(out, Change{Fingerprint: c.Fingerprint, Before: before, After: Unsuspected})
 		}
 		return true
 	})
-	b.dropBroken(func(x brokenAnswer) bool { return now-x.at > b.opts.MaxEndDelay })
-	for life, at := range b.ended {
-		if now-at > b.opts.MaxEndDelay {
-			delete(b.ended, life)
+	t.dropBroken(func(x brokenAnswer) bool { return now-x.at > t.opts.MaxEndDelay })
+	for inc, at := range t.ended {
+		if now-at > t.opts.MaxEndDelay {
+			delete(t.ended, inc)
 		}
 	}
 	return out
 }
 
-// All returns what is known, by when it came.
-func (b *Tracker) All(now time.Duration) []Entry {
-	out := make([]Entry, 0, len(b.order))
-	for _, c := range b.order {
+// All returns all cases, oldest first.
+func (t *Tracker) All(now time.Duration) []Entry {
+	out := make([]Entry, 0, len(t.order))
+	for _, c := range t.order {
 		out = append(out, c.entry(now))
 	}
 	return out
 }
 
-// Held returns what is held of a request, without its being asked for.
-func (b *Tracker) Verdict(f Fingerprint) Verdict {
-	if c := b.cases[f]; c != nil {
-		return b.verdict(c)
+// Verdict returns the verdict on a request without renewing its case.
+func (t *Tracker) Verdict(f Fingerprint) Verdict {
+	if c := t.cases[f]; c != nil {
+		return t.verdictOf(c)
 	}
 	return Unsuspected
 }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -11,75 +11,75 @@
 	"pgregory.net/rapid"
 )
 
-func life(n int) Incarnation { return IncarnationOf(fmt.Sprint("r", n)) }
+func incarnation(n int) Incarnation { return IncarnationOf(fmt.Sprint("r", n)) }
 
-// crash is a replica's end under some requests.
+// crash records the end of a replica while it ran some requests.
 func crash(b *Tracker, now time.Duration, n int, under ...Fingerprint) {
 	for _, f := range under {
-		b.RecordBroken(now, f, life(n))
+		b.RecordBroken(now, f, incarnation(n))
 	}
-	b.RecordEnd(now, life(n))
+	b.RecordEnd(now, incarnation(n))
 }
 
-func TestThreeEndsCondemn(t *testing.T) {
+func TestThreeEndsQuarantine(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultOptions(), 0)
 	for n, want := range []Verdict{Unsuspected, Suspect, Suspect, Quarantined} {
 		is.Equal(b.Check(0, 7), want)
 		crash(b, time.Duration(n)*time.Second, n, 7, 7)
-		crash(b, time.Duration(n)*time.Second, n, 7) // the same end again counts once
+		crash(b, time.Duration(n)*time.Second, n, 7) // the same end counts once
 	}
 	is.Equal(b.Check(0, 8), Unsuspected)
 }
 
-func TestAnAnswerThatBreaksOffIsNoEnd(t *testing.T) {
+func TestBrokenAnswerWithoutEnd(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultOptions(), 0)
-	b.RecordBroken(0, 7, life(1))
-	b.RecordConnection(life(1))
-	b.RecordRemoval(time.Second, life(1)) // later, of something else
+	b.RecordBroken(0, 7, incarnation(1))
+	b.RecordConnection(incarnation(1))
+	b.RecordRemoval(time.Second, incarnation(1)) // ended later, for another reason
 	is.Equal(b.Check(0, 7), Unsuspected)
-	b.RecordBroken(0, 8, life(3))
-	b.RecordConnection(life(3)) // it was back already
-	b.RecordEnd(time.Second, life(3))
+	b.RecordBroken(0, 8, incarnation(3))
+	b.RecordConnection(incarnation(3)) // it had restarted already
+	b.RecordEnd(time.Second, incarnation(3))
 	is.Equal(b.Check(0, 8), Suspect)
-	b.RecordBroken(0, 7, life(2))
-	b.RecordEnd(6*time.Second, life(2)) // too late to have broken it off
+	b.RecordBroken(0, 7, incarnation(2))
+	b.RecordEnd(6*time.Second, incarnation(2)) // too late to be the cause of the broken answer
 	is.Equal(b.Check(0, 7), Unsuspected)
 }
 
-func TestAnEndIsTakenInBeforeTheBreak(t *testing.T) {
+func TestEndRecordedBeforeBrokenAnswer(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultOptions(), 0)
-	b.RecordEnd(0, life(1))
-	b.RecordBroken(time.Millisecond, 7, life(1))
+	b.RecordEnd(0, incarnation(1))
+	b.RecordBroken(time.Millisecond, 7, incarnation(1))
 	is.Equal(b.Check(0, 7), Suspect)
 }
 
-func TestAWholeAnswerAcquits(t *testing.T) {
+func TestSuccessReleases(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultOptions(), 0)
 	crash(b, 0, 1, 7)
 	crash(b, 0, 2, 7)
 	b.RecordSuccess(0, 7)
 	is.Equal(b.Check(0, 7), Unsuspected)
-	crash(b, time.Second, 3, 7) // many ask for it, and one of them was there
+	crash(b, time.Second, 3, 7) // a frequent request that also ran there
 	is.Equal(b.Check(time.Second, 7), Unsuspected)
 	late := DefaultOptions().SuccessTTL + 2*time.Second
-	crash(b, late, 4, 7) // a new version of the replicas may crash on what the old one answered
+	crash(b, late, 4, 7) // a new version of the replicas may crash on a request that the old one answered
 	is.Equal(b.Check(late, 7), Suspect)
 }
 
-// Another instance's old word does not take an acquittal back.
-func TestAnAcquittalIsNotTakenBackByAnOldWord(t *testing.T) {
+// An old entry of another instance must not undo a release.
+func TestReleaseSurvivesOldUpdate(t *testing.T) {
 	is := is.New(t)
 	a, b := New(DefaultOptions(), 0), New(DefaultOptions(), 0)
 	crash(a, 0, 1, 7)
 	old, _ := a.Lookup(0, 7)
 	b.Merge(0, old)
 	b.RecordSuccess(0, 7)
-	now, _ := b.Lookup(0, 7)
-	a.Merge(0, now)
+	released, _ := b.Lookup(0, 7)
+	a.Merge(0, released)
 	is.Equal(a.Check(0, 7), Unsuspected)
 	a.Merge(0, old)
 	b.Merge(0, old)
@@ -87,8 +87,8 @@
 	is.Equal(b.Check(0, 7), Unsuspected)
 }
 
-// What two instances tell each other of an old case does not keep it for ever.
-func TestTwoInstancesForgetTogether(t *testing.T) {
+// Two instances that send each other an old case must not keep it alive forever.
+func TestTwoInstancesExpireCases(t *testing.T) {
 	is := is.New(t)
 	o := DefaultOptions()
 	o.QuarantineTTL = 2 * time.Minute
@@ -98,25 +98,25 @@
 		crash(a, 0, n, 8)
 	}
 	for now := time.Duration(0); now < 10*time.Minute; now += 200 * time.Millisecond {
-		tell(now, a, b)
-		tell(now, b, a)
+		announce(now, a, b)
+		announce(now, b, a)
 		a.Expire(now)
 		if now%time.Second == 0 {
-			b.Expire(now) // not at the same moment
+			b.Expire(now) // at other times than a
 		}
 	}
 	is.Equal(len(a.All(0))+len(b.All(0)), 0)
 }
 
-func tell(now time.Duration, from, to *Tracker) {
+func announce(now time.Duration, from, to *Tracker) {
 	for _, e := range from.Announce(now) {
 		to.Merge(now, e)
 	}
 }
 
-// A million different requests take no more room than the most cases, and what
-// is condemned stays.
-func TestAFloodOfCasesLeavesTheCondemned(t *testing.T) {
+// However many different requests become suspect, at most MaxCases cases are kept, and
+// quarantined ones are not evicted.
+func TestFloodOfCasesKeepsQuarantined(t *testing.T) {
 	is := is.New(t)
 	o := DefaultOptions()
 	o.MaxCases = 100
@@ -131,27 +131,27 @@
 	is.Equal(b.Check(0, 1), Quarantined)
 }
 
-// An instance that has just started is told of a hundred condemned requests at
-// once; one that was suspended hears of nearly all within three seconds,
-// although half of the messages are lost.
-func TestWhoWasAwayHearsOfAllThatIsCondemned(t *testing.T) {
+// An instance that has just started learns of a hundred quarantined requests at once.
+// One that was suspended learns of nearly all within three seconds, although half of
+// the messages are lost.
+func TestLateInstancesLearnQuarantined(t *testing.T) {
 	is := is.New(t)
-	const condemned, peers = 100, 4
-	var known []*Tracker
+	const quarantined, peers = 100, 4
+	var informed []*Tracker
 	for p := range peers {
 		b := New(DefaultOptions(), 251*p)
-		for f := range condemned {
+		for f := range quarantined {
 			for n := range 3 {
 				crash(b, 0, 3*f+n, Fingerprint(f))
 			}
 		}
 		for range 200 {
-			b.Announce(0) // all has been told often enough
+			b.Announce(0) // all cases have been announced often enough
 		}
-		known = append(known, b)
+		informed = append(informed, b)
 	}
-	heard := func(b *Tracker) (count int) {
-		for f := range condemned {
+	countQuarantined := func(b *Tracker) (count int) {
+		for f := range quarantined {
 			if b.Check(time.Minute, Fingerprint(f)) == Quarantined {
 				count++
 			}
@@ -159,15 +159,15 @@
 		return count
 	}
 	started := New(DefaultOptions(), 0)
-	for _, e := range known[0].Snapshot(time.Minute) {
+	for _, e := range informed[0].Snapshot(time.Minute) {
 		started.Merge(time.Minute, e)
 	}
-	is.Equal(heard(started), condemned)
+	is.Equal(countQuarantined(started), quarantined)
 
 	suspended, random := New(DefaultOptions(), 0), rand.New(rand.NewPCG(1, 2))
-	for round := range 15 { // of heartbeats, five a second, four heard in each
+	for round := range 15 { // rounds of heartbeats, five a second, from four peers each
 		now := time.Minute + time.Duration(round)*200*time.Millisecond
-		for _, b := range known {
+		for _, b := range informed {
 			if entries := b.Announce(now); random.IntN(2) == 0 {
 				for _, e := range entries {
 					suspended.Merge(now, e)
@@ -175,47 +175,48 @@
 			}
 		}
 	}
-	t.Logf("%d of %d", heard(suspended), condemned)
-	is.True(heard(suspended) >= 80)
+	t.Logf("%d of %d", countQuarantined(suspended), quarantined)
+	is.True(countQuarantined(suspended) >= 80)
 }
 
-// What is condemned is told at once, however many ran beside it and are news too.
-func TestWhatIsCondemnedIsToldFirst(t *testing.T) {
+// Quarantined requests are announced first, however many requests that ran
+// concurrently have changed too.
+func TestQuarantinedAreAnnouncedFirst(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultOptions(), 0)
-	beside := make([]Fingerprint, 0, 300)
+	concurrent := make([]Fingerprint, 0, 300)
 	for f := range Fingerprint(300) {
-		beside = append(beside, 100+f)
+		concurrent = append(concurrent, 100+f)
 	}
-	crash(b, 0, 1, append(beside, 7)...)
+	crash(b, 0, 1, append(concurrent, 7)...)
 	b.Announce(0)
 	crash(b, 0, 2, 7)
 	crash(b, 0, 3, 7)
 	is.Equal(b.Announce(0)[0].Fingerprint, Fingerprint(7))
-	told := make(map[Fingerprint]bool)
+	announced := make(map[Fingerprint]bool)
 	for range 20 {
 		for _, e := range b.Announce(0) {
-			told[e.Fingerprint] = true
+			announced[e.Fingerprint] = true
 		}
 	}
-	is.True(len(told) > 250) // each of the others once before any of them again
+	is.True(len(announced) > 250) // each of the others once before any is repeated
 }
 
-// Whatever instances see, and in whatever order they hear of it, they end with
-// the same; only what ended under a request without an answer of its own since
-// speaks against it.
-func TestInstancesAgree(t *testing.T) {
+// Instances converge to the same cases whatever events they see and in whatever order
+// they exchange them. A request is blamed only for replicas that ended after its last
+// complete answer.
+func TestInstancesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const requests, instances = 4, 3
 		o := DefaultOptions()
-		o.SuccessTTL = 0 // so that an answer speaks for what has ended before it alone
-		var books []*Tracker
+		o.SuccessTTL = 0 // so that an answer clears only earlier ends
+		var trackers []*Tracker
 		for range instances {
-			books = append(books, New(o, 0))
+			trackers = append(trackers, New(o, 0))
 		}
 		for n := range rapid.IntRange(1, 12).Draw(t, "events") {
 			now := time.Duration(n) * time.Second
-			b := books[rapid.IntRange(0, instances-1).Draw(t, "at")]
+			b := trackers[rapid.IntRange(0, instances-1).Draw(t, "at")]
 			f := Fingerprint(rapid.IntRange(0, requests-1).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
@@ -223,13 +224,13 @@
 			case 2:
 				b.RecordSuccess(now, f)
 			case 3:
-				tell(now, b, books[rapid.IntRange(0, instances-1).Draw(t, "to")])
+				announce(now, b, trackers[rapid.IntRange(0, instances-1).Draw(t, "to")])
 			}
 		}
 		end := 20 * time.Second
 		for range 8 {
-			for _, x := range rapid.Permutation(books).Draw(t, "order") {
-				for _, y := range books {
+			for _, x := range rapid.Permutation(trackers).Draw(t, "order") {
+				for _, y := range trackers {
 					for _, e := range x.All(end) {
 						y.Merge(end, e)
 					}
@@ -237,9 +238,9 @@
 			}
 		}
 		for f := range Fingerprint(requests) {
-			first, _ := books[0].Lookup(end, f)
+			first, _ := trackers[0].Lookup(end, f)
 			slices.Sort(first.Ended)
-			for i, b := range books {
+			for i, b := range trackers {
 				e, _ := b.Lookup(end, f)
 				slices.Sort(e.Ended)
 				if !slices.Equal(e.Ended, first.Ended) {
