--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -115,28 +115,28 @@
 }
 
 // way tells how the attempt ended.
-func (a *attempt) way(ctx context.Context, err error) ending.Way {
+func (a *attempt) way(ctx context.Context, err error) ending.Kind {
 	switch {
 	case err == nil && a.x.Header.StatusCode() >= http.StatusInternalServerError:
-		return ending.OwnFailure
+		return ending.Failed
 	case err == nil:
-		return ending.Whole
+		return ending.Succeeded
 	case errors.Is(err, errNotRun):
-		return ending.TurnedAway
+		return ending.Refused
 	case errors.Is(err, errInputs):
-		return ending.NoInputs
+		return ending.MissingInputs
 	case errors.Is(err, errOwnFault):
-		return ending.OwnFailure
+		return ending.Failed
 	case errors.Is(err, errSilent):
-		return ending.Silent
+		return ending.ResponseTimeout
 	case errors.Is(err, errLeft):
-		return ending.Left
+		return ending.ClientGone
 	case done(ctx):
-		return ending.TimeUp
+		return ending.DeadlineExceeded
 	case errors.Is(err, errLifeOver):
-		return ending.LifeOver
+		return ending.ReplicaRestarted
 	}
-	return ending.BrokeOff
+	return ending.ConnectionBroken
 }
 
 // finish takes in how the attempt ended.
@@ -165,24 +165,24 @@
 	if a.head.Stranger || a.closesAtRefusal() {
 		n.sawLeaving(a.replica.ID, "answer")
 	}
-	if way == ending.TurnedAway || way == ending.NoInputs {
+	if way == ending.Refused || way == ending.MissingInputs {
 		a.record.NotRun(a.token)
 		delete(a.tried, a.replica.ID)
 	}
-	says := way.Reading()
+	says := way.Evidence()
 	if says.Health != nil {
 		a.note(a.replica.ID, *says.Health)
 	}
 	switch says.Request {
-	case ending.Harmless:
+	case ending.RequestCleared:
 		n.answeredWhole(a.fingerprint)
-	case ending.Blamed:
+	case ending.RequestBlamed:
 		n.endedUnfinished(a.replica.ID, a.sent, a.fingerprint)
-	case ending.Look:
+	case ending.RequestProbe:
 		a.look = n.brokeOff(&a.replica, a.sent, a.fingerprint)
 	}
 	a.tellRollout(way, suspended, took)
-	if says.Request == ending.Look && a.movable() && len(a.tried) < a.route.Attempts {
+	if says.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.Attempts {
 		n.awaitLook(ctx, a.look) // else there is nothing to wait for: it has its end at once
 	}
 }
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -15,7 +15,7 @@
 type rolloutAnswer struct {
 	route   string
 	replica *catalog.Replica
-	says    ending.Version
+	says    ending.VersionEvidence
 	took    time.Duration // until the answer began
 	lasted  time.Duration // of one that can't go on elsewhere; 0: it can
 }
@@ -27,7 +27,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Rejected || a.says == ending.Nothing || a.says == ending.Answer && a.replica.ColdUntil > n.now() {
+	if !ok || s.Phase >= rollout.Rejected || a.says == ending.VersionNone || a.says == ending.VersionAnswer && a.replica.ColdUntil > n.now() {
 		return
 	}
 	own := &r.seen(s.Revision).own
@@ -45,21 +45,21 @@
 		t = &rollout.Tally{}
 		own.Rows[k] = t
 	}
-	if a.says == ending.EndOfLife {
+	if a.says == ending.VersionReplicaEnd {
 		t.AddReplicaEnd()
 		return
 	}
-	t.Add(a.took, a.says == ending.Failure)
+	t.Add(a.took, a.says == ending.VersionFailure)
 }
 
 // countAnswered counts for operators what became of a request at the new version.
-func (n *Node) countAnswered(s *rollout.OrderState, says ending.Version) {
-	if says == ending.EndOfLife {
+func (n *Node) countAnswered(s *rollout.OrderState, says ending.VersionEvidence) {
+	if says == ending.VersionReplicaEnd {
 		n.rolloutCounter(s.Service, s.Target, "ended").Inc(1)
 		return
 	}
 	n.rolloutCounter(s.Service, s.Target, "answers").Inc(1)
-	if says == ending.Failure {
+	if says == ending.VersionFailure {
 		n.rolloutCounter(s.Service, s.Target, "failed").Inc(1)
 	}
 }
@@ -73,26 +73,26 @@
 // tellRollout counts how the attempt went in its service's roll-out. Of one that
 // broke off it is only known once its replica was looked at whether the replica
 // had ended.
-func (a *attempt) tellRollout(way ending.Way, suspended bool, took time.Duration) {
+func (a *attempt) tellRollout(way ending.Kind, suspended bool, took time.Duration) {
 	n := a.node
 	if !n.rollouts.ordered(a.service.Name) {
 		return
 	}
-	out := &rolloutAnswer{route: a.route.Name, replica: &a.replica, says: way.OfVersion(suspended), took: took}
+	out := &rolloutAnswer{route: a.route.Name, replica: &a.replica, says: way.ForVersion(suspended), took: took}
 	if !a.movable() {
 		out.lasted = took
 	}
 	if a.began != 0 {
 		out.took = a.began - a.sent
 	}
-	if way != ending.BrokeOff {
+	if way != ending.ConnectionBroken {
 		n.answered(out)
 		return
 	}
 	l := a.look
 	go func() {
 		if n.awaitLook(context.Background(), l) {
-			out.says = ending.Crashed.Reading().Version
+			out.says = ending.ReplicaCrashed.Evidence().Version
 		}
 		n.answered(out)
 	}()
@@ -117,28 +117,28 @@
 }
 
 // tellRolloutCall counts how a call of pieces went in its pool's roll-out.
-func (n *Node) tellRolloutCall(r *catalog.Replica, way ending.Way, suspended bool, took time.Duration) {
-	n.answered(&rolloutAnswer{replica: r, says: way.OfVersion(suspended), took: took})
+func (n *Node) tellRolloutCall(r *catalog.Replica, way ending.Kind, suspended bool, took time.Duration) {
+	n.answered(&rolloutAnswer{replica: r, says: way.ForVersion(suspended), took: took})
 }
 
 // wayOf tells how a call of pieces ended.
-func wayOf(fate pipeline.Fate, results []pipeline.Result) ending.Way {
+func wayOf(fate pipeline.Fate, results []pipeline.Result) ending.Kind {
 	switch fate {
 	case pipeline.Answered:
 		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.PieceError }) {
-			return ending.OwnFailure
+			return ending.Failed
 		}
-		return ending.Whole
+		return ending.Succeeded
 	case pipeline.Refused:
-		return ending.TurnedAway
+		return ending.Refused
 	case pipeline.Stranger:
-		return ending.Stranger
+		return ending.WrongReplica
 	case pipeline.Unreachable:
-		return ending.Unreached
+		return ending.Unreachable
 	case pipeline.Broken:
-		return ending.BrokeOff
+		return ending.ConnectionBroken
 	case pipeline.Crashed: // also where its end was told before the connection broke
-		return ending.Crashed
+		return ending.ReplicaCrashed
 	}
-	return ending.Silent
+	return ending.ResponseTimeout
 }
--- a/coordination/ending/ending.go
+++ b/coordination/ending/ending.go
@@ -8,79 +8,79 @@
 import "quinceroad/coordination/health"
 
 // Way is how a send ended.
-type Way int
+type Kind int
 
 // The ways.
 const (
-	Whole      Way = iota // a whole answer that is no failure
-	OwnFailure            // a whole answer that is the replica's own failure
-	TurnedAway            // the replica says that it did not run the request
-	NoInputs              // the replica says that it does not have what the request reads
-	Stranger              // another replica has the address
-	Unreached             // no connection: nothing was sent
-	BrokeOff              // the connection broke off, or what came was no answer
-	Crashed               // the same, and the replica takes no connections any more
-	LifeOver              // this instance ended it: the replica has started again
-	Silent                // this instance ended it: nothing came for too long
-	TimeUp                // this instance ended it: the request's time was over
-	Left                  // the client has gone
+	Succeeded        Kind = iota // a whole answer that is no failure
+	Failed                       // a whole answer that is the replica's own failure
+	Refused                      // the replica says that it did not run the request
+	MissingInputs                // the replica says that it does not have what the request reads
+	WrongReplica                 // another replica has the address
+	Unreachable                  // no connection: nothing was sent
+	ConnectionBroken             // the connection broke off, or what came was no answer
+	ReplicaCrashed               // the same, and the replica takes no connections any more
+	ReplicaRestarted             // this instance ended it: the replica has started again
+	ResponseTimeout              // this instance ended it: nothing came for too long
+	DeadlineExceeded             // this instance ended it: the request's time was over
+	ClientGone                   // the client has gone
 )
 
 // Version is what an end says of the version of the replica's software.
-type Version int
+type VersionEvidence int
 
 // What an end can say of a version.
 const (
-	Nothing   Version = iota
-	Answer            // one answer, that took its time
-	Failure           // one failure
-	EndOfLife         // the replica's life was over under the request
+	VersionNone       VersionEvidence = iota
+	VersionAnswer                     // one answer, that took its time
+	VersionFailure                    // one failure
+	VersionReplicaEnd                 // the replica's life was over under the request
 )
 
 // Request is what an end says of the request, which may crash its replicas.
-type Request int
+type RequestEvidence int
 
 // What an end can say of a request.
 const (
-	Unsaid   Request = iota
-	Harmless         // it got an answer: it did not crash the replica
-	Blamed           // if the replica ends within seconds, or has ended, it may be to blame
-	Look             // the same, and whether the replica has ended is asked at once
+	RequestNone    RequestEvidence = iota
+	RequestCleared                 // it got an answer: it did not crash the replica
+	RequestBlamed                  // if the replica ends within seconds, or has ended, it may be to blame
+	RequestProbe                   // the same, and whether the replica has ended is asked at once
 )
 
 // Reading is what an end says to each who reads it.
-type Reading struct {
+type Evidence struct {
 	Health  *health.Sign // of the replica; nil: nothing
-	Version Version
-	Request Request
+	Version VersionEvidence
+	Request RequestEvidence
 }
 
 func sign(s health.Sign) *health.Sign { return &s }
 
-var readings = map[Way]Reading{
-	Whole:      {Health: sign(health.Good), Version: Answer, Request: Harmless},
-	OwnFailure: {Health: sign(health.Failure), Version: Failure, Request: Harmless},
-	TurnedAway: {Health: sign(health.Full)},
-	NoInputs:   {},
-	Stranger:   {},
-	Unreached:  {Health: sign(health.Unreachable)},
-	BrokeOff:   {Health: sign(health.Broken), Version: Failure, Request: Look},
-	Crashed:    {Health: sign(health.Broken), Version: EndOfLife, Request: Blamed},
-	LifeOver:   {Version: EndOfLife, Request: Blamed},
-	Silent:     {Health: sign(health.Silent), Version: Failure, Request: Blamed},
-	TimeUp:     {Version: Answer, Request: Blamed},
-	Left:       {Request: Blamed},
+var readings = map[Kind]Evidence{
+	Succeeded:        {Health: sign(health.Good), Version: VersionAnswer, Request: RequestCleared},
+	Failed:           {Health: sign(health.Failure), Version: VersionFailure, Request: RequestCleared},
+	Refused:          {Health: sign(health.Full)},
+	MissingInputs:    {},
+	WrongReplica:     {},
+	Unreachable:      {Health: sign(health.Unreachable)},
+	ConnectionBroken: {Health: sign(health.Broken), Version: VersionFailure, Request: RequestProbe},
+	ReplicaCrashed:   {Health: sign(health.Broken), Version: VersionReplicaEnd, Request: RequestBlamed},
+	ReplicaRestarted: {Version: VersionReplicaEnd, Request: RequestBlamed},
+	ResponseTimeout:  {Health: sign(health.Silent), Version: VersionFailure, Request: RequestBlamed},
+	DeadlineExceeded: {Version: VersionAnswer, Request: RequestBlamed},
+	ClientGone:       {Request: RequestBlamed},
 }
 
 // Reading returns what an end in this way says.
-func (w Way) Reading() Reading { return readings[w] }
+func (w Kind) Evidence() Evidence { return readings[w] }
 
 // OfVersion returns what an end says of a version where this instance's machine was
 // suspended meanwhile: the time that an answer took is not known then.
-func (w Way) OfVersion(suspended bool) Version {
+func (w Kind) ForVersion(suspended bool) VersionEvidence {
 	v := readings[w].Version
-	if v == Answer && suspended {
-		return Nothing
+	if v == VersionAnswer && suspended {
+		return VersionNone
 	}
 	return v
 }
--- a/coordination/ending/ending_test.go
+++ b/coordination/ending/ending_test.go
@@ -12,30 +12,30 @@
 func TestWhatAnEndSays(t *testing.T) {
 	const none = health.Sign(-1)
 	cases := map[string]struct {
-		way     Way
+		way     Kind
 		health  health.Sign
-		version Version
-		request Request
+		version VersionEvidence
+		request RequestEvidence
 	}{
-		"the replica: a whole answer":                         {Whole, health.Good, Answer, Harmless},
-		"the replica: its own failure":                        {OwnFailure, health.Failure, Failure, Harmless},
-		"the replica: turned away":                            {TurnedAway, health.Full, Nothing, Unsaid},
-		"the replica: inputs gone":                            {NoInputs, none, Nothing, Unsaid},
-		"another replica at its address":                      {Stranger, none, Nothing, Unsaid},
-		"the link: no connection":                             {Unreached, health.Unreachable, Nothing, Unsaid},
-		"the replica or the link: broken off":                 {BrokeOff, health.Broken, Failure, Look},
-		"the replica: broken off by its end":                  {Crashed, health.Broken, EndOfLife, Blamed},
-		"this instance, as the next life is told":             {LifeOver, none, EndOfLife, Blamed},
-		"this instance, for the silence":                      {Silent, health.Silent, Failure, Blamed},
-		"this instance, as the time is over: as slow as long": {TimeUp, none, Answer, Blamed},
-		"the client: gone":                                    {Left, none, Nothing, Blamed},
+		"the replica: a whole answer":                         {Succeeded, health.Good, VersionAnswer, RequestCleared},
+		"the replica: its own failure":                        {Failed, health.Failure, VersionFailure, RequestCleared},
+		"the replica: turned away":                            {Refused, health.Full, VersionNone, RequestNone},
+		"the replica: inputs gone":                            {MissingInputs, none, VersionNone, RequestNone},
+		"another replica at its address":                      {WrongReplica, none, VersionNone, RequestNone},
+		"the link: no connection":                             {Unreachable, health.Unreachable, VersionNone, RequestNone},
+		"the replica or the link: broken off":                 {ConnectionBroken, health.Broken, VersionFailure, RequestProbe},
+		"the replica: broken off by its end":                  {ReplicaCrashed, health.Broken, VersionReplicaEnd, RequestBlamed},
+		"this instance, as the next life is told":             {ReplicaRestarted, none, VersionReplicaEnd, RequestBlamed},
+		"this instance, for the silence":                      {ResponseTimeout, health.Silent, VersionFailure, RequestBlamed},
+		"this instance, as the time is over: as slow as long": {DeadlineExceeded, none, VersionAnswer, RequestBlamed},
+		"the client: gone":                                    {ClientGone, none, VersionNone, RequestBlamed},
 	}
-	seen := make(map[Way]bool)
+	seen := make(map[Kind]bool)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			seen[c.way] = true
-			got := c.way.Reading()
+			got := c.way.Evidence()
 			is.Equal(got.Health == nil, c.health == none)
 			if got.Health != nil {
 				is.Equal(*got.Health, c.health)
@@ -52,11 +52,11 @@
 func TestASuspensionIsNoAnswersTime(t *testing.T) {
 	is := is.New(t)
 	for way := range readings {
-		want := way.Reading().Version
-		if want == Answer {
-			want = Nothing
+		want := way.Evidence().Version
+		if want == VersionAnswer {
+			want = VersionNone
 		}
-		is.Equal(way.OfVersion(true), want)
-		is.Equal(way.OfVersion(false), way.Reading().Version)
+		is.Equal(way.ForVersion(true), want)
+		is.Equal(way.ForVersion(false), way.Evidence().Version)
 	}
 }
