--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -140,7 +140,7 @@
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	var out []*pb.SickReplica
-	for id, left := range n.judge.Sick(n.now()) {
+	for id, left := range n.judge.LocallyEjected(n.now()) {
 		for _, word := range n.spokenAll([]string{id}) {
 			if len(out) < mostSickTold {
 				out = append(out, &pb.SickReplica{Id: word, LeftMs: uint32(left.Milliseconds())})
@@ -157,7 +157,7 @@
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	for _, r := range w.all {
-		if n.judge.Paused(now, r.ID) {
+		if n.judge.IsEjected(now, r.ID) {
 			out[r.ID] = true
 		}
 	}
@@ -259,9 +259,9 @@
 		if !ok {
 			continue
 		}
-		before := n.judge.Paused(now, id)
-		n.judge.Hearsay(now, id, time.Duration(s.LeftMs)*time.Millisecond)
-		if !before && n.judge.Paused(now, id) {
+		before := n.judge.IsEjected(now, id)
+		n.judge.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
+		if !before && n.judge.IsEjected(now, id) {
 			fresh = append(fresh, id)
 		}
 	}
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -84,7 +84,7 @@
 	customers  customerCounts // the same
 
 	judgeMu   sync.Mutex
-	judge     *health.Judge
+	judge     *health.Detector
 	loads     *choice.Table
 	rates     map[string]*serviceRates
 	lending   lending
@@ -130,7 +130,7 @@
 		statements: newStatements(),
 		pulse:      newPulse(),
 		spread:     spreadOf(s.Name),
-		judge:      health.New(health.Standard()),
+		judge:      health.New(health.DefaultOptions()),
 		loads:      choice.NewTable(),
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(deadlines),
@@ -269,7 +269,7 @@
 		n.links.Sweep(time.Now())
 		n.judgeMu.Lock()
 		defer n.judgeMu.Unlock()
-		n.judge.Forget(n.now(), forgetAfter)
+		n.judge.Prune(n.now(), forgetAfter)
 		n.loads.Forget(func(id string) bool { return known[id] })
 	})
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -137,7 +137,7 @@
 	for _, r := range able {
 		switch {
 		case s.avoid[r.ID] || s.tried[r.ID]:
-		case s.node.judge.Paused(now, r.ID):
+		case s.node.judge.IsEjected(now, r.ID):
 			sick = append(sick, r)
 		default:
 			fit = append(fit, r)
@@ -207,7 +207,7 @@
 }
 
 // note tells the judge and the load table how an attempt went.
-func (s *serving) note(id string, sign health.Sign) {
+func (s *serving) note(id string, sign health.Signal) {
 	usual := 0.0
 	s.rates(func(r *serviceRates) {
 		failed := 0.0
@@ -220,9 +220,9 @@
 	n := s.node
 	now := n.now()
 	n.judgeMu.Lock()
-	before := n.judge.Paused(now, id)
-	n.judge.Note(now, id, sign, usual)
-	after := n.judge.Paused(now, id)
+	before := n.judge.IsEjected(now, id)
+	n.judge.Record(now, id, sign, usual)
+	after := n.judge.IsEjected(now, id)
 	n.judgeMu.Unlock()
 	switch {
 	case sign == health.Full: // said by the replica with each request
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -136,7 +136,7 @@
 	now, isNew := n.now(), false
 	n.statements.with(func(b *stated.Book) { isNew = b.Rests(now, from.life, length) })
 	n.judgeMu.Lock()
-	n.judge.Rests(now, from.life, length)
+	n.judge.RecordBackoff(now, from.life, length)
 	n.judgeMu.Unlock()
 	if isNew {
 		n.counters.rests.Inc(1)
--- a/coordination/ending/ending.go
+++ b/coordination/ending/ending.go
@@ -50,15 +50,15 @@
 
 // Reading is what an end says to each who reads it.
 type Evidence struct {
-	Health  *health.Sign // of the replica; nil: nothing
+	Health  *health.Signal // of the replica; nil: nothing
 	Version VersionEvidence
 	Request RequestEvidence
 }
 
-func sign(s health.Sign) *health.Sign { return &s }
+func sign(s health.Signal) *health.Signal { return &s }
 
 var readings = map[Kind]Evidence{
-	Succeeded:        {Health: sign(health.Good), Version: VersionAnswer, Request: RequestCleared},
+	Succeeded:        {Health: sign(health.Success), Version: VersionAnswer, Request: RequestCleared},
 	Failed:           {Health: sign(health.Failure), Version: VersionFailure, Request: RequestCleared},
 	Refused:          {Health: sign(health.Full)},
 	MissingInputs:    {},
@@ -67,7 +67,7 @@
 	ConnectionBroken: {Health: sign(health.Broken), Version: VersionFailure, Request: RequestProbe},
 	ReplicaCrashed:   {Health: sign(health.Broken), Version: VersionReplicaEnd, Request: RequestBlamed},
 	ReplicaRestarted: {Version: VersionReplicaEnd, Request: RequestBlamed},
-	ResponseTimeout:  {Health: sign(health.Silent), Version: VersionFailure, Request: RequestBlamed},
+	ResponseTimeout:  {Health: sign(health.Timeout), Version: VersionFailure, Request: RequestBlamed},
 	DeadlineExceeded: {Version: VersionAnswer, Request: RequestBlamed},
 	ClientGone:       {Request: RequestBlamed},
 }
--- a/coordination/ending/ending_test.go
+++ b/coordination/ending/ending_test.go
@@ -10,14 +10,14 @@
 
 // Each way in which a send can end, by who ended it, and what its readers make of it.
 func TestWhatAnEndSays(t *testing.T) {
-	const none = health.Sign(-1)
+	const none = health.Signal(-1)
 	cases := map[string]struct {
 		way     Kind
-		health  health.Sign
+		health  health.Signal
 		version VersionEvidence
 		request RequestEvidence
 	}{
-		"the replica: a whole answer":                         {Succeeded, health.Good, VersionAnswer, RequestCleared},
+		"the replica: a whole answer":                         {Succeeded, health.Success, VersionAnswer, RequestCleared},
 		"the replica: its own failure":                        {Failed, health.Failure, VersionFailure, RequestCleared},
 		"the replica: turned away":                            {Refused, health.Full, VersionNone, RequestNone},
 		"the replica: inputs gone":                            {MissingInputs, none, VersionNone, RequestNone},
@@ -26,7 +26,7 @@
 		"the replica or the link: broken off":                 {ConnectionBroken, health.Broken, VersionFailure, RequestProbe},
 		"the replica: broken off by its end":                  {ReplicaCrashed, health.Broken, VersionReplicaEnd, RequestBlamed},
 		"this instance, as the next life is told":             {ReplicaRestarted, none, VersionReplicaEnd, RequestBlamed},
-		"this instance, for the silence":                      {ResponseTimeout, health.Silent, VersionFailure, RequestBlamed},
+		"this instance, for the silence":                      {ResponseTimeout, health.Timeout, VersionFailure, RequestBlamed},
 		"this instance, as the time is over: as slow as long": {DeadlineExceeded, none, VersionAnswer, RequestBlamed},
 		"the client: gone":                                    {ClientGone, none, VersionNone, RequestBlamed},
 	}
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -13,49 +13,49 @@
 )
 
 // Sign is what one request tells of a replica.
-type Sign int
+type Signal int
 
 // The signs.
 const (
-	Good        Sign = iota // a whole answer that is no failure
-	Failure                 // a whole answer that is a failure of the replica's own
-	Broken                  // the answer broke off or was no answer
-	Unreachable             // no connection
-	Silent                  // no answer within the time it should take
-	Full                    // it says that it is full
+	Success     Signal = iota // a whole answer that is no failure
+	Failure                   // a whole answer that is a failure of the replica's own
+	Broken                    // the answer broke off or was no answer
+	Unreachable               // no connection
+	Timeout                   // no answer within the time it should take
+	Full                      // it says that it is full
 )
 
 // String returns the sign's name for logs.
-func (s Sign) String() string {
+func (s Signal) String() string {
 	return [...]string{"good", "failure", "broken", "unreachable", "silent", "full"}[s]
 }
 
 // Options are the judge's constants.
 type Options struct {
-	PauseFirst  time.Duration // after the first bad sign, doubled by each next: a few usual answers
-	PauseMost   time.Duration // the longest: a replica that is back is missed for no longer
-	Rate        float64       // weight of a new sign in the share of failures
-	MostFails   float64       // share of failures beyond the service's own from which a replica is left alone
-	FullFor     time.Duration // that a replica which says it is full is left alone; a few short answers
-	HearsayMost time.Duration // longest pause taken over from others
-	RestMost    time.Duration // that a replica which wants a rest counts as sick, here and by hearsay: it said so to one instance, and to others it is a hint
+	BaseEjection      time.Duration // after the first bad sign, doubled by each next: a few usual answers
+	MaxEjection       time.Duration // the longest: a replica that is back is missed for no longer
+	FailureWeight     float64       // weight of a new sign in the share of failures
+	MaxExcessFailures float64       // share of failures beyond the service's own from which a replica is left alone
+	FullEjection      time.Duration // that a replica which says it is full is left alone; a few short answers
+	MaxRemoteEjection time.Duration // longest pause taken over from others
+	MaxBackoff        time.Duration // that a replica which wants a rest counts as sick, here and by hearsay: it said so to one instance, and to others it is a hint
 }
 
 // Standard returns the constants in use.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{
-		PauseFirst:  400 * time.Millisecond,
-		PauseMost:   5 * time.Second,
-		Rate:        0.2,
-		MostFails:   0.35,
-		FullFor:     50 * time.Millisecond,
-		HearsayMost: 2 * time.Second,
-		RestMost:    time.Second,
+		BaseEjection:      400 * time.Millisecond,
+		MaxEjection:       5 * time.Second,
+		FailureWeight:     0.2,
+		MaxExcessFailures: 0.35,
+		FullEjection:      50 * time.Millisecond,
+		MaxRemoteEjection: 2 * time.Second,
+		MaxBackoff:        time.Second,
 	}
 }
 
 // Judge is not safe for concurrent use.
-type Judge struct {
+type Detector struct {
 	opts Options
 	rows map[string]*row
 }
@@ -69,9 +69,9 @@
 }
 
 // New returns a judge that thinks well of everyone.
-func New(o Options) *Judge { return &Judge{opts: o, rows: make(map[string]*row)} }
+func New(o Options) *Detector { return &Detector{opts: o, rows: make(map[string]*row)} }
 
-func (j *Judge) row(id string) *row {
+func (j *Detector) row(id string) *row {
 	r := j.rows[id]
 	if r == nil {
 		r = &row{}
@@ -81,52 +81,52 @@
 }
 
 // Note takes in a sign; usual is the share of failures of the whole service.
-func (j *Judge) Note(now time.Duration, id string, s Sign, usual float64) {
+func (j *Detector) Record(now time.Duration, id string, s Signal, usual float64) {
 	r := j.row(id)
 	r.seen = now
 	switch s {
-	case Good:
-		r.fails -= j.opts.Rate * r.fails
+	case Success:
+		r.fails -= j.opts.FailureWeight * r.fails
 		r.pause = 0
 		if r.mine {
 			r.pausedTo = 0
 		}
 	case Failure:
-		r.fails += j.opts.Rate * (1 - r.fails)
+		r.fails += j.opts.FailureWeight * (1 - r.fails)
 	case Full:
-		r.pausedTo = max(r.pausedTo, now+j.opts.FullFor)
+		r.pausedTo = max(r.pausedTo, now+j.opts.FullEjection)
 		return
 	case Broken:
-		r.fails += j.opts.Rate * (1 - r.fails)
-	case Unreachable, Silent:
+		r.fails += j.opts.FailureWeight * (1 - r.fails)
+	case Unreachable, Timeout:
 		j.pauseFor(now, r)
 		return
 	}
-	if r.fails > usual+j.opts.MostFails {
+	if r.fails > usual+j.opts.MaxExcessFailures {
 		j.pauseFor(now, r)
-		r.fails = usual + j.opts.MostFails/2
+		r.fails = usual + j.opts.MaxExcessFailures/2
 	}
 }
 
 // Rests takes in that a replica wants nothing for so long.
-func (j *Judge) Rests(now time.Duration, id string, length time.Duration) {
+func (j *Detector) RecordBackoff(now time.Duration, id string, length time.Duration) {
 	r := j.row(id)
 	r.seen = now
-	r.pausedTo = max(r.pausedTo, now+min(length, j.opts.RestMost))
+	r.pausedTo = max(r.pausedTo, now+min(length, j.opts.MaxBackoff))
 	r.mine = true
 }
 
-func (j *Judge) pauseFor(now time.Duration, r *row) {
-	r.pause = min(max(2*r.pause, j.opts.PauseFirst), j.opts.PauseMost)
+func (j *Detector) pauseFor(now time.Duration, r *row) {
+	r.pause = min(max(2*r.pause, j.opts.BaseEjection), j.opts.MaxEjection)
 	r.pausedTo = now + r.pause
 	r.mine = true
 }
 
 // Hearsay takes in that another instance leaves a replica alone for so long.
-func (j *Judge) Hearsay(now time.Duration, id string, left time.Duration) {
+func (j *Detector) RecordRemoteEjection(now time.Duration, id string, left time.Duration) {
 	r := j.row(id)
 	r.seen = now
-	until := now + min(left, j.opts.HearsayMost)
+	until := now + min(left, j.opts.MaxRemoteEjection)
 	if until > r.pausedTo {
 		r.pausedTo = until
 		r.mine = false
@@ -134,13 +134,13 @@
 }
 
 // Paused reports whether a replica is to be left alone.
-func (j *Judge) Paused(now time.Duration, id string) bool {
+func (j *Detector) IsEjected(now time.Duration, id string) bool {
 	r := j.rows[id]
 	return r != nil && now < r.pausedTo
 }
 
 // Sick returns the replicas left alone by own evidence, and for how much longer.
-func (j *Judge) Sick(now time.Duration) map[string]time.Duration {
+func (j *Detector) LocallyEjected(now time.Duration) map[string]time.Duration {
 	out := make(map[string]time.Duration)
 	for id, r := range j.rows {
 		if r.mine && now < r.pausedTo {
@@ -151,7 +151,7 @@
 }
 
 // Forget drops what was not seen for so long.
-func (j *Judge) Forget(now, after time.Duration) {
+func (j *Detector) Prune(now, after time.Duration) {
 	for id, r := range j.rows {
 		if now-r.seen > after {
 			delete(j.rows, id)
