--- a/coordination/ending/ending.go
+++ b/coordination/ending/ending.go
@@ -1,84 +1,86 @@
-// Package ending tells what each way in which a send to a replica can end says:
-// of the replica, of its version in a roll-out, and of the request.
+// Package ending classifies how an attempt at a replica ended, and what each kind of
+// end is evidence of: for the replica's health, for its version in a rollout, and for
+// the request.
 //
-// Who ended it decides. What this instance, the client, a cut or the end of the
-// replica's life ended is not the replica's answer, and must not be taken for one.
+// The classification depends on who ended the attempt. An attempt ended by this
+// instance, the client, a broken connection or the end of the replica's incarnation
+// has no answer of the replica and must not be treated as one.
 package ending
 
 import "quinceroad/coordination/health"
 
-// Way is how a send ended.
+// Kind is how an attempt ended.
 type Kind int
 
-// The ways.
+// The kinds of end.
 const (
-	Succeeded        Kind = iota // a whole answer that is no failure
-	Failed                       // a whole answer that is the replica's own failure
-	Refused                      // the replica says that it did not run the request
-	MissingInputs                // the replica says that it does not have what the request reads
-	WrongReplica                 // another replica has the address
-	Unreachable                  // no connection: nothing was sent
-	ConnectionBroken             // the connection broke off, or what came was no answer
-	ReplicaCrashed               // the same, and the replica takes no connections any more
-	ReplicaRestarted             // this instance ended it: the replica has started again
-	ResponseTimeout              // this instance ended it: nothing came for too long
-	DeadlineExceeded             // this instance ended it: the request's time was over
-	ClientGone                   // the client has gone
+	Succeeded        Kind = iota // a complete answer that is not a failure
+	Failed                       // a complete answer that reports a failure of the replica itself
+	Refused                      // the replica reports that it did not run the request
+	MissingInputs                // the replica reports that it lacks the request's inputs
+	WrongReplica                 // another replica answered at the address
+	Unreachable                  // no connection, nothing was sent
+	ConnectionBroken             // the connection broke, or the answer was invalid
+	ReplicaCrashed               // the same, and the replica accepts no more connections
+	ReplicaRestarted             // ended by this instance: the replica has restarted
+	ResponseTimeout              // ended by this instance: no data for too long
+	DeadlineExceeded             // ended by this instance: the request's deadline passed
+	ClientGone                   // the client closed its connection
 )
 
-// Version is what an end says of the version of the replica's software.
+// VersionEvidence is what an end means for the version of the replica's software.
 type VersionEvidence int
 
-// What an end can say of a version.
+// The kinds of evidence about a version.
 const (
 	VersionNone       VersionEvidence = iota
-	VersionAnswer                     // one answer, that took its time
+	VersionAnswer                     // one answer with its response time
 	VersionFailure                    // one failure
-	VersionReplicaEnd                 // the replica's life was over under the request
+	VersionReplicaEnd                 // the replica's incarnation ended during the request
 )
 
-// Request is what an end says of the request, which may crash its replicas.
+// RequestEvidence is what an end means for the request, which may crash its replicas.
 type RequestEvidence int
 
-// What an end can say of a request.
+// The kinds of evidence about a request.
 const (
 	RequestNone    RequestEvidence = iota
-	RequestCleared                 // it got an answer: it did not crash the replica
-	RequestBlamed                  // if the replica ends within seconds, or has ended, it may be to blame
-	RequestProbe                   // the same, and whether the replica has ended is asked at once
+	RequestCleared                 // it got an answer, so it did not crash the replica
+	RequestBlamed                  // it may be the cause if the replica has ended or ends within seconds
+	RequestProbe                   // the same, and the replica is probed at once to find out whether it has ended
 )
 
-// Reading is what an end says to each who reads it.
+// Evidence is what an end means for the replica's health, its version and the request.
 type Evidence struct {
-	Health  *health.Signal // of the replica; nil: nothing
+	Health  *health.Signal // nil: no evidence about the replica's health
 	Version VersionEvidence
 	Request RequestEvidence
 }
 
-func sign(s health.Signal) *health.Signal { return &s }
+func signal(s health.Signal) *health.Signal { return &s }
 
-var readings = map[Kind]Evidence{
-	Succeeded:        {Health: sign(health.Success), Version: VersionAnswer, Request: RequestCleared},
-	Failed:           {Health: sign(health.Failure), Version: VersionFailure, Request: RequestCleared},
-	Refused:          {Health: sign(health.Full)},
+var evidence = map[Kind]Evidence{
+	Succeeded:        {Health: signal(health.Success), Version: VersionAnswer, Request: RequestCleared},
+	Failed:           {Health: signal(health.Failure), Version: VersionFailure, Request: RequestCleared},
+	Refused:          {Health: signal(health.Full)},
 	MissingInputs:    {},
 	WrongReplica:     {},
-	Unreachable:      {Health: sign(health.Unreachable)},
-	ConnectionBroken: {Health: sign(health.Broken), Version: VersionFailure, Request: RequestProbe},
-	ReplicaCrashed:   {Health: sign(health.Broken), Version: VersionReplicaEnd, Request: RequestBlamed},
+	Unreachable:      {Health: signal(health.Unreachable)},
+	ConnectionBroken: {Health: signal(health.Broken), Version: VersionFailure, Request: RequestProbe},
+	ReplicaCrashed:   {Health: signal(health.Broken), Version: VersionReplicaEnd, Request: RequestBlamed},
 	ReplicaRestarted: {Version: VersionReplicaEnd, Request: RequestBlamed},
-	ResponseTimeout:  {Health: sign(health.Timeout), Version: VersionFailure, Request: RequestBlamed},
+	ResponseTimeout:  {Health: signal(health.Timeout), Version: VersionFailure, Request: RequestBlamed},
 	DeadlineExceeded: {Version: VersionAnswer, Request: RequestBlamed},
 	ClientGone:       {Request: RequestBlamed},
 }
 
-// Reading returns what an end in this way says.
-func (w Kind) Evidence() Evidence { return readings[w] }
+// Evidence returns what an end of this kind means.
+func (k Kind) Evidence() Evidence { return evidence[k] }
 
-// OfVersion returns what an end says of a version where this instance's machine was
-// suspended meanwhile: the time that an answer took is not known then.
-func (w Kind) ForVersion(suspended bool) VersionEvidence {
-	v := readings[w].Version
+// ForVersion returns what an end means for the version. If this instance was suspended
+// during the attempt the response time is unknown, so an answer is no evidence.
+func (k Kind) ForVersion(suspended bool) VersionEvidence {
+	v := evidence[k].Version
 	if v == VersionAnswer && suspended {
 		return VersionNone
 	}
--- a/coordination/ending/ending_test.go
+++ b/coordination/ending/ending_test.go
@@ -8,11 +8,11 @@
 	"quinceroad/coordination/health"
 )
 
-// Each way in which a send can end, by who ended it, and what its readers make of it.
-func TestWhatAnEndSays(t *testing.T) {
+// Covers each kind of end, by who ended the attempt, and the evidence it yields.
+func TestEvidenceOfEachKind(t *testing.T) {
 	const none = health.Signal(-1)
 	cases := map[string]struct {
-		way     Kind
+		kind    Kind
 		health  health.Signal
 		version VersionEvidence
 		request RequestEvidence
@@ -34,8 +34,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			seen[c.way] = true
-			got := c.way.Evidence()
+			seen[c.kind] = true
+			got := c.kind.Evidence()
 			is.Equal(got.Health == nil, c.health == none)
 			if got.Health != nil {
 				is.Equal(*got.Health, c.health)
@@ -44,19 +44,19 @@
 			is.Equal(got.Request, c.request)
 		})
 	}
-	is.New(t).Equal(len(seen), len(readings)) // no way without its row
+	is.New(t).Equal(len(seen), len(evidence)) // each kind has a case
 }
 
-// An instance that was suspended does not know how long an answer took; a failure is
-// one all the same.
-func TestASuspensionIsNoAnswersTime(t *testing.T) {
+// An instance that was suspended during an attempt does not know how long the answer
+// took; a failure still counts.
+func TestSuspensionHidesResponseTime(t *testing.T) {
 	is := is.New(t)
-	for way := range readings {
-		want := way.Evidence().Version
+	for kind := range evidence {
+		want := kind.Evidence().Version
 		if want == VersionAnswer {
 			want = VersionNone
 		}
-		is.Equal(way.ForVersion(true), want)
-		is.Equal(way.ForVersion(false), way.Evidence().Version)
+		is.Equal(kind.ForVersion(true), want)
+		is.Equal(kind.ForVersion(false), kind.Evidence().Version)
 	}
 }
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -1,47 +1,47 @@
-// Package health judges replicas by what became of the requests sent to them.
+// Package health detects outliers among replicas by the outcomes of the requests sent
+// to them (passive health checking).
 //
-// A replica that can't be reached, or whose answers keep breaking off, is left
-// alone for a pause that doubles; then one request tries it again. A replica
-// that fails far more of its requests than the others of its service do is
-// left alone too, however good its own health check looks. Never more than
-// half of a service is left alone on such evidence: when all seem sick, the
-// cause is elsewhere.
+// A replica that can't be reached, or whose answers keep breaking off, is ejected for
+// a time that doubles with each further ejection; afterwards one request probes it. A
+// replica with a far higher failure rate than its service is ejected too, whatever its
+// own health check reports. Callers must not eject more than half of a service on such
+// evidence: if all replicas look bad, the cause is elsewhere.
 package health
 
 import (
 	"time"
 )
 
-// Sign is what one request tells of a replica.
+// Signal is the outcome of one request as evidence about a replica's health.
 type Signal int
 
-// The signs.
+// The signals.
 const (
-	Success     Signal = iota // a whole answer that is no failure
-	Failure                   // a whole answer that is a failure of the replica's own
-	Broken                    // the answer broke off or was no answer
-	Unreachable               // no connection
-	Timeout                   // no answer within the time it should take
-	Full                      // it says that it is full
+	Success     Signal = iota // a complete answer that is not a failure
+	Failure                   // a complete answer that reports a failure of the replica itself
+	Broken                    // the answer broke off or was invalid
+	Unreachable               // no connection could be made
+	Timeout                   // no answer in the expected time
+	Full                      // the replica reports that it is at capacity
 )
 
-// String returns the sign's name for logs.
+// String returns the signal's name for logs.
 func (s Signal) String() string {
 	return [...]string{"good", "failure", "broken", "unreachable", "silent", "full"}[s]
 }
 
-// Options are the judge's constants.
+// Options are the settings of a Detector.
 type Options struct {
-	BaseEjection      time.Duration // after the first bad sign, doubled by each next: a few usual answers
-	MaxEjection       time.Duration // the longest: a replica that is back is missed for no longer
-	FailureWeight     float64       // weight of a new sign in the share of failures
-	MaxExcessFailures float64       // share of failures beyond the service's own from which a replica is left alone
-	FullEjection      time.Duration // that a replica which says it is full is left alone; a few short answers
-	MaxRemoteEjection time.Duration // longest pause taken over from others
-	MaxBackoff        time.Duration // that a replica which wants a rest counts as sick, here and by hearsay: it said so to one instance, and to others it is a hint
+	BaseEjection      time.Duration // after the first bad signal, doubled by each further one: a few typical response times
+	MaxEjection       time.Duration // upper bound: limits how long a recovered replica stays unused
+	FailureWeight     float64       // weight of a new signal in the failure rate
+	MaxExcessFailures float64       // excess of a replica's failure rate over its service's from which it is ejected
+	FullEjection      time.Duration // for a replica at capacity: a few short response times
+	MaxRemoteEjection time.Duration // longest ejection adopted from other instances
+	MaxBackoff        time.Duration // longest ejection for a backoff that a replica asked for. It asked one instance; for the others this is only a hint
 }
 
-// Standard returns the constants in use.
+// DefaultOptions returns the settings used in production.
 func DefaultOptions() Options {
 	return Options{
 		BaseEjection:      400 * time.Millisecond,
@@ -54,107 +54,110 @@
 	}
 }
 
-// Judge is not safe for concurrent use.
+// Detector tracks the health of replicas. It is not safe for concurrent use.
 type Detector struct {
-	opts Options
-	rows map[string]*row
+	opts     Options
+	replicas map[string]*replica
 }
 
-type row struct {
-	pausedTo time.Duration
-	pause    time.Duration
-	fails    float64 // share of failures, lately
-	mine     bool    // the pause comes from own evidence
-	seen     time.Duration
+type replica struct {
+	ejectedUntil time.Duration
+	ejection     time.Duration
+	failureRate  float64 // moving average of the share of failures
+	isLocal      bool    // ejected by this instance's own evidence
+	lastRecord   time.Duration
 }
 
-// New returns a judge that thinks well of everyone.
-func New(o Options) *Detector { return &Detector{opts: o, rows: make(map[string]*row)} }
+// New returns a detector that has ejected no replica.
+func New(o Options) *Detector { return &Detector{opts: o, replicas: make(map[string]*replica)} }
 
-func (j *Detector) row(id string) *row {
-	r := j.rows[id]
+func (d *Detector) replicaFor(id string) *replica {
+	r := d.replicas[id]
 	if r == nil {
-		r = &row{}
-		j.rows[id] = r
+		r = &replica{}
+		d.replicas[id] = r
 	}
 	return r
 }
 
-// Note takes in a sign; usual is the share of failures of the whole service.
-func (j *Detector) Record(now time.Duration, id string, s Signal, usual float64) {
-	r := j.row(id)
-	r.seen = now
+// Record records a signal about a replica; serviceRate is the failure rate of its
+// whole service.
+func (d *Detector) Record(now time.Duration, id string, s Signal, serviceRate float64) {
+	r := d.replicaFor(id)
+	r.lastRecord = now
 	switch s {
 	case Success:
-		r.fails -= j.opts.FailureWeight * r.fails
-		r.pause = 0
-		if r.mine {
-			r.pausedTo = 0
+		r.failureRate -= d.opts.FailureWeight * r.failureRate
+		r.ejection = 0
+		if r.isLocal {
+			r.ejectedUntil = 0
 		}
 	case Failure:
-		r.fails += j.opts.FailureWeight * (1 - r.fails)
+		r.failureRate += d.opts.FailureWeight * (1 - r.failureRate)
 	case Full:
-		r.pausedTo = max(r.pausedTo, now+j.opts.FullEjection)
+		r.ejectedUntil = max(r.ejectedUntil, now+d.opts.FullEjection)
 		return
 	case Broken:
-		r.fails += j.opts.FailureWeight * (1 - r.fails)
+		r.failureRate += d.opts.FailureWeight * (1 - r.failureRate)
 	case Unreachable, Timeout:
-		j.pauseFor(now, r)
+		d.eject(now, r)
 		return
 	}
-	if r.fails > usual+j.opts.MaxExcessFailures {
-		j.pauseFor(now, r)
-		r.fails = usual + j.opts.MaxExcessFailures/2
+	if r.failureRate > serviceRate+d.opts.MaxExcessFailures {
+		d.eject(now, r)
+		r.failureRate = serviceRate + d.opts.MaxExcessFailures/2
 	}
 }
 
-// Rests takes in that a replica wants nothing for so long.
-func (j *Detector) RecordBackoff(now time.Duration, id string, length time.Duration) {
-	r := j.row(id)
-	r.seen = now
-	r.pausedTo = max(r.pausedTo, now+min(length, j.opts.MaxBackoff))
-	r.mine = true
+// RecordBackoff ejects a replica that asked for a backoff, for at most MaxBackoff.
+func (d *Detector) RecordBackoff(now time.Duration, id string, backoff time.Duration) {
+	r := d.replicaFor(id)
+	r.lastRecord = now
+	r.ejectedUntil = max(r.ejectedUntil, now+min(backoff, d.opts.MaxBackoff))
+	r.isLocal = true
 }
 
-func (j *Detector) pauseFor(now time.Duration, r *row) {
-	r.pause = min(max(2*r.pause, j.opts.BaseEjection), j.opts.MaxEjection)
-	r.pausedTo = now + r.pause
-	r.mine = true
+func (d *Detector) eject(now time.Duration, r *replica) {
+	r.ejection = min(max(2*r.ejection, d.opts.BaseEjection), d.opts.MaxEjection)
+	r.ejectedUntil = now + r.ejection
+	r.isLocal = true
 }
 
-// Hearsay takes in that another instance leaves a replica alone for so long.
-func (j *Detector) RecordRemoteEjection(now time.Duration, id string, left time.Duration) {
-	r := j.row(id)
-	r.seen = now
-	until := now + min(left, j.opts.MaxRemoteEjection)
-	if until > r.pausedTo {
-		r.pausedTo = until
-		r.mine = false
+// RecordRemoteEjection adopts another instance's ejection of a replica with its
+// remaining time, at most MaxRemoteEjection.
+func (d *Detector) RecordRemoteEjection(now time.Duration, id string, remaining time.Duration) {
+	r := d.replicaFor(id)
+	r.lastRecord = now
+	until := now + min(remaining, d.opts.MaxRemoteEjection)
+	if until > r.ejectedUntil {
+		r.ejectedUntil = until
+		r.isLocal = false
 	}
 }
 
-// Paused reports whether a replica is to be left alone.
-func (j *Detector) IsEjected(now time.Duration, id string) bool {
-	r := j.rows[id]
-	return r != nil && now < r.pausedTo
+// IsEjected reports whether a replica is ejected now.
+func (d *Detector) IsEjected(now time.Duration, id string) bool {
+	r := d.replicas[id]
+	return r != nil && now < r.ejectedUntil
 }
 
-// Sick returns the replicas left alone by own evidence, and for how much longer.
-func (j *Detector) LocallyEjected(now time.Duration) map[string]time.Duration {
+// LocallyEjected returns the remaining ejection times of the replicas ejected by this
+// instance's own evidence.
+func (d *Detector) LocallyEjected(now time.Duration) map[string]time.Duration {
 	out := make(map[string]time.Duration)
-	for id, r := range j.rows {
-		if r.mine && now < r.pausedTo {
-			out[id] = r.pausedTo - now
+	for id, r := range d.replicas {
+		if r.isLocal && now < r.ejectedUntil {
+			out[id] = r.ejectedUntil - now
 		}
 	}
 	return out
 }
 
-// Forget drops what was not seen for so long.
-func (j *Detector) Prune(now, after time.Duration) {
-	for id, r := range j.rows {
-		if now-r.seen > after {
-			delete(j.rows, id)
+// Prune drops replicas without a record for longer than after.
+func (d *Detector) Prune(now, after time.Duration) {
+	for id, r := range d.replicas {
+		if now-r.lastRecord > after {
+			delete(d.replicas, id)
 		}
 	}
 }
