--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -4,8 +4,8 @@
 // A replica that can't be reached, or whose answers keep breaking off, is ejected for
 // a time that doubles with each further ejection; afterwards one request probes it. A
 // replica with a far higher failure rate than its service is ejected too, whatever its
-// own health check reports. Callers must not eject more than half of a service on such
-// evidence: if all replicas look bad, the cause is elsewhere.
+// own health check reports. Callers ignore ejections when they would leave less than
+// half of a service in use: if most replicas look bad, the cause is elsewhere.
 package health
 
 import (
