--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -42,17 +42,17 @@
 // allowsCold reports whether this instance may send a request to a cold replica of
 // a plain service now, given who takes requests; count counts it.
 func (n *Node) allowsCold(now time.Duration, s *catalog.Service, id string, instances []string, count bool) bool {
-	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.Most(s.WarmUp.PerSecond))
+	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.MaxPerSender(s.WarmUp.PerSecond))
 	if quota == 0 {
 		return false
 	}
 	n.cold.mu.Lock()
 	defer n.cold.mu.Unlock()
-	if n.cold.window.Free(now, id, quota) > now {
+	if n.cold.window.NextAllowed(now, id, quota) > now {
 		return false
 	}
 	if count {
-		n.cold.window.Sent(now, id)
+		n.cold.window.Record(now, id)
 	}
 	return true
 }
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -170,7 +170,7 @@
 		items = append(items, x.item(now))
 	}
 	if p.most > 0 && now < r.ColdUntil {
-		p.sent.Sent(now, r.ID)
+		p.sent.Record(now, r.ID)
 	}
 	if r.turnGap > 0 {
 		s.opts.Turns.Spend(now, r.ID)
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -192,7 +192,7 @@
 		p.def = *service.Pool
 		p.most = 0
 		if service.WarmUp != nil {
-			p.most = s.opts.Cold.Most(service.WarmUp.PerSecond)
+			p.most = s.opts.Cold.MaxPerSender(service.WarmUp.PerSecond)
 		}
 	}
 	slices.SortFunc(s.order, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -99,7 +99,7 @@
 
 // warm reports whether a replica is, or may get one more call while it is cold.
 func (p *pool) warm(now time.Duration, r *replica) bool {
-	return p.most == 0 || now >= r.ColdUntil || p.sent.Free(now, r.ID, p.most) <= now
+	return p.most == 0 || now >= r.ColdUntil || p.sent.NextAllowed(now, r.ID, p.most) <= now
 }
 
 // soon is how long a replica may be left alone and still count as capacity: it
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -118,7 +118,7 @@
 		e.slots = s.Engine.Slots
 		e.most = 0
 		if s.WarmUp != nil {
-			e.most = t.cold.Most(s.WarmUp.PerSecond)
+			e.most = t.cold.MaxPerSender(s.WarmUp.PerSecond)
 		}
 		e.memory = int(s.Engine.MemoryTokens)
 		e.speed = t.speed(r.Service)
@@ -260,7 +260,7 @@
 
 // warm reports whether an engine is, or may get one more request while it is cold.
 func (t *Table) warm(now time.Duration, e *engine) bool {
-	return e.most == 0 || now >= e.ColdUntil || t.sent.Free(now, e.ID, e.most) <= now
+	return e.most == 0 || now >= e.ColdUntil || t.sent.NextAllowed(now, e.ID, e.most) <= now
 }
 
 // spread takes requests that follow each other far apart.
--- a/coordination/placement/runs.go
+++ b/coordination/placement/runs.go
@@ -37,7 +37,7 @@
 	e.usual = e.usually(now, o) + reads.Seconds()/o.UsualFor.Seconds()
 	e.reading++
 	if e.most > 0 && n.cold {
-		t.sent.Sent(now, e.ID)
+		t.sent.Record(now, e.ID)
 	}
 	if t.turns != nil && t.turns.Any() {
 		t.turns.Spend(now, e.ID)
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -33,7 +33,7 @@
 // Most returns how many requests one who counts may send to a cold replica in
 // any second, when it carries so many: no more than that, and no more than its
 // part of what is allowed; one at least, so that no service is shut out.
-func (l Limit) Most(carries float64) int {
+func (l Limit) MaxPerSender(carries float64) int {
 	allowed := carries*l.Overrun + l.Slack
 	return max(int(math.Floor(min(carries, allowed/deciders))), 1)
 }
@@ -51,7 +51,7 @@
 
 // Free returns when one more request may go to a replica that gets most in any
 // second: now, or later.
-func (w *Window) Free(now time.Duration, replica string, most int) time.Duration {
+func (w *Window) NextAllowed(now time.Duration, replica string, most int) time.Duration {
 	sent := w.recent(now, replica)
 	if len(sent) < most {
 		return now
@@ -60,7 +60,7 @@
 }
 
 // Sent counts a request.
-func (w *Window) Sent(now time.Duration, replica string) {
+func (w *Window) Record(now time.Duration, replica string) {
 	w.sent[replica] = append(w.recent(now, replica), now)
 	for id := range w.sent { // who is warm by now is not asked for any more
 		if len(w.recent(now, id)) == 0 {
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -36,14 +36,14 @@
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond
 			w := rapid.SampledFrom(owners).Draw(t, "owner")
-			free := w.Free(now, "r", l.Most(carries))
+			free := w.NextAllowed(now, "r", l.MaxPerSender(carries))
 			if free > now {
-				if w.Free(free, "r", l.Most(carries)) > free {
+				if w.NextAllowed(free, "r", l.MaxPerSender(carries)) > free {
 					t.Fatalf("not free at %v, when it said that it would be", free)
 				}
 				continue
 			}
-			w.Sent(now, "r")
+			w.Record(now, "r")
 			sent = append(sent, now)
 		}
 		if got, allowed := most(sent), carries*l.Overrun+l.Slack; float64(got) > allowed {
@@ -64,7 +64,7 @@
 			names = append(names, fmt.Sprint("i", i))
 		}
 		others := names[rapid.IntRange(0, n/2).Draw(t, "lost"):]
-		all := l.Most(carries)
+		all := l.MaxPerSender(carries)
 		sum, either := 0, 0
 		for _, name := range names {
 			q := Quota(name, names, "r", all)
@@ -82,9 +82,9 @@
 
 func TestAServiceIsNeverShutOut(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Limit{}.Most(0.1), 1)
-	is.Equal(Limit{Overrun: 1.5, Slack: 5}.Most(6.7), 6)
-	is.Equal(Limit{Overrun: 1.5, Slack: 5}.Most(100), 77)
+	is.Equal(Limit{}.MaxPerSender(0.1), 1)
+	is.Equal(Limit{Overrun: 1.5, Slack: 5}.MaxPerSender(6.7), 6)
+	is.Equal(Limit{Overrun: 1.5, Slack: 5}.MaxPerSender(100), 77)
 	is.Equal(Quota("a", []string{"a"}, "r", 6), 6)
 	is.Equal(Quota("x", []string{"a"}, "r", 6), 0)
 	is.Equal(Quota("a", nil, "r", 6), 0)
