--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -33,7 +33,7 @@
 		return 0
 	}
 	until := row.coldUntil
-	if at, ok := n.emptied.Returned(row.replica.Hall); ok {
+	if at, ok := n.emptied.ReturnedAt(row.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.For)
 	}
 	return until
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -20,7 +20,7 @@
 	}
 	n.publish()
 	for _, c := range changes {
-		if c.Emptied {
+		if c.Drained {
 			n.counters.emptied.Inc(1)
 			event.NodeHallEmptied.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
 			continue
@@ -36,11 +36,11 @@
 // emptiedNews is what this instance tells others of the halls.
 func (n *Node) emptiedNews() *pb.Evacuations {
 	n.followMu.Lock()
-	news := n.emptied.News(n.now())
+	news := n.emptied.Update(n.now())
 	n.followMu.Unlock()
-	out := &pb.Evacuations{Revision: news.Revision, Emptied: news.Emptied}
+	out := &pb.Evacuations{Revision: news.Revision, Emptied: news.Drained}
 	for _, r := range news.Returned {
-		out.Returned = append(out.Returned, &pb.ReturnedHall{Hall: r.Hall, AgoMs: uint32(r.Ago.Milliseconds())})
+		out.Returned = append(out.Returned, &pb.ReturnedHall{Hall: r.Hall, AgoMs: uint32(r.Age.Milliseconds())})
 	}
 	return out
 }
@@ -50,11 +50,11 @@
 	if e == nil {
 		return
 	}
-	news := evacuation.News{Revision: e.Revision, Emptied: e.Emptied}
+	news := evacuation.Update{Revision: e.Revision, Drained: e.Emptied}
 	for _, r := range e.Returned {
-		news.Returned = append(news.Returned, evacuation.Return{Hall: r.Hall, Ago: time.Duration(r.AgoMs) * time.Millisecond})
+		news.Returned = append(news.Returned, evacuation.Return{Hall: r.Hall, Age: time.Duration(r.AgoMs) * time.Millisecond})
 	}
-	n.empty(from, func(now time.Duration, v *evacuation.View) []evacuation.Change { return v.Take(now, news) })
+	n.empty(from, func(now time.Duration, v *evacuation.View) []evacuation.Change { return v.Merge(now, news) })
 }
 
 // replicaTakes reports whether a replica may get new work, by what is known now.
@@ -65,5 +65,5 @@
 		return false
 	}
 	row, known := n.replicas.lives[id]
-	return !known || row.replica.Takes() && !n.emptied.Emptied(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
+	return !known || row.replica.Takes() && !n.emptied.IsDrained(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
 }
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -161,7 +161,7 @@
 			r.Leaving = true
 		}
 		r.Region = n.places.Of(r.Hall)
-		r.Emptied = n.emptied.Emptied(r.Hall)
+		r.Emptied = n.emptied.IsDrained(r.Hall)
 		r.ColdUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
 		if r.Born != 0 {
--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -24,20 +24,20 @@
 // Return is a hall that was taken back.
 type Return struct {
 	Hall string
-	Ago  time.Duration
+	Age  time.Duration
 }
 
 // News is a view as instances tell it each other.
-type News struct {
+type Update struct {
 	Revision uint64 // of the store, at which the view was true; 0: nothing is known
-	Emptied  []string
+	Drained  []string
 	Returned []Return // lately, so that who starts knows it too
 }
 
 // Change is a hall whose evacuation begins or ends.
 type Change struct {
 	Hall    string
-	Emptied bool
+	Drained bool
 }
 
 // View is what an instance knows. It is not safe for concurrent use.
@@ -56,13 +56,13 @@
 func (v *View) Revision() uint64 { return v.revision }
 
 // Emptied reports whether a hall is being emptied.
-func (v *View) Emptied(hall string) bool { return v.emptied[hall] }
+func (v *View) IsDrained(hall string) bool { return v.emptied[hall] }
 
 // Halls returns the halls that are being emptied, by name.
 func (v *View) Halls() []string { return slices.Sorted(maps.Keys(v.emptied)) }
 
 // Returned returns when a hall was taken back, if it was lately.
-func (v *View) Returned(hall string) (time.Duration, bool) {
+func (v *View) ReturnedAt(hall string) (time.Duration, bool) {
 	at, ok := v.returned[hall]
 	return at, ok
 }
@@ -97,11 +97,11 @@
 }
 
 // Take takes in what another instance tells.
-func (v *View) Take(now time.Duration, n News) []Change {
-	changes := v.Replace(now, n.Emptied, n.Revision)
+func (v *View) Merge(now time.Duration, n Update) []Change {
+	changes := v.Replace(now, n.Drained, n.Revision)
 	for _, r := range n.Returned {
-		if _, known := v.returned[r.Hall]; !known && !v.emptied[r.Hall] && r.Ago < tellFor {
-			v.returned[r.Hall] = now - r.Ago
+		if _, known := v.returned[r.Hall]; !known && !v.emptied[r.Hall] && r.Age < tellFor {
+			v.returned[r.Hall] = now - r.Age
 		}
 	}
 	return changes
@@ -111,7 +111,7 @@
 	var out []Change
 	for hall := range next {
 		if !v.emptied[hall] {
-			out = append(out, Change{Hall: hall, Emptied: true})
+			out = append(out, Change{Hall: hall, Drained: true})
 			delete(v.returned, hall)
 		}
 	}
@@ -136,15 +136,15 @@
 const tellFor = time.Minute
 
 // News returns the view for others.
-func (v *View) News(now time.Duration) News {
-	n := News{Revision: v.revision, Emptied: v.Halls()}
+func (v *View) Update(now time.Duration) Update {
+	n := Update{Revision: v.revision, Drained: v.Halls()}
 	for _, hall := range slices.Sorted(maps.Keys(v.returned)) {
 		ago := now - v.returned[hall]
 		if ago >= tellFor {
 			delete(v.returned, hall)
 			continue
 		}
-		n.Returned = append(n.Returned, Return{Hall: hall, Ago: ago})
+		n.Returned = append(n.Returned, Return{Hall: hall, Age: ago})
 	}
 	return n
 }
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -59,7 +59,7 @@
 		for i := range views {
 			views[i] = New()
 		}
-		var sent []News // any of which may still come, again and again
+		var sent []Update // any of which may still come, again and again
 		now := time.Duration(0)
 		check := func(i int, before uint64) {
 			v := views[i]
@@ -94,7 +94,7 @@
 			},
 			"tell": func(t *rapid.T) {
 				now += time.Millisecond
-				sent = append(sent, views[who.Draw(t, "who")].News(now))
+				sent = append(sent, views[who.Draw(t, "who")].Update(now))
 			},
 			"hear": func(t *rapid.T) {
 				if len(sent) == 0 {
@@ -102,14 +102,14 @@
 				}
 				i := who.Draw(t, "who")
 				before := views[i].Revision()
-				views[i].Take(now, rapid.SampledFrom(sent).Draw(t, "news"))
+				views[i].Merge(now, rapid.SampledFrom(sent).Draw(t, "news"))
 				check(i, before)
 			},
 			"restart": func(t *rapid.T) { views[who.Draw(t, "who")] = New() },
 		})
 		views[0].Replace(now, s.past[s.revision], s.revision)
 		for i := range views {
-			views[i].Take(now, views[0].News(now))
+			views[i].Merge(now, views[0].Update(now))
 			if !slices.Equal(views[i].Halls(), s.past[s.revision]) {
 				t.Fatalf("instance %d holds %v in the end, not %v", i, views[i].Halls(), s.past[s.revision])
 			}
@@ -135,18 +135,18 @@
 	a.Replace(0, []string{"h"}, 1)
 	a.Replace(10*time.Second, nil, 2)
 	b := New()
-	b.Take(time.Second, a.News(12*time.Second)) // whose clock began later
-	at, ok := b.Returned("h")
+	b.Merge(time.Second, a.Update(12*time.Second)) // whose clock began later
+	at, ok := b.ReturnedAt("h")
 	is.True(ok)
 	is.Equal(at, -time.Second)
 	for i := range 50 {
-		b.Take(time.Duration(i)*time.Second, News{Revision: 2, Returned: []Return{{"h", time.Second}}})
+		b.Merge(time.Duration(i)*time.Second, Update{Revision: 2, Returned: []Return{{"h", time.Second}}})
 	}
-	at, _ = b.Returned("h")
+	at, _ = b.ReturnedAt("h")
 	is.Equal(at, -time.Second)
-	is.Equal(len(b.News(2*time.Minute).Returned), 0) // and is forgotten
+	is.Equal(len(b.Update(2*time.Minute).Returned), 0) // and is forgotten
 	b.Replace(0, []string{"h"}, 9)
-	_, ok = b.Returned("h")
+	_, ok = b.ReturnedAt("h")
 	is.True(!ok) // emptied again
 }
 
@@ -156,6 +156,6 @@
 		v.Apply(0, []Entry{{Hall: fmt.Sprint("hall-", i), Revision: uint64(i + 1)}}, uint64(i+1))
 	}
 	for b.Loop() {
-		New().Take(0, v.News(0))
+		New().Merge(0, v.Update(0))
 	}
 }
