--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return process.ExitUsage, err
 	}
-	findings := review.Configuration(config)
+	findings := review.Check(config)
 	for _, f := range findings {
 		fmt.Fprintf(c.out, "%s: %s: %s (%s)\n", name, f.Place, f.Text, f.Rule)
 	}
@@ -70,7 +70,7 @@
 // rules prints what a configuration is held against.
 func (c *client) rules() (int, error) {
 	for _, r := range review.Rules() {
-		fmt.Fprintf(c.out, "%-16s %s\n", r.Name, r.Meaning)
+		fmt.Fprintf(c.out, "%-16s %s\n", r.Name, r.Description)
 	}
 	return process.ExitOK, nil
 }
--- a/coordination/review/review.go
+++ b/coordination/review/review.go
@@ -20,9 +20,9 @@
 
 // Rule is something that a configuration is held against.
 type Rule struct {
-	Name    string
-	Meaning string
-	check   func(*catalog.Configuration) []Finding
+	Name        string
+	Description string
+	check       func(*catalog.Configuration) []Finding
 }
 
 // Rules returns what configurations are held against.
@@ -42,7 +42,7 @@
 }
 
 // Configuration returns all findings, in the order of the rules and places.
-func Configuration(c *catalog.Configuration) []Finding {
+func Check(c *catalog.Configuration) []Finding {
 	var out []Finding
 	for _, r := range Rules() {
 		found := r.check(c)
--- a/coordination/review/review_test.go
+++ b/coordination/review/review_test.go
@@ -28,7 +28,7 @@
 // Each rule finds its fault, at its place, and nothing else does.
 func TestEachRuleFindsItsFault(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Configuration(good())), 0)
+	is.Equal(len(Check(good())), 0)
 	faults := map[string]func(*catalog.Configuration){
 		"service-unknown": func(c *catalog.Configuration) {
 			c.Routes[1].Targets = append(c.Routes[1].Targets, catalog.Target{Service: "none", Weight: 1})
@@ -54,10 +54,10 @@
 		}
 		c := good()
 		spoil(c)
-		found := Configuration(c)
+		found := Check(c)
 		if len(found) != 1 || found[0].Rule != r.Name || found[0].Place == "" || found[0].Text == "" {
 			t.Errorf("%s: found %v", r.Name, found)
 		}
 	}
-	is.True(slices.ContainsFunc(Rules(), func(r Rule) bool { return r.Meaning != "" }))
+	is.True(slices.ContainsFunc(Rules(), func(r Rule) bool { return r.Description != "" }))
 }
