--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -161,7 +161,7 @@
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
-		r.HallDrained = n.emptied.Emptied(r.Hall)
+		r.HallDrained = n.emptied.IsDrained(r.Hall)
 		r.WarmingUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
 		if r.StartMillis != 0 {
--- a/coordination/ending/ending_test.go
+++ b/coordination/ending/ending_test.go
@@ -8,34 +8,34 @@
 	"quinceroad/coordination/health"
 )
 
-// Each way in which a send can end, by who ended it, and what its readers make of it.
-func TestWhatAnEndSays(t *testing.T) {
-	const none = health.Sign(-1)
+// Covers each kind of end, by who ended the attempt, and the evidence it yields.
+func TestEvidenceOfEachKind(t *testing.T) {
+	const none = health.Signal(-1)
 	cases := map[string]struct {
-		way     Way
-		health  health.Sign
-		version Version
-		request Request
+		kind    Kind
+		health  health.Signal
+		version VersionEvidence
+		request RequestEvidence
 	}{
-		"the replica: a whole answer":                         {Whole, health.Good, Answer, Harmless},
-		"the replica: its own failure":                        {OwnFailure, health.Failure, Failure, Harmless},
-		"the replica: turned away":                            {TurnedAway, health.Full, Nothing, Unsaid},
-		"the replica: inputs gone":                            {NoInputs, none, Nothing, Unsaid},
-		"another replica at its address":                      {Stranger, none, Nothing, Unsaid},
-		"the link: no connection":                             {Unreached, health.Unreachable, Nothing, Unsaid},
-		"the replica or the link: broken off":                 {BrokeOff, health.Broken, Failure, Look},
-		"the replica: broken off by its end":                  {Crashed, health.Broken, EndOfLife, Blamed},
-		"this instance, as the next life is told":             {LifeOver, none, EndOfLife, Blamed},
-		"this instance, for the silence":                      {Silent, health.Silent, Failure, Blamed},
-		"this instance, as the time is over: as slow as long": {TimeUp, none, Answer, Blamed},
-		"the client: gone":                                    {Left, none, Nothing, Blamed},
+		"the replica: a whole answer":                         {Succeeded, health.Success, VersionAnswer, RequestCleared},
+		"the replica: its own failure":                        {Failed, health.Failure, VersionFailure, RequestCleared},
+		"the replica: turned away":                            {Refused, health.Full, VersionNone, RequestNone},
+		"the replica: inputs gone":                            {MissingInputs, none, VersionNone, RequestNone},
+		"another replica at its address":                      {WrongReplica, none, VersionNone, RequestNone},
+		"the link: no connection":                             {Unreachable, health.Unreachable, VersionNone, RequestNone},
+		"the replica or the link: broken off":                 {ConnectionBroken, health.Broken, VersionFailure, RequestProbe},
+		"the replica: broken off by its end":                  {ReplicaCrashed, health.Broken, VersionReplicaEnd, RequestBlamed},
+		"this instance, as the next life is told":             {ReplicaRestarted, none, VersionReplicaEnd, RequestBlamed},
+		"this instance, for the silence":                      {ResponseTimeout, health.Timeout, VersionFailure, RequestBlamed},
+		"this instance, as the time is over: as slow as long": {DeadlineExceeded, none, VersionAnswer, RequestBlamed},
+		"the client: gone":                                    {ClientGone, none, VersionNone, RequestBlamed},
 	}
-	seen := make(map[Way]bool)
+	seen := make(map[Kind]bool)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			seen[c.way] = true
-			got := c.way.Reading()
+			seen[c.kind] = true
+			got := c.kind.Evidence()
 			is.Equal(got.Health == nil, c.health == none)
 			if got.Health != nil {
 				is.Equal(*got.Health, c.health)
@@ -44,19 +44,19 @@
 			is.Equal(got.Request, c.request)
 		})
 	}
-	is.New(t).Equal(len(seen), len(readings)) // no way without its row
+	is.New(t).Equal(len(seen), len(evidence)) // each kind has a case
 }
 
-// An instance that was suspended does not know how long an answer took; a failure is
-// one all the same.
-func TestASuspensionIsNoAnswersTime(t *testing.T) {
+// An instance that was suspended during an attempt does not know how long the answer
+// took; a failure still counts.
+func TestSuspensionHidesResponseTime(t *testing.T) {
 	is := is.New(t)
-	for way := range readings {
-		want := way.Reading().Version
-		if want == Answer {
-			want = Nothing
+	for kind := range evidence {
+		want := kind.Evidence().Version
+		if want == VersionAnswer {
+			want = VersionNone
 		}
-		is.Equal(way.OfVersion(true), want)
-		is.Equal(way.OfVersion(false), way.Reading().Version)
+		is.Equal(kind.ForVersion(true), want)
+		is.Equal(kind.ForVersion(false), kind.Evidence().Version)
 	}
 }
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -171,7 +171,7 @@
 		items = append(items, x.callItem(now))
 	}
 	if p.warmUpRate > 0 && now < r.WarmingUntil {
-		p.warmUpCalls.Sent(now, r.ID)
+		p.warmUpCalls.Record(now, r.ID)
 	}
 	if r.sendInterval > 0 {
 		s.opts.SendGrants.Consume(now, r.ID)
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -191,7 +191,7 @@
 		p.def = *service.Pool
 		p.warmUpRate = 0
 		if service.WarmUp != nil {
-			p.warmUpRate = s.opts.WarmUpLimit.Most(service.WarmUp.RequestsPerSecond)
+			p.warmUpRate = s.opts.WarmUpLimit.MaxPerSender(service.WarmUp.RequestsPerSecond)
 		}
 	}
 	slices.SortFunc(s.poolsByName, func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -102,7 +102,7 @@
 // allowsWarmUpCall reports whether a replica has warmed up or may get another call before it
 // has.
 func (p *pool) allowsWarmUpCall(now time.Duration, r *replica) bool {
-	return p.warmUpRate == 0 || now >= r.WarmingUntil || p.warmUpCalls.Free(now, r.ID, p.warmUpRate) <= now
+	return p.warmUpRate == 0 || now >= r.WarmingUntil || p.warmUpCalls.NextAllowed(now, r.ID, p.warmUpRate) <= now
 }
 
 // capacityHorizon is how long a replica may be paused and still count as capacity. Such a
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -122,7 +122,7 @@
 		e.slots = s.Engine.Slots
 		e.warmUpRate = 0
 		if s.WarmUp != nil {
-			e.warmUpRate = t.warmUpLimit.Most(s.WarmUp.RequestsPerSecond)
+			e.warmUpRate = t.warmUpLimit.MaxPerSender(s.WarmUp.RequestsPerSecond)
 		}
 		e.memory = int(s.Engine.MemoryTokens)
 		e.speed = t.serviceSpeed(r.Service)
@@ -268,7 +268,7 @@
 // withinWarmUpRate reports whether an engine is warm, or its warm-up limit
 // allows one more request now.
 func (t *Table) withinWarmUpRate(now time.Duration, e *engine) bool {
-	return e.warmUpRate == 0 || now >= e.WarmingUntil || t.warmUpSends.Free(now, e.ID, e.warmUpRate) <= now
+	return e.warmUpRate == 0 || now >= e.WarmingUntil || t.warmUpSends.NextAllowed(now, e.ID, e.warmUpRate) <= now
 }
 
 // rotationMultiplier spreads consecutive request IDs over the rotations of the
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -38,7 +38,7 @@
 	e.prefillShare = e.decayedPrefillShare(now, o) + prefill.Seconds()/o.PrefillShareWindow.Seconds()
 	e.prefilling++
 	if e.warmUpRate > 0 && n.warming {
-		t.warmUpSends.Sent(now, e.ID)
+		t.warmUpSends.Record(now, e.ID)
 	}
 	if t.grants != nil && t.grants.HasLimits() {
 		t.grants.Consume(now, e.ID)
