--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -194,7 +194,7 @@
 
 func (x *stageItem) callItem(now time.Duration) Item {
 	j := x.stage.job
-	item := Item{RequestID: j.RequestID, Stage: x.stage.index, Index: x.index, Left: max(j.expiresAt-now, time.Millisecond)}
+	item := Item{RequestID: j.RequestID, Stage: x.stage.index, Index: x.index, TimeLeft: max(j.expiresAt-now, time.Millisecond)}
 	if len(x.stage.def.After) == 0 {
 		item.Key = j.Key
 		return item
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -25,7 +25,7 @@
 	RequestID string
 	Stage     int
 	Index     int
-	Left      time.Duration // until the result is useless
+	TimeLeft  time.Duration // until the result is useless
 	Key       string        // set for stages without inputs
 	Inputs    []string      // handles of the results that the item reads
 }
