--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -657,11 +657,11 @@
 	urgent := newTestJob("urgent", 1)
 	urgent.Objective = 500 * ms // includes 248 ms for its own call
 	is.True(h.step(urgent, 20*ms).Admitted)
-	begun := false
+	started := false
 	for _, c := range h.calls {
-		begun = begun || c.Items[0].RequestID == "urgent"
+		started = started || c.Items[0].RequestID == "urgent"
 	}
-	is.True(begun) // at once, together with waiting items
+	is.True(started) // at once, together with waiting items
 }
 
 // Future more urgent work used to be counted at the current fill of calls. The least urgent
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -62,7 +62,7 @@
 	item := pl.pool.itemSeconds(st.def.ResultBytes)
 	starts, ends = ready, ready
 	for left := float64(len(st.items)); left > 0; {
-		at, speed := pl.replicas[0].freeAt, pl.replicas[0].slowdown
+		at, slowdown := pl.replicas[0].freeAt, pl.replicas[0].slowdown
 		if at > planHorizon {
 			return at, at + st.duration()
 		}
@@ -79,7 +79,7 @@
 		pl.itemsAhead -= others
 		left -= own
 		took := pl.pool.def.CallTime.Seconds() + others*pl.itemSeconds + own*item
-		end := at + time.Duration(took*speed*float64(time.Second))
+		end := at + time.Duration(took*slowdown*float64(time.Second))
 		pl.occupyFirst(max(end, at+pl.replicas[0].sendInterval))
 		if own > 0 {
 			starts = max(starts, at)
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -187,7 +187,7 @@
 	}
 	ratio := took.Seconds() / expected
 	if allSucceeded && ratio < r.slowdown/2 {
-		r.slowdown = clamp(ratio, minSlowdown, maxSlowdown) // work can't finish faster than it takes, so one call is enough evidence
+		r.slowdown = clamp(ratio, minSlowdown, maxSlowdown) // a call can't end before its work is done, so one fast call is enough evidence
 	}
 	r.slowdown = clamp(r.slowdown+slowdownWeight*(ratio-r.slowdown), minSlowdown, maxSlowdown)
 	if ratio > 1.5*r.slowdown || squares == 0 {
