--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Policy names how a replica is chosen and whether asks queue.
+// Policy is the way a replica is chosen, and determines whether tasks queue.
 type Policy string
 
-// The policies. RoundRobin and LeastInflight are baselines: they never queue
-// and leave all waiting to the replicas.
+// The policies. RoundRobin and LeastInflight are baselines that never queue and leave
+// all waiting to the replicas.
 const (
-	Exact         Policy = "permits"        // least loaded by exact counts; asks queue here
-	Local         Policy = "local"          // least loaded by own counts, within a share of the slots; asks queue here
+	Exact         Policy = "permits"        // least loaded by exact counts; tasks queue here
+	Local         Policy = "local"          // least loaded by own counts, within a share of the slots; tasks queue here
 	RoundRobin    Policy = "round_robin"    // baseline
 	LeastInflight Policy = "least_inflight" // baseline
 )
 
-// Policies are the names a declaration may use.
+// Policies are the names allowed in a declaration.
 var Policies = []string{string(Exact), string(Local), string(RoundRobin), string(LeastInflight)}
 
 // Options are a scheduler's settings.
 type Options struct {
 	Policy        Policy
-	Shed          float64       // give up a queued ask once slack < Shed x expected time; 0 never
-	MinRetryAfter time.Duration // least time a refused caller is told to wait
-	EjectionTime  time.Duration // how long a failing replica gets nothing
-	ProbeInterval time.Duration // between tries of a slow replica
-	SlowRatio     float64       // a replica this many times slower than the service is slow; 0 never
-	SlowStart     time.Duration // slow start of a replica that appears later
-	Share         float64       // of all slots that this scheduler may fill; 1 for an owner
+	Shed          float64       // drop a queued task once slack < Shed x expected time; 0: never
+	MinRetryAfter time.Duration // minimum retry delay given to a refused caller
+	EjectionTime  time.Duration // how long a failing replica gets no tasks
+	ProbeInterval time.Duration // between two probes of a slow replica
+	SlowRatio     float64       // a replica this many times slower than the service is slow; 0: never
+	SlowStart     time.Duration // ramp-up time of a replica that is added later
+	Share         float64       // fraction of all slots that this scheduler may fill; 1 for an owner
 }
 
 // Option sets one of the Options.
@@ -52,12 +52,14 @@
 // WithPolicy sets the policy.
 func WithPolicy(p Policy) Option { return func(o *Options) { o.Policy = p } }
 
-// Shed sets when a queued ask is given up, in expected stage times.
+// Shed sets the slack at which a queued task is dropped, as a multiple of its expected
+// time.
 func Shed(f float64) Option { return func(o *Options) { o.Shed = f } }
 
-// SlowRatio sets from when a replica counts as slow; 0 turns it off.
+// SlowRatio sets how many times slower than the service a slow replica is; 0 disables
+// the check.
 func SlowRatio(f float64) Option { return func(o *Options) { o.SlowRatio = f } }
 
-// Share sets the part of all slots that this scheduler may fill: one of n that
-// don't know of each other takes a little more than 1/n.
+// Share sets the fraction of all slots that this scheduler may fill. Each of n
+// schedulers that don't know of each other takes slightly more than 1/n.
 func Share(f float64) Option { return func(o *Options) { o.Share = min(f, 1) } }
--- a/coordination/scheduler/pool.go
+++ b/coordination/scheduler/pool.go
@@ -10,58 +10,58 @@
 )
 
 const (
-	slowGain     = 0.2  // weight of a new sample in a replica's slowness
-	lateRatio    = 4    // a request this many times its expected time is late
-	lateEnough   = 2    // late requests that make a replica slow before any ends
-	ejectAfter   = 3    // failures in a row that eject a replica
-	tieSpread    = 0.01 // of a key: far below one request more
-	maxSlowShare = 0.5  // above this share slowness is the service's, not a replica's
+	slowGain     = 0.2  // weight of a new sample in the moving average of slowness
+	lateRatio    = 4    // a task that runs this many times its expected time is late
+	minLate      = 2    // late tasks that mark a replica as slow before any of them ends
+	ejectAfter   = 3    // consecutive failures that eject a replica
+	tieJitter    = 0.01 // random part of a key, far below the weight of one task
+	maxSlowShare = 0.5  // when more replicas than this are impaired, the service is slow, not a replica
 )
 
-// replica is one replica as the scheduler sees it.
+// replica is the scheduler's view of one replica.
 type replica struct {
-	id         string
-	slots      int
-	inflight   int
-	addedAt    time.Duration
-	fresh      bool // appeared later: gets a slow start
-	slow       float64
-	late       int
-	failures   int
-	ejectedTil time.Duration
-	probeAt    time.Duration
-	room       int // requests it may run by now
-	key        float64
-	index      int // in pool.heap
-	at         int // in pool.list
+	id           string
+	slots        int
+	inflight     int
+	addedAt      time.Duration
+	slowStart    bool // added after the first set of replicas
+	slowness     float64
+	lateCount    int
+	failures     int
+	ejectedUntil time.Duration
+	probeAt      time.Duration
+	capacity     int // tasks that it may run now
+	key          float64
+	heapIndex    int // in pool.heap
+	listIndex    int // in pool.list
 }
 
 // pool is the set of replicas, ordered by load in a heap.
 type pool struct {
-	policy Policy
-	rand   *rand.Rand // breaks ties, so that several schedulers don't all pick the same
-	byID   map[string]*replica
-	list   []*replica
-	heap   replicaHeap
-	total  int
-	ratio  float64 // the service's own measured over expected time
-	turn   int
-	poor   int // slow or ejected
+	policy       Policy
+	rand         *rand.Rand // breaks ties, so that several schedulers don't pick the same replica
+	byID         map[string]*replica
+	list         []*replica
+	heap         replicaHeap
+	capacity     int
+	baseSlowness float64 // ratio of measured to expected time over the whole service
+	cursor       int
+	impaired     int // number of slow or ejected replicas
 }
 
-func newPool(p Policy, rnd *rand.Rand) *pool {
-	return &pool{policy: p, rand: rnd, byID: make(map[string]*replica), ratio: 1}
+func newPool(p Policy, random *rand.Rand) *pool {
+	return &pool{policy: p, rand: random, byID: make(map[string]*replica), baseSlowness: 1}
 }
 
 func (p *pool) len() int   { return len(p.list) }
-func (p *pool) slots() int { return p.total }
+func (p *pool) slots() int { return p.capacity }
 
-func (p *pool) free() bool {
+func (p *pool) hasFree() bool {
 	return len(p.heap) > 0 && !math.IsInf(p.heap[0].key, 1)
 }
 
-// set makes the pool hold exactly these replicas.
-func (p *pool) set(now time.Duration, slots map[string]int) {
+// setReplicas replaces the set of replicas.
+func (p *pool) setReplicas(now time.Duration, slots map[string]int) {
 	first := len(p.byID) == 0
 	for id, r := range p.byID {
 		if _, ok := slots[id]; !ok {
@@ -73,152 +73,153 @@
 			r.slots = n
 			continue
 		}
-		r := &replica{id: id, slots: n, slow: p.ratio, addedAt: now, fresh: !first, room: n, at: len(p.list), index: -1}
+		r := &replica{id: id, slots: n, slowness: p.baseSlowness, addedAt: now, slowStart: !first, capacity: n, listIndex: len(p.list), heapIndex: -1}
 		p.byID[id] = r
 		p.list = append(p.list, r)
 		heap.Push(&p.heap, r)
-		p.rekey(r)
+		p.updateKey(r)
 	}
 	sort.Slice(p.list, func(i, j int) bool { return p.list[i].id < p.list[j].id })
 	for i, r := range p.list {
-		r.at = i
+		r.listIndex = i
 	}
-	p.count()
+	p.sumCapacity()
 }
 
 func (p *pool) remove(r *replica) {
 	delete(p.byID, r.id)
-	p.list = slices.Delete(p.list, r.at, r.at+1)
+	p.list = slices.Delete(p.list, r.listIndex, r.listIndex+1)
 	for i, o := range p.list {
-		o.at = i
+		o.listIndex = i
 	}
-	heap.Remove(&p.heap, r.index)
+	heap.Remove(&p.heap, r.heapIndex)
 }
 
-func (p *pool) take(now time.Duration, r *replica, o Options) {
+func (p *pool) acquire(now time.Duration, r *replica, o Options) {
 	r.inflight++
 	if r.isSlow(p, o) {
 		r.probeAt = now + o.ProbeInterval
 	}
-	p.rate(now, r, o)
+	p.updateCapacity(now, r, o)
 }
 
-// release returns a permit's slot and learns from how it went.
+// release returns a permit's slot and updates the replica's failures and slowness.
 func (p *pool) release(now time.Duration, pm *permit, took time.Duration, failed bool, o Options) {
 	r := pm.replica
-	p.drop(pm)
+	p.returnSlot(pm)
 	if failed {
 		r.failures++
 		if r.failures >= ejectAfter {
-			r.ejectedTil = now + o.EjectionTime
+			r.ejectedUntil = now + o.EjectionTime
 		}
 	} else {
 		r.failures = 0
-		sample := min(float64(took)/float64(max(pm.expect, time.Millisecond)), 20)
-		r.slow += slowGain * (sample - r.slow)
-		p.ratio += slowGain / float64(max(len(p.list), 1)) * (sample - p.ratio)
+		sample := min(float64(took)/float64(max(pm.expected, time.Millisecond)), 20)
+		r.slowness += slowGain * (sample - r.slowness)
+		p.baseSlowness += slowGain / float64(max(len(p.list), 1)) * (sample - p.baseSlowness)
 	}
-	p.rate(now, r, o)
+	p.updateCapacity(now, r, o)
 }
 
-// drop returns a permit's slot without learning anything.
-func (p *pool) drop(pm *permit) {
+// returnSlot returns a permit's slot without a result.
+func (p *pool) returnSlot(pm *permit) {
 	r := pm.replica
 	r.inflight--
 	if pm.late {
-		r.late--
+		r.lateCount--
 	}
-	p.rekey(r)
+	p.updateKey(r)
 }
 
-// watch marks a running permit that is long overdue.
-func (p *pool) watch(now time.Duration, pm *permit, o Options) {
-	limit := lateRatio * max(p.ratio, 1) * float64(max(pm.expect, 5*time.Millisecond))
+// markLate marks a running permit that is long overdue.
+func (p *pool) markLate(now time.Duration, pm *permit, o Options) {
+	limit := lateRatio * max(p.baseSlowness, 1) * float64(max(pm.expected, 5*time.Millisecond))
 	if !pm.late && o.SlowRatio > 0 && float64(now-pm.start) > limit {
 		pm.late = true
-		pm.replica.late++
+		pm.replica.lateCount++
 	}
 }
 
-// refresh works out every replica's room again: ejections and slow starts end by time alone.
+// refresh recomputes the capacity of every replica, since ejections and slow starts end
+// by the passage of time.
 func (p *pool) refresh(now time.Duration, o Options) {
-	p.poor = 0
+	p.impaired = 0
 	for _, r := range p.list {
-		if r.isSlow(p, o) || now < r.ejectedTil {
-			p.poor++
+		if r.isSlow(p, o) || now < r.ejectedUntil {
+			p.impaired++
 		}
 	}
 	for _, r := range p.list {
-		p.rate(now, r, o)
+		p.updateCapacity(now, r, o)
 	}
-	p.count()
+	p.sumCapacity()
 }
 
-func (p *pool) count() {
-	p.total = 0
+func (p *pool) sumCapacity() {
+	p.capacity = 0
 	for _, r := range p.list {
-		p.total += r.room
+		p.capacity += r.capacity
 	}
 }
 
-// rate sets how many requests a replica may run by now.
-func (p *pool) rate(now time.Duration, r *replica, o Options) {
-	r.room = r.slots
+// updateCapacity sets how many tasks a replica may run now.
+func (p *pool) updateCapacity(now time.Duration, r *replica, o Options) {
+	r.capacity = r.slots
 	switch {
-	case float64(p.poor) > maxSlowShare*float64(len(p.list)):
-	case now < r.ejectedTil:
-		r.room = 0
+	case float64(p.impaired) > maxSlowShare*float64(len(p.list)):
+	case now < r.ejectedUntil:
+		r.capacity = 0
 	case r.isSlow(p, o):
-		r.room = 0
+		r.capacity = 0
 		if now >= r.probeAt && r.inflight == 0 {
-			r.room = 1
+			r.capacity = 1
 		}
-	case r.fresh && now < r.addedAt+o.SlowStart:
-		part := float64(now-r.addedAt) / float64(o.SlowStart)
-		r.room = max(1, int(part*float64(r.slots)))
+	case r.slowStart && now < r.addedAt+o.SlowStart:
+		fraction := float64(now-r.addedAt) / float64(o.SlowStart)
+		r.capacity = max(1, int(fraction*float64(r.slots)))
 	}
-	p.rekey(r)
+	p.updateKey(r)
 }
 
 func (r *replica) isSlow(p *pool, o Options) bool {
 	if o.SlowRatio == 0 {
 		return false
 	}
-	return r.late >= lateEnough || r.slow > o.SlowRatio*max(p.ratio, 0.1)
+	return r.lateCount >= minLate || r.slowness > o.SlowRatio*max(p.baseSlowness, 0.1)
 }
 
-// penalty is how many times slower than the service the replica is. A faster
-// one gets no bonus: chance alone would then heap the work on few replicas.
-func (r *replica) penalty(p *pool) float64 { return max(1, r.slow/max(p.ratio, 0.1)) }
+// penalty is how many times slower than the service the replica is. A faster replica
+// gets no bonus, since random variation would then concentrate tasks on a few replicas.
+func (r *replica) penalty(p *pool) float64 { return max(1, r.slowness/max(p.baseSlowness, 0.1)) }
 
-func (p *pool) rekey(r *replica) {
-	if r.index < 0 {
+func (p *pool) updateKey(r *replica) {
+	if r.heapIndex < 0 {
 		return
 	}
 	switch {
 	case p.policy == LeastInflight:
 		r.key = float64(r.inflight)
-	case r.inflight >= r.room:
+	case r.inflight >= r.capacity:
 		r.key = math.Inf(1)
 	default:
-		r.key = float64(r.inflight+1)/float64(r.room)*r.penalty(p) + tieSpread*p.rand.Float64()
+		r.key = float64(r.inflight+1)/float64(r.capacity)*r.penalty(p) + tieJitter*p.rand.Float64()
 	}
-	heap.Fix(&p.heap, r.index)
+	heap.Fix(&p.heap, r.heapIndex)
 }
 
-// pick returns the replica for the next ask, or nil when all are full. avoid
-// names replicas to pass over.
+// pick returns the replica for the next task, or nil when all are full. It skips the
+// replicas in avoid.
 func (p *pool) pick(avoid []string) *replica {
 	if p.policy == RoundRobin {
-		return p.pickTurn(avoid)
+		return p.pickRoundRobin(avoid)
 	}
-	return p.pickTop(avoid)
+	return p.pickLeastLoaded(avoid)
 }
 
-func (p *pool) pickTurn(avoid []string) *replica {
+func (p *pool) pickRoundRobin(avoid []string) *replica {
 	for range p.list {
-		p.turn++
-		r := p.list[p.turn%len(p.list)]
+		p.cursor++
+		r := p.list[p.cursor%len(p.list)]
 		if !slices.Contains(avoid, r.id) {
 			return r
 		}
@@ -226,20 +227,20 @@
 	return nil
 }
 
-// pickTop takes the least loaded; those to avoid are set aside and put back.
-func (p *pool) pickTop(avoid []string) *replica {
-	var aside []*replica
+// pickLeastLoaded returns the least loaded replica that is not in avoid.
+func (p *pool) pickLeastLoaded(avoid []string) *replica {
+	var skipped []*replica
 	var best *replica
-	for p.free() {
+	for p.hasFree() {
 		r := p.heap[0]
 		if !slices.Contains(avoid, r.id) {
 			best = r
 			break
 		}
 		heap.Pop(&p.heap)
-		aside = append(aside, r)
+		skipped = append(skipped, r)
 	}
-	for _, r := range aside {
+	for _, r := range skipped {
 		heap.Push(&p.heap, r)
 	}
 	return best
@@ -258,7 +259,7 @@
 func (p *pool) stats() []ReplicaStats {
 	out := make([]ReplicaStats, 0, len(p.list))
 	for _, r := range p.list {
-		out = append(out, ReplicaStats{ID: r.id, Slots: r.slots, Capacity: r.room, Inflight: r.inflight, Slowness: r.slow, Late: r.late})
+		out = append(out, ReplicaStats{ID: r.id, Slots: r.slots, Capacity: r.capacity, Inflight: r.inflight, Slowness: r.slowness, Late: r.lateCount})
 	}
 	return out
 }
@@ -269,13 +270,13 @@
 func (h replicaHeap) Less(i, j int) bool { return h[i].key < h[j].key }
 func (h replicaHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *replicaHeap) Push(x any) {
 	r := x.(*replica)
-	r.index = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
@@ -285,6 +286,6 @@
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	r.index = -1
+	r.heapIndex = -1
 	return r
 }
--- a/coordination/scheduler/queue.go
+++ b/coordination/scheduler/queue.go
@@ -9,50 +9,50 @@
 
 const classes = int(fleet.Batch) + 1
 
-// queue orders asks by class, then weighted fair share among customers
-// (virtual finish times), then least slack. All steps are logarithmic.
+// queue orders tasks by class, then by weighted fair share among customers (virtual
+// finish times), then by least slack. All operations take logarithmic time.
 type queue struct {
-	classes [classes]classQueue
-	doomed  doomHeap
-	byID    map[askKey]*item
-	coming  map[askKey]*item // announced, not yet asked for
-	late    doomHeap         // the same by deadline
+	classes    [classes]classQueue
+	byDropTime dropHeap
+	byID       map[taskKey]*item
+	announced  map[taskKey]*item // announced, not yet submitted
+	byDeadline dropHeap          // the announced tasks by deadline
 }
 
-type askKey struct {
+type taskKey struct {
 	holder string
 	id     uint64
 }
 
 type item struct {
-	ask    *Task
-	dropAt time.Duration
-	gone   bool // popped or cancelled; heaps skip it
+	task    *Task
+	dropAt  time.Duration
+	removed bool // popped or cancelled; the heaps discard it when they reach it
 }
 
 // classQueue holds the flows of one class; clock is its virtual time.
 type classQueue struct {
-	flows  map[string]*flow
-	active flowHeap
-	clock  float64
-	n      int
-	coming int     // announced
-	weight float64 // of the flows that have asks or announcements
+	flows     map[string]*flow
+	active    flowHeap
+	clock     float64
+	queued    int
+	announced int     // announced tasks
+	weight    float64 // total weight of the flows with queued or announced tasks
 }
 
-// flow is one customer's asks, most urgent first.
+// flow holds one customer's tasks, least slack first.
 type flow struct {
-	customer string
-	weight   float64
-	finish   float64 // virtual time at which its next ask is due
-	asks     slackHeap
-	n        int // without the gone
-	coming   int // announced
-	index    int
+	customer  string
+	weight    float64
+	finish    float64 // virtual time at which its next task is due
+	tasks     slackHeap
+	queued    int // tasks, removed ones excluded
+	announced int // announced tasks
+	index     int
 }
 
 func newQueue() *queue {
-	q := &queue{byID: make(map[askKey]*item), coming: make(map[askKey]*item)}
+	q := &queue{byID: make(map[taskKey]*item), announced: make(map[taskKey]*item)}
 	for i := range q.classes {
 		q.classes[i].flows = make(map[string]*flow)
 	}
@@ -61,84 +61,84 @@
 
 func (q *queue) len() int { return len(q.byID) }
 
-func (q *queue) class(a *Task) *classQueue {
-	return &q.classes[min(max(int(a.Class), 0), classes-1)]
+func (q *queue) class(t *Task) *classQueue {
+	return &q.classes[min(max(int(t.Class), 0), classes-1)]
 }
 
-func (q *queue) push(a *Task, dropAt time.Duration) {
-	it := &item{ask: a, dropAt: dropAt}
-	q.byID[askKey{a.Holder, a.ID}] = it
-	heap.Push(&q.doomed, it)
-	q.class(a).push(it)
+func (q *queue) push(t *Task, dropAt time.Duration) {
+	it := &item{task: t, dropAt: dropAt}
+	q.byID[taskKey{t.Holder, t.ID}] = it
+	heap.Push(&q.byDropTime, it)
+	q.class(t).push(it)
 }
 
-// pop returns the ask to run next, or nil.
+// pop returns the next task to run, or nil.
 func (q *queue) pop() *Task {
 	for i := range q.classes {
 		if it := q.classes[i].pop(); it != nil {
 			q.forget(it)
-			return it.ask
+			return it.task
 		}
 	}
 	return nil
 }
 
-// popDoomed returns an ask that must be given up by now, or nil.
-func (q *queue) popDoomed(now time.Duration) *Task {
-	for len(q.doomed) > 0 && (q.doomed[0].gone || q.doomed[0].dropAt < now) {
-		it := heap.Pop(&q.doomed).(*item)
-		if it.gone {
+// popExpired returns a task that must be dropped by now, or nil.
+func (q *queue) popExpired(now time.Duration) *Task {
+	for len(q.byDropTime) > 0 && (q.byDropTime[0].removed || q.byDropTime[0].dropAt < now) {
+		it := heap.Pop(&q.byDropTime).(*item)
+		if it.removed {
 			continue
 		}
 		q.remove(it)
-		return it.ask
+		return it.task
 	}
 	return nil
 }
 
 func (q *queue) cancel(id uint64, holder string) {
-	key := askKey{holder, id}
+	key := taskKey{holder, id}
 	if it, ok := q.byID[key]; ok {
 		q.remove(it)
 	}
-	if it, ok := q.coming[key]; ok {
-		q.arrive(it.ask)
+	if it, ok := q.announced[key]; ok {
+		q.endAnnouncement(it.task)
 	}
 }
 
-// announce counts an ask that will come.
-func (q *queue) announce(a *Task) {
-	it := &item{ask: a, dropAt: a.Deadline}
-	q.coming[askKey{a.Holder, a.ID}] = it
-	heap.Push(&q.late, it)
-	c := q.class(a)
-	f := c.flow(a)
-	f.coming++
-	c.coming++
+// announce counts a task that will be submitted later.
+func (q *queue) announce(t *Task) {
+	it := &item{task: t, dropAt: t.Deadline}
+	q.announced[taskKey{t.Holder, t.ID}] = it
+	heap.Push(&q.byDeadline, it)
+	c := q.class(t)
+	f := c.flow(t)
+	f.announced++
+	c.announced++
 }
 
-// arrive ends an announcement; false when there was none.
-func (q *queue) arrive(a *Task) bool {
-	key := askKey{a.Holder, a.ID}
-	it, ok := q.coming[key]
+// endAnnouncement removes an announcement and reports whether there was one.
+func (q *queue) endAnnouncement(t *Task) bool {
+	key := taskKey{t.Holder, t.ID}
+	it, ok := q.announced[key]
 	if !ok {
 		return false
 	}
-	it.gone = true
-	delete(q.coming, key)
-	c := q.class(it.ask)
-	f := c.flows[it.ask.Customer]
-	f.coming--
-	c.coming--
-	c.rest(f)
+	it.removed = true
+	delete(q.announced, key)
+	c := q.class(it.task)
+	f := c.flows[it.task.Customer]
+	f.announced--
+	c.announced--
+	c.deactivate(f)
 	return true
 }
 
-// expire ends the announcements of requests whose deadline has passed.
+// expire removes the announcements whose deadline has passed.
 func (q *queue) expire(now time.Duration) {
-	for len(q.late) > 0 && (q.late[0].gone || q.late[0].dropAt < now) {
-		if it := heap.Pop(&q.late).(*item); !it.gone {
-			q.arrive(it.ask)
+	for len(q.byDeadline) > 0 && (q.byDeadline[0].removed || q.byDeadline[0].dropAt < now) {
+		if it := heap.Pop(&q.byDeadline).(*item); !it.removed {
+			q.endAnnouncement(it.task)
 		}
 	}
 }
@@ -149,61 +149,61 @@
 			q.remove(it)
 		}
 	}
-	for k, it := range q.coming {
+	for k, it := range q.announced {
 		if k.holder == holder {
-			q.arrive(it.ask)
+			q.endAnnouncement(it.task)
 		}
 	}
 }
 
-// remove takes a still queued item out; the heaps drop it when they meet it.
+// remove removes a queued item; the heaps discard it when they reach it.
 func (q *queue) remove(it *item) {
-	q.class(it.ask).lose(it.ask.Customer)
+	q.class(it.task).removeOne(it.task.Customer)
 	q.forget(it)
 }
 
 func (q *queue) forget(it *item) {
-	it.gone = true
-	delete(q.byID, askKey{it.ask.Holder, it.ask.ID})
+	it.removed = true
+	delete(q.byID, taskKey{it.task.Holder, it.task.ID})
 }
 
-// ahead estimates how many asks run before a, were it queued now: those of
-// higher classes, and in its own class what its fair share lets through first.
-// Announced ones count as if they were queued.
-func (q *queue) ahead(a *Task) int {
+// ahead estimates how many tasks would run before t if it were queued now: those of
+// higher classes, and those of its own class that fair sharing puts first. Announced
+// tasks count as queued.
+func (q *queue) ahead(t *Task) int {
 	n := 0
-	for i := 0; i < min(int(a.Class), classes); i++ {
-		n += q.classes[i].n + q.classes[i].coming
+	for i := 0; i < min(int(t.Class), classes); i++ {
+		n += q.classes[i].queued + q.classes[i].announced
 	}
-	c := q.class(a)
-	w := float64(max(a.Weight, 1))
+	c := q.class(t)
+	w := float64(max(t.Weight, 1))
 	own, total := 0, c.weight
-	if f, ok := c.flows[a.Customer]; ok && f.n+f.coming > 0 {
-		own = f.n + f.coming
+	if f, ok := c.flows[t.Customer]; ok && f.queued+f.announced > 0 {
+		own = f.queued + f.announced
 	} else {
 		total += w
 	}
 	fair := float64(own+1) * total / w
-	return n + min(c.n+c.coming, int(fair)-1)
+	return n + min(c.queued+c.announced, int(fair)-1)
 }
 
-// flow returns the customer's flow, which counts as active from here on.
-func (c *classQueue) flow(a *Task) *flow {
-	f, ok := c.flows[a.Customer]
+// flow returns the customer's flow and counts it as active.
+func (c *classQueue) flow(t *Task) *flow {
+	f, ok := c.flows[t.Customer]
 	if !ok {
-		f = &flow{customer: a.Customer, index: -1}
-		c.flows[a.Customer] = f
+		f = &flow{customer: t.Customer, index: -1}
+		c.flows[t.Customer] = f
 	}
-	if f.n+f.coming == 0 {
-		f.weight = float64(max(a.Weight, 1))
+	if f.queued+f.announced == 0 {
+		f.weight = float64(max(t.Weight, 1))
 		c.weight += f.weight
 	}
 	return f
 }
 
-// rest takes a flow without asks and announcements out of the weights.
-func (c *classQueue) rest(f *flow) {
-	if f.n+f.coming > 0 {
+// deactivate removes the weight of a flow that has no queued or announced tasks.
+func (c *classQueue) deactivate(f *flow) {
+	if f.queued+f.announced > 0 {
 		return
 	}
 	c.weight -= f.weight
@@ -213,10 +213,10 @@
 }
 
 func (c *classQueue) push(it *item) {
-	f := c.flow(it.ask)
-	heap.Push(&f.asks, it)
-	f.n++
-	c.n++
+	f := c.flow(it.task)
+	heap.Push(&f.tasks, it)
+	f.queued++
+	c.queued++
 	if f.index < 0 {
 		f.finish = max(f.finish, c.clock) + 1/f.weight
 		heap.Push(&c.active, f)
@@ -229,38 +229,38 @@
 		it := f.pop()
 		if it == nil {
 			heap.Pop(&c.active)
-			c.forgetIdle(f)
+			c.dropIdle(f)
 			continue
 		}
 		c.clock = f.finish
 		f.finish += 1 / f.weight
 		heap.Fix(&c.active, 0)
-		c.lose(f.customer)
+		c.removeOne(f.customer)
 		return it
 	}
 	return nil
 }
 
-// lose counts one ask of a customer out.
-func (c *classQueue) lose(customer string) {
+// removeOne subtracts one of a customer's tasks from the counts.
+func (c *classQueue) removeOne(customer string) {
 	f := c.flows[customer]
-	f.n--
-	c.n--
-	c.rest(f)
+	f.queued--
+	c.queued--
+	c.deactivate(f)
 }
 
-// forgetIdle drops a flow without asks, so that memory follows the customers
-// that wait, not those that ever waited.
-func (c *classQueue) forgetIdle(f *flow) {
-	if f.n+f.coming == 0 {
+// dropIdle deletes a flow without tasks, so that memory use depends on the customers
+// that wait now, not on all that ever waited.
+func (c *classQueue) dropIdle(f *flow) {
+	if f.queued+f.announced == 0 {
 		delete(c.flows, f.customer)
 	}
 }
 
 func (f *flow) pop() *item {
-	for len(f.asks) > 0 {
-		it := heap.Pop(&f.asks).(*item)
-		if !it.gone {
+	for len(f.tasks) > 0 {
+		it := heap.Pop(&f.tasks).(*item)
+		if !it.removed {
 			return it
 		}
 	}
@@ -285,8 +285,8 @@
 	return it
 }
 
-// doomHeap orders by the same key; its items are those of all flows.
-type doomHeap = slackHeap
+// dropHeap is a slackHeap of the items of all flows.
+type dropHeap = slackHeap
 
 type flowHeap []*flow
 
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -1,11 +1,10 @@
-// Package scheduler decides, for one service, which queued stage runs next, on
-// which replica, and which is refused because it can't be whole in time.
+// Package scheduler decides, for one service, which queued stage runs next and on which
+// replica, and refuses stages that can't meet their deadline.
 //
-// The same machine serves twice: at the service's soft owner, where it holds
-// the exact slots of all entries (policy permits), and inside an entry, over
-// that entry's own view, when the owner can't be reached (policy local). It is
-// pure: time comes in as an argument and randomness as a seed. See
-// docs/design/scheduling.md.
+// It is used in two places: at the service's owner, where it holds the exact slots of
+// all entries (policy permits), and inside an entry, with that entry's own view, when
+// the owner can't be reached (policy local). It is pure: time is an argument and
+// randomness comes from a seed. See docs/design/scheduling.md.
 package scheduler
 
 import (
@@ -16,36 +15,36 @@
 	"quinceroad/state/fleet"
 )
 
-// Ask is one stage of one request waiting for a slot.
+// Task is one stage of a request that needs a slot.
 type Task struct {
 	ID        uint64
-	Holder    string // who asks; its permits end when it is gone
+	Holder    string // process that submits the task; its permits end with it
 	Customer  string
 	Weight    int
 	Class     fleet.Class
 	Deadline  time.Duration // of the whole request, on the scheduler's clock
-	Remaining time.Duration // expected for the stages after this one
-	Expected  time.Duration // expected for this stage
-	Avoid     []string      // replicas that failed this stage before
+	Remaining time.Duration // expected time of the stages after this one
+	Expected  time.Duration // expected time of this stage
+	Avoid     []string      // replicas on which this stage has failed
 }
 
-// slack is what would be left if the stage started now.
-func (a *Task) slack(now time.Duration) time.Duration {
-	return a.Deadline - a.Remaining - now
+// slack is the time left to start the stage if everything takes as long as expected.
+func (t *Task) slack(now time.Duration) time.Duration {
+	return t.Deadline - t.Remaining - now
 }
 
-// Reason is why an ask was refused.
+// Reason is why a task was refused.
 type Reason string
 
 // The reasons.
 const (
 	Overload  Reason = "overload"    // the queue is too long for its deadline
-	TooLate   Reason = "doomed"      // waited until it could no longer be whole in time
-	NoReplica Reason = "no_replicas" // the service has none that takes work
+	TooLate   Reason = "doomed"      // its deadline can no longer be met
+	NoReplica Reason = "no_replicas" // the service has no replica that accepts tasks
 )
 
-// Action is what the owner of the scheduler must tell a holder: a grant when
-// Replica is set, that an announcement is admitted, else a refusal.
+// Action is what the owner of the scheduler must tell a holder: a grant if Replica is
+// set, an admitted announcement if Admitted is set, otherwise a refusal.
 type Action struct {
 	Task       uint64
 	Holder     string
@@ -60,33 +59,34 @@
 func (a Action) Granted() bool { return a.Replica != "" }
 
 type permit struct {
-	replica *replica
-	ask     askKey
-	start   time.Duration
-	expect  time.Duration
-	late    bool
+	replica  *replica
+	task     taskKey
+	start    time.Duration
+	expected time.Duration
+	late     bool
 }
 
-// waitMargin is what an expected wait may be wrong by, as a share of it.
+// waitMargin is the possible error of an expected wait, as a fraction of it.
 const waitMargin = 0.5
 
-// lookEvery is the longest time between two looks at the replicas in use.
-const lookEvery = 100 * time.Millisecond
+// maxRefreshInterval is the longest time between two refreshes of the replicas in use.
+const maxRefreshInterval = 100 * time.Millisecond
 
-// mostMargin is the share of an ask's slack that its margin may take.
-const mostMargin = 2.0 / 3
+// maxMargin is the fraction of a task's slack that its margin may use.
+const maxMargin = 2.0 / 3
 
-// Scheduler is not safe for concurrent use; its owner guards it (table.RankScheduler).
+// Scheduler is not safe for concurrent use; its owner must lock it (rank
+// table.RankScheduler).
 type Scheduler struct {
-	opts     Options
-	pool     *pool
-	queue    *queue
-	permits  map[uint64]*permit
-	granted  map[askKey]uint64 // ask -> its permit
-	next     uint64
-	meanTook float64       // nanoseconds, over all replicas
-	looked   time.Duration // when the replicas were last looked at
-	out      []Action
+	opts        Options
+	pool        *pool
+	queue       *queue
+	permits     map[uint64]*permit
+	granted     map[taskKey]uint64 // by task
+	lastPermit  uint64
+	meanTime    float64       // moving average of task times over all replicas, in nanoseconds
+	refreshedAt time.Duration // when the replicas were last refreshed
+	actions     []Action
 }
 
 // New returns a scheduler without replicas.
@@ -97,64 +97,65 @@
 		pool:    newPool(o.Policy, rand.New(rand.NewPCG(seed, seed))),
 		queue:   newQueue(),
 		permits: make(map[uint64]*permit),
-		granted: make(map[askKey]uint64),
+		granted: make(map[taskKey]uint64),
 	}
 }
 
-// Configure changes the options in force; the policy stays.
+// Configure changes the options in force, except for the policy.
 func (s *Scheduler) Configure(opts ...Option) {
 	for _, f := range opts {
 		f(&s.opts)
 	}
 }
 
-// Ask takes in a stage: it is granted, refused at once, or queued.
-func (s *Scheduler) Submit(now time.Duration, a Task) []Action {
-	s.out = nil
-	s.wake(now)
+// Submit grants a slot to a stage, refuses it at once, or queues it.
+func (s *Scheduler) Submit(now time.Duration, t Task) []Action {
+	s.actions = nil
+	s.refreshIfStale(now)
 	if s.pool.len() == 0 {
-		s.refuse(&a, NoReplica, s.opts.MinRetryAfter)
-		return s.out
+		s.refuse(&t, NoReplica, s.opts.MinRetryAfter)
+		return s.actions
 	}
-	wait := s.expectWait(&a, 0)
-	if s.queue.arrive(&a) {
-		wait = 0 // it was admitted with its wait counted in
+	wait := s.expectedWait(&t, 0)
+	if s.queue.endAnnouncement(&t) {
+		wait = 0 // its wait was accounted for when the announcement was admitted
 	}
-	if s.opts.Shed > 0 && s.hopeless(now, &a, wait) {
-		return s.out
+	if s.opts.Shed > 0 && s.refuseIfHopeless(now, &t, wait) {
+		return s.actions
 	}
-	s.queue.push(&a, s.dropAt(now, &a))
-	s.pump(now)
-	return s.out
+	s.queue.push(&t, s.dropAt(now, &t))
+	s.dispatch(now)
+	return s.actions
 }
 
-// Announce takes in a stage that a request will ask for once its earlier
-// stages are done, after about ready. It is admitted and counted from now on,
-// or refused while nothing of the request has run.
-func (s *Scheduler) Announce(now time.Duration, a Task, ready time.Duration) []Action {
-	s.out = nil
-	s.wake(now)
+// Announce reserves a place for a stage that a request will submit once its earlier
+// stages are done, in about ready. It counts the stage from now on, or refuses it
+// before anything of the request has run.
+func (s *Scheduler) Announce(now time.Duration, t Task, ready time.Duration) []Action {
+	s.actions = nil
+	s.refreshIfStale(now)
 	if s.pool.len() == 0 {
-		s.refuse(&a, NoReplica, s.opts.MinRetryAfter)
-		return s.out
+		s.refuse(&t, NoReplica, s.opts.MinRetryAfter)
+		return s.actions
 	}
-	at := a // its slack counts from when it will be ready
-	at.Deadline -= ready
-	if s.opts.Shed > 0 && s.hopeless(now, &at, s.expectWait(&a, ready)) {
-		return s.out
+	shifted := t // its slack counts from when it will be ready
+	shifted.Deadline -= ready
+	if s.opts.Shed > 0 && s.refuseIfHopeless(now, &shifted, s.expectedWait(&t, ready)) {
+		return s.actions
 	}
-	s.queue.announce(&a)
-	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Admitted: true})
-	return s.out
+	s.queue.announce(&t)
+	s.actions = append(s.actions, Action{Task: t.ID, Holder: t.Holder, Admitted: true})
+	return s.actions
 }
 
-// hopeless refuses an ask that can't be whole in time even if all goes as expected.
-func (s *Scheduler) hopeless(now time.Duration, a *Task, wait time.Duration) bool {
-	need := a.Expected
+// refuseIfHopeless refuses a task that can't meet its deadline even if everything takes
+// as long as expected.
+func (s *Scheduler) refuseIfHopeless(now time.Duration, t *Task, wait time.Duration) bool {
+	need := t.Expected
 	if wait > 0 {
-		need = s.margin(now, a) + time.Duration(waitMargin*float64(wait))
+		need = s.margin(now, t) + time.Duration(waitMargin*float64(wait))
 	}
-	left := a.slack(now) - wait - need
+	left := t.slack(now) - wait - need
 	if left >= 0 {
 		return false
 	}
@@ -162,144 +163,148 @@
 	if wait == 0 {
 		reason = TooLate
 	}
-	s.refuse(a, reason, max(wait, s.opts.MinRetryAfter))
+	s.refuse(t, reason, max(wait, s.opts.MinRetryAfter))
 	return true
 }
 
-// expectWait is how long the ask would queue, were it ready after that time:
-// all slots together end one request every mean/slots.
-func (s *Scheduler) expectWait(a *Task, ready time.Duration) time.Duration {
+// expectedWait is how long the task would queue if it became ready after the given
+// time: all slots together complete one task every mean/slots.
+func (s *Scheduler) expectedWait(t *Task, ready time.Duration) time.Duration {
 	slots := s.slots()
-	first := len(s.permits) + s.queue.ahead(a) + 1 - slots // must end before it starts
-	if slots == 0 || first <= 0 {
+	ahead := len(s.permits) + s.queue.ahead(t) + 1 - slots // tasks that must end before it starts
+	if slots == 0 || ahead <= 0 {
 		return 0
 	}
-	took := max(s.meanTook, float64(a.Expected)/4)
-	return max(time.Duration(float64(first)/float64(slots)*took)-ready, 0)
+	took := max(s.meanTime, float64(t.Expected)/4)
+	return max(time.Duration(float64(ahead)/float64(slots)*took)-ready, 0)
 }
 
-// slots is how many permits this scheduler may have out.
+// slots is the number of permits that this scheduler may issue.
 func (s *Scheduler) slots() int {
 	return int(math.Ceil(s.opts.Share * float64(s.pool.slots())))
 }
 
-// full reports whether its share is out; baselines know no share.
+// full reports whether this scheduler has issued all its permits; the baseline policies
+// have no such limit.
 func (s *Scheduler) full() bool {
 	bounded := s.opts.Policy == Exact || s.opts.Policy == Local
 	return bounded && s.opts.Share < 1 && len(s.permits) >= s.slots()
 }
 
-// margin is the slack that an ask which waits must have left when it starts:
-// Shed times its expected time, but never so much that none could wait.
-func (s *Scheduler) margin(now time.Duration, a *Task) time.Duration {
-	m := s.opts.Shed * float64(a.Expected)
-	return time.Duration(min(m, mostMargin*float64(max(a.slack(now), 0))))
+// margin is the slack that a waiting task must have left when it starts: Shed times its
+// expected time, but no more than maxMargin of its current slack, so that some wait is
+// always possible.
+func (s *Scheduler) margin(now time.Duration, t *Task) time.Duration {
+	m := s.opts.Shed * float64(t.Expected)
+	return time.Duration(min(m, maxMargin*float64(max(t.slack(now), 0))))
 }
 
-// dropAt is when an ask that is queued now will be given up.
-func (s *Scheduler) dropAt(now time.Duration, a *Task) time.Duration {
-	return a.Deadline - a.Remaining - s.margin(now, a)
+// dropAt is when a task that is queued now will be dropped.
+func (s *Scheduler) dropAt(now time.Duration, t *Task) time.Duration {
+	return t.Deadline - t.Remaining - s.margin(now, t)
 }
 
-// Done returns a permit's slot after took; zero means that it was not used.
+// Release returns a permit's slot after the task ran for took; zero means that the
+// permit was not used.
 func (s *Scheduler) Release(now time.Duration, id uint64, took time.Duration, failed bool) []Action {
-	s.out = nil
+	s.actions = nil
 	p, ok := s.permits[id]
 	if !ok {
 		return nil
 	}
-	s.forget(id, p)
+	s.removePermit(id, p)
 	if took == 0 && !failed {
-		s.pool.drop(p)
-		s.pump(now)
-		return s.out
+		s.pool.returnSlot(p)
+		s.dispatch(now)
+		return s.actions
 	}
 	s.pool.release(now, p, took, failed, s.opts)
 	if !failed {
-		s.meanTook += 0.02 * (float64(took) - s.meanTook)
-		if s.meanTook < float64(took)/50 {
-			s.meanTook = float64(took)
+		s.meanTime += 0.02 * (float64(took) - s.meanTime)
+		if s.meanTime < float64(took)/50 {
+			s.meanTime = float64(took)
 		}
 	}
-	s.pump(now)
-	return s.out
+	s.dispatch(now)
+	return s.actions
 }
 
-func (s *Scheduler) forget(id uint64, p *permit) {
+func (s *Scheduler) removePermit(id uint64, p *permit) {
 	delete(s.permits, id)
-	delete(s.granted, p.ask)
+	delete(s.granted, p.task)
 }
 
-// Cancel drops an ask or announcement whose caller gave it up; if it was
-// granted meanwhile, its slot is free again.
+// Cancel drops a task or announcement that its caller gave up. If it was granted
+// meanwhile, its slot is returned.
 func (s *Scheduler) Cancel(now time.Duration, id uint64, holder string) []Action {
 	s.queue.cancel(id, holder)
-	permit, ok := s.granted[askKey{holder, id}]
+	permit, ok := s.granted[taskKey{holder, id}]
 	if !ok {
 		return nil
 	}
 	return s.Release(now, permit, 0, false)
 }
 
-// DropHolder ends the permits and asks of a holder that is gone.
+// DropHolder ends the permits and tasks of a holder that is gone.
 func (s *Scheduler) DropHolder(now time.Duration, holder string) []Action {
-	s.out = nil
+	s.actions = nil
 	s.queue.dropHolder(holder)
 	for id, p := range s.permits {
-		if p.ask.holder == holder {
-			s.forget(id, p)
-			s.pool.drop(p)
+		if p.task.holder == holder {
+			s.removePermit(id, p)
+			s.pool.returnSlot(p)
 		}
 	}
-	s.pump(now)
-	return s.out
+	s.dispatch(now)
+	return s.actions
 }
 
-// SetReplicas gives the replicas that may take work, with their slots.
+// SetReplicas sets the replicas that accept tasks, with their slots.
 func (s *Scheduler) SetReplicas(now time.Duration, slots map[string]int) []Action {
-	s.out = nil
-	s.pool.set(now, slots)
+	s.actions = nil
+	s.pool.setReplicas(now, slots)
 	s.pool.refresh(now, s.opts)
-	s.pump(now)
-	return s.out
+	s.dispatch(now)
+	return s.actions
 }
 
-// Idle reports whether nothing runs, waits or was announced; an idle scheduler
-// needs no ticks.
+// Idle reports whether nothing runs, waits or is announced; an idle scheduler needs no
+// ticks.
 func (s *Scheduler) Idle() bool {
-	return len(s.permits)+s.queue.len()+len(s.queue.coming) == 0
+	return len(s.permits)+s.queue.len()+len(s.queue.announced) == 0
 }
 
-// Tick drops the doomed and looks at replicas whose requests are overdue; call
-// it about every 20 ms unless it is idle.
+// Tick drops tasks that can no longer meet their deadline and checks replicas for
+// overdue tasks. Call it about every 20 ms unless the scheduler is idle.
 func (s *Scheduler) Tick(now time.Duration) []Action {
-	s.out = nil
-	s.look(now)
-	s.pump(now)
-	return s.out
+	s.actions = nil
+	s.refresh(now)
+	s.dispatch(now)
+	return s.actions
 }
 
-// wake looks at the replicas when no tick has for a while.
-func (s *Scheduler) wake(now time.Duration) {
-	if now-s.looked > lookEvery {
-		s.look(now)
+// refreshIfStale refreshes the replicas if no tick has done so recently.
+func (s *Scheduler) refreshIfStale(now time.Duration) {
+	if now-s.refreshedAt > maxRefreshInterval {
+		s.refresh(now)
 	}
 }
 
-func (s *Scheduler) look(now time.Duration) {
-	s.looked = now
+func (s *Scheduler) refresh(now time.Duration) {
+	s.refreshedAt = now
 	for _, p := range s.permits {
-		s.pool.watch(now, p, s.opts)
+		s.pool.markLate(now, p, s.opts)
 	}
 	s.pool.refresh(now, s.opts)
 }
 
-// pump refuses the doomed, then grants while there are asks and slots.
-func (s *Scheduler) pump(now time.Duration) {
+// dispatch refuses tasks that can no longer meet their deadline, then grants slots
+// while there are queued tasks and free slots.
+func (s *Scheduler) dispatch(now time.Duration) {
 	if s.opts.Shed > 0 {
 		s.queue.expire(now)
-		for a := s.queue.popDoomed(now); a != nil; a = s.queue.popDoomed(now) {
-			s.refuse(a, TooLate, max(s.expectWait(a, 0), s.opts.MinRetryAfter))
+		for t := s.queue.popExpired(now); t != nil; t = s.queue.popExpired(now) {
+			s.refuse(t, TooLate, max(s.expectedWait(t, 0), s.opts.MinRetryAfter))
 		}
 	}
 	for s.queue.len() > 0 && !s.full() {
@@ -307,34 +312,34 @@
 		if r == nil {
 			return
 		}
-		a := s.queue.pop()
-		if len(a.Avoid) > 0 {
-			if other := s.pool.pick(a.Avoid); other != nil {
+		t := s.queue.pop()
+		if len(t.Avoid) > 0 {
+			if other := s.pool.pick(t.Avoid); other != nil {
 				r = other
 			}
 		}
-		s.grant(now, a, r)
+		s.grant(now, t, r)
 	}
 }
 
-func (s *Scheduler) grant(now time.Duration, a *Task, r *replica) {
-	s.next++
-	key := askKey{a.Holder, a.ID}
-	s.permits[s.next] = &permit{replica: r, ask: key, start: now, expect: a.Expected}
-	s.granted[key] = s.next
-	s.pool.take(now, r, s.opts)
-	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Permit: s.next, Replica: r.id})
+func (s *Scheduler) grant(now time.Duration, t *Task, r *replica) {
+	s.lastPermit++
+	key := taskKey{t.Holder, t.ID}
+	s.permits[s.lastPermit] = &permit{replica: r, task: key, start: now, expected: t.Expected}
+	s.granted[key] = s.lastPermit
+	s.pool.acquire(now, r, s.opts)
+	s.actions = append(s.actions, Action{Task: t.ID, Holder: t.Holder, Permit: s.lastPermit, Replica: r.id})
 }
 
-func (s *Scheduler) refuse(a *Task, why Reason, after time.Duration) {
-	s.out = append(s.out, Action{Task: a.ID, Holder: a.Holder, Reason: why, RetryAfter: after})
+func (s *Scheduler) refuse(t *Task, why Reason, after time.Duration) {
+	s.actions = append(s.actions, Action{Task: t.ID, Holder: t.Holder, Reason: why, RetryAfter: after})
 }
 
 // Stats is a scheduler's state for dumps and load figures.
 type Stats struct {
 	Policy    Policy         `json:"policy"`
 	Queued    int            `json:"queued"`
-	Announced int            `json:"coming"` // announced
+	Announced int            `json:"coming"`
 	Running   int            `json:"running"`
 	Slots     int            `json:"slots"`
 	Replicas  []ReplicaStats `json:"replicas"`
@@ -345,7 +350,7 @@
 	return Stats{
 		Policy:    s.opts.Policy,
 		Queued:    s.queue.len(),
-		Announced: len(s.queue.coming),
+		Announced: len(s.queue.announced),
 		Running:   len(s.permits),
 		Slots:     s.pool.slots(),
 		Replicas:  s.pool.stats(),
