--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -227,7 +227,7 @@
 func (e *Entry) earnRetry() {
 	e.retriesMu.Lock()
 	defer e.retriesMu.Unlock()
-	e.retries.Success()
+	e.retries.RecordSuccess()
 }
 
 func (e *Entry) takeRetry() bool {
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -147,7 +147,7 @@
 	}
 	s.end = req.Arrived + s.allowed()
 	s.fingerprint = quarantine.FingerprintOf(s.customer, req.Method, req.Host, req.Target, req.Body)
-	s.rates(func(r *serviceRates) { r.budget.Success() })
+	s.rates(func(r *serviceRates) { r.budget.RecordSuccess() })
 	return s, nil
 }
 
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -16,7 +16,7 @@
 }
 
 // Success earns its share of a retry.
-func (b *Budget) Success() {
+func (b *Budget) RecordSuccess() {
 	b.tokens = min(b.tokens+b.share, b.most)
 }
 
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -12,7 +12,7 @@
 	b := NewBudget(0.1, 3)
 	taken := 0
 	for range 1000 {
-		b.Success()
+		b.RecordSuccess()
 		for b.Take() {
 			taken++
 		}
