--- a/cmd/coord/orders.go
+++ b/cmd/coord/orders.go
@@ -89,7 +89,7 @@
 		c.count.platformReads.Inc(1)
 		kv, err := c.platform.Get(leaseKey)
 		if err != nil || (kv.Version != 0 && string(kv.Value) != c.leaseName()) {
-			o.lease.Lost()
+			o.lease.RecordLoss()
 			return
 		}
 		version = kv.Version
@@ -101,7 +101,7 @@
 		// Refused, or unknown: what is held runs out by the own clock.
 		return
 	}
-	o.lease.Granted(sent, next)
+	o.lease.RecordGrant(sent, next)
 }
 
 // leaseName names this incarnation, so that a restarted coord does not take
@@ -143,7 +143,7 @@
 	if !r.ChecksFences && !o.lease.Settled(o.coord.now(), orderLimit) {
 		return true // a former holder's order may still be under way: later
 	}
-	token, ok := o.lease.May(o.coord.now(), orderLimit)
+	token, ok := o.lease.CanAct(o.coord.now(), orderLimit)
 	if !ok {
 		return false
 	}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -27,7 +27,7 @@
 func (l *Lease) TTL() time.Duration { return l.ttl }
 
 // Granted notes that a write sent at that time took or renewed the lease.
-func (l *Lease) Granted(sent time.Duration, version uint64) {
+func (l *Lease) RecordGrant(sent time.Duration, version uint64) {
 	if !l.Held(sent) {
 		l.since = sent
 	}
@@ -37,14 +37,14 @@
 }
 
 // Lost notes that another holds it, or that the platform refused a renewal.
-func (l *Lease) Lost() { l.held = false }
+func (l *Lease) RecordLoss() { l.held = false }
 
 // Held reports whether the lease is held at now.
 func (l *Lease) Held(now time.Duration) bool { return l.held && now < l.until }
 
 // May reports whether an act that takes at most limit may begin now, and under
 // which token. It must be asked right before the act.
-func (l *Lease) May(now, limit time.Duration) (token uint64, ok bool) {
+func (l *Lease) CanAct(now, limit time.Duration) (token uint64, ok bool) {
 	return l.token, l.held && now+limit < l.until
 }
 
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -13,17 +13,17 @@
 func TestHeldByOwnClockFromBeforeTheWrite(t *testing.T) {
 	is := is.New(t)
 	l := New(ttl, margin)
-	l.Granted(time.Second, 8) // the answer may have come much later
+	l.RecordGrant(time.Second, 8) // the answer may have come much later
 	is.True(l.Held(3 * time.Second))
 	is.True(!l.Held(3*time.Second + 500*time.Millisecond))
-	_, ok := l.May(3*time.Second+400*time.Millisecond, limit)
+	_, ok := l.CanAct(3*time.Second+400*time.Millisecond, limit)
 	is.True(!ok) // it would end after the lease
-	l.Granted(4*time.Second, 12)
+	l.RecordGrant(4*time.Second, 12)
 	is.True(!l.Settled(5*time.Second, limit)) // taken anew: another may have held it in between
-	l.Granted(6*time.Second, 14)
-	l.Granted(8*time.Second, 16)
+	l.RecordGrant(6*time.Second, 14)
+	l.RecordGrant(8*time.Second, 16)
 	is.True(l.Settled(8*time.Second, limit))
-	l.Lost()
+	l.RecordLoss()
 	is.True(!l.Held(8 * time.Second))
 }
 
@@ -63,7 +63,7 @@
 func (m *model) write(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "who")
 	if m.owner != i && m.now < m.lapses {
-		m.leases[i].Lost()
+		m.leases[i].RecordLoss()
 		return
 	}
 	sent := m.now
@@ -72,14 +72,14 @@
 	m.owner, m.lapses = i, m.now+ttl
 	m.byVersion[m.version] = i
 	if rapid.Bool().Draw(t, "answered") {
-		m.leases[i].Granted(sent, m.version)
+		m.leases[i].RecordGrant(sent, m.version)
 	}
 }
 
 // act sends an order that pauses on its way; the receiver checks its token.
 func (m *model) act(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "who")
-	token, ok := m.leases[i].May(m.now, limit)
+	token, ok := m.leases[i].CanAct(m.now, limit)
 	if !ok {
 		return
 	}
