--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -135,7 +135,7 @@
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(deadlines),
 		lending:    newLending(),
-		stopPlan:   shutdown.For(s.StopFor),
+		stopPlan:   shutdown.NewPlan(s.StopFor),
 	}
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
@@ -221,7 +221,7 @@
 	n.members.SetLeaving()
 	n.gossipMu.Unlock()
 	n.tell()
-	time.Sleep(n.stopPlan.TakesUntil)
+	time.Sleep(n.stopPlan.RequestsUntil)
 	for n.inFlight.Load() > 0 && n.now()-start < n.stopPlan.End {
 		time.Sleep(stopPoll)
 	}
@@ -243,7 +243,7 @@
 
 // takes reports whether a request is taken although a stop may be under way.
 func (n *Node) takes(stream bool) bool {
-	return !n.stopping.Load() || n.stopPlan.Takes(n.now()-time.Duration(n.stopBegan.Load()), stream)
+	return !n.stopping.Load() || n.stopPlan.Accepts(n.now()-time.Duration(n.stopBegan.Load()), stream)
 }
 
 const (
--- a/coordination/shutdown/shutdown.go
+++ b/coordination/shutdown/shutdown.go
@@ -8,9 +8,9 @@
 
 // Plan is the course of one planned stop, as times since the stop signal.
 type Plan struct {
-	StreamsUntil time.Duration // streams are still taken
-	TakesUntil   time.Duration // short requests are still taken
-	End          time.Duration // the process ends whatever runs
+	StreamsUntil  time.Duration // streams are still taken
+	RequestsUntil time.Duration // short requests are still taken
+	End           time.Duration // the process ends whatever runs
 }
 
 // Shares of the time that the platform gives.
@@ -21,11 +21,11 @@
 )
 
 // For returns the plan for a platform that kills after grace.
-func For(grace time.Duration) Plan {
+func NewPlan(grace time.Duration) Plan {
 	return Plan{
-		StreamsUntil: share(grace, streamsShare),
-		TakesUntil:   share(grace, takesShare),
-		End:          max(grace-endMargin, grace/2),
+		StreamsUntil:  share(grace, streamsShare),
+		RequestsUntil: share(grace, takesShare),
+		End:           max(grace-endMargin, grace/2),
 	}
 }
 
@@ -33,9 +33,9 @@
 
 // Takes reports whether a request that comes so long after the stop signal is
 // taken; the others are told to come back elsewhere at once.
-func (p Plan) Takes(since time.Duration, stream bool) bool {
+func (p Plan) Accepts(since time.Duration, stream bool) bool {
 	if stream {
 		return since < p.StreamsUntil
 	}
-	return since < p.TakesUntil
+	return since < p.RequestsUntil
 }
