--- a/cmd/entry/callers.go
+++ b/cmd/entry/callers.go
@@ -205,7 +205,7 @@
 	return &run{
 		view: v, customer: c, pipeline: p, class: class, input: []byte(q.Input), stream: q.Stream, body: body,
 		received: received, deadline: received.Add(time.Duration(deadline) * time.Millisecond),
-		record: outcome.Accept(),
+		record: outcome.NewRecord(),
 	}, nil
 }
 
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -36,7 +36,7 @@
 type attempt struct {
 	*serving
 	replica catalog.Replica
-	token   outcome.Dispatched
+	token   outcome.DispatchToken
 	conn    *upstream.Conn
 	x       *upstream.Exchange
 	head    platform.Head
@@ -166,7 +166,7 @@
 		n.sawLeaving(a.replica.ID, "answer")
 	}
 	if way == ending.TurnedAway || way == ending.NoInputs {
-		a.record.NotRun(a.token)
+		a.record.MarkNotRun(a.token)
 		delete(a.tried, a.replica.ID)
 	}
 	says := way.Reading()
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -159,7 +159,7 @@
 		platform.Expect(c.replica, req.Header.Set)
 	}
 	req.SetBody(c.body)
-	record := outcome.Accept()
+	record := outcome.NewRecord()
 	token, _ := record.Dispatch()
 	x, err := cn.Begin(token, req)
 	if err != nil {
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -117,7 +117,7 @@
 	}
 	s := &serving{
 		node: n, w: w, req: req, world: world, route: route,
-		record: outcome.Accept(),
+		record: outcome.NewRecord(),
 		tried:  make(map[string]bool),
 		avoid:  make(map[string]bool),
 		rank:   route.Priority*rankStep + route.Priority,
--- a/coordination/outcome/outcome.go
+++ b/coordination/outcome/outcome.go
@@ -38,10 +38,10 @@
 func (r Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
 // Dispatched is the permission to write towards an upstream.
-type Dispatched struct{ record *Record }
+type DispatchToken struct{ record *Record }
 
 // Valid reports whether the token came from a record.
-func (d Dispatched) Valid() bool { return d.record != nil }
+func (d DispatchToken) Valid() bool { return d.record != nil }
 
 // Record is one request's dispatch state.
 type Record struct {
@@ -51,7 +51,7 @@
 }
 
 // Accept returns the record of a request that was just received.
-func Accept() *Record { return &Record{} }
+func NewRecord() *Record { return &Record{} }
 
 // Refuse ends the record as not run. It fails once dispatching began or the
 // record ended; the caller must then answer Failed or Unknown.
@@ -66,19 +66,19 @@
 }
 
 // Dispatch moves the record to dispatching. It fails after a refusal.
-func (r *Record) Dispatch() (Dispatched, bool) {
+func (r *Record) Dispatch() (DispatchToken, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended {
-		return Dispatched{}, false
+		return DispatchToken{}, false
 	}
 	r.open++
-	return Dispatched{record: r}, true
+	return DispatchToken{record: r}, true
 }
 
 // NotRun takes in an upstream's own word, or the proof that nothing was
 // written, that a dispatched attempt was not run. Call it once for an attempt.
-func (r *Record) NotRun(d Dispatched) {
+func (r *Record) MarkNotRun(d DispatchToken) {
 	if d.record != r {
 		return
 	}
--- a/transport/upstream/call.go
+++ b/transport/upstream/call.go
@@ -47,7 +47,7 @@
 // Do sends the call and reads the whole answer. On success the connection goes
 // back to its client, else it is closed; a missed deadline is
 // os.ErrDeadlineExceeded too.
-func (cn *Conn) Do(d outcome.Dispatched, c *Call) (*Answer, error) {
+func (cn *Conn) Do(d outcome.DispatchToken, c *Call) (*Answer, error) {
 	a, err := cn.do(d, c)
 	if err != nil {
 		cn.Close()
@@ -60,7 +60,7 @@
 	return a, nil
 }
 
-func (cn *Conn) do(d outcome.Dispatched, c *Call) (*Answer, error) {
+func (cn *Conn) do(d outcome.DispatchToken, c *Call) (*Answer, error) {
 	digest := Digest(c.Input)
 	if err := cn.net.SetDeadline(c.Deadline); err != nil {
 		return nil, errors.Join(ErrCut, err)
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -38,7 +38,7 @@
 }
 
 // Begin writes a request; from here on it may run.
-func (cn *Conn) Begin(d outcome.Dispatched, req *fasthttp.Request) (*Exchange, error) {
+func (cn *Conn) Begin(d outcome.DispatchToken, req *fasthttp.Request) (*Exchange, error) {
 	x := &Exchange{conn: cn, noBody: req.Header.IsHead()}
 	if len(req.Body()) < writeAside {
 		return x, cn.send(d, req)
--- a/transport/upstream/upstream.go
+++ b/transport/upstream/upstream.go
@@ -164,7 +164,7 @@
 func quiet(c net.Conn) bool { return peek.Look(c) == peek.Quiet }
 
 // send writes the request; from here on it may run.
-func (cn *Conn) send(d outcome.Dispatched, req *fasthttp.Request) error {
+func (cn *Conn) send(d outcome.DispatchToken, req *fasthttp.Request) error {
 	if !d.Valid() {
 		return ErrToken
 	}
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -32,9 +32,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func dispatched(t *testing.T) outcome.Dispatched {
+func dispatched(t *testing.T) outcome.DispatchToken {
 	t.Helper()
-	d, ok := outcome.Accept().Dispatch()
+	d, ok := outcome.NewRecord().Dispatch()
 	is.New(t).True(ok)
 	return d
 }
@@ -80,7 +80,7 @@
 	addr := replica(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 	conn, err := New().Connect(addr)
 	is.NoErr(err)
-	_, err = conn.Do(outcome.Dispatched{}, call(time.Second))
+	_, err = conn.Do(outcome.DispatchToken{}, call(time.Second))
 	is.Equal(err, ErrToken)
 	is.Equal(runs.Load(), int32(0))
 }
