--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -1,19 +1,19 @@
-// Package limit holds customers' rate limits: each instance fills a bucket at
-// its share of the customer's one fleet-wide rate.
+// Package limit enforces customers' rate limits: each instance fills a token bucket at
+// its share of the customer's rate over the whole fleet.
 package limit
 
 import "time"
 
-// Bucket is a token bucket; not safe for concurrent use.
+// Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
 	tokens float64
 	at     time.Duration
 	filled bool
 }
 
-// Take spends one token of a bucket that fills at rate a second up to burst.
-// When there is none it returns false and when to come back. A rate of zero
-// means no limit.
+// Take spends one token of a bucket that fills at rate per second up to burst. When
+// there is none it returns false and the time until the next one. A rate of zero means
+// no limit.
 func (b *Bucket) Take(now time.Duration, rate, burst float64) (bool, time.Duration) {
 	if rate <= 0 {
 		return true, 0
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -27,29 +27,29 @@
 func TestSharesFollowDemand(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget()
-	is.Equal(b.Share(0, "a", 300, 400), 400.0) // alone: all of it
-	is.Equal(b.Share(0, "b", 0, 400), 50.0)    // half of what is over
+	is.Equal(b.Share(0, "a", 300, 400), 400.0) // a single holder gets all of it
+	is.Equal(b.Share(0, "b", 0, 400), 50.0)    // half of the unused rate
 	is.Equal(b.Share(0, "c", 500, 400), 250.0) // 500 of 800
 	is.Equal(b.Share(time.Second, "a", 300, 400), 150.0)
-	is.Equal(b.Share(10*time.Second, "b", 0, 400), 400.0) // the others are gone
+	is.Equal(b.Share(10*time.Second, "b", 0, 400), 400.0) // the other reports have expired
 }
 
-// Shares handed out in one round never add up to more than the rate.
+// Shares assigned in one round never add up to more than the rate.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wants := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "wants")
+		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "wants")
 		rate := rapid.Float64Range(1, 2000).Draw(t, "rate")
 		b := NewBudget()
 		name := func(i int) string { return string(rune('a' + i)) }
-		for i, w := range wants {
+		for i, w := range demands {
 			b.Share(0, name(i), w, rate)
 		}
 		sum := 0.0
-		for i, w := range wants {
+		for i, w := range demands {
 			sum += b.Share(0, name(i), w, rate)
 		}
 		if sum > rate*1.000001 {
-			t.Fatalf("%g of %g", sum, rate)
+			t.Fatalf("shares add up to %g of %g", sum, rate)
 		}
 	})
 }
--- a/coordination/limit/share.go
+++ b/coordination/limit/share.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// forgetAfter is how long a holder counts after its last report.
-const forgetAfter = 3 * time.Second
+// reportLifetime is how long a holder's report counts.
+const reportLifetime = 3 * time.Second
 
-// Budget divides a customer's one fleet-wide rate among the entries that see
-// its requests, by what each sees. It lives at the customer's soft owner; two
-// owners for a moment let a little more through. Not safe for concurrent use.
-type Budget struct{ holders map[string]demand }
+// Budget divides a customer's rate over the whole fleet among the entries that receive
+// its requests, in proportion to the demand at each. It is kept by the customer's
+// owner; while two instances both act as the owner, slightly more than the rate is let
+// through. It is not safe for concurrent use.
+type Budget struct{ holders map[string]report }
 
-type demand struct {
-	want float64 // requests a second
-	at   time.Duration
+type report struct {
+	demand float64 // requests per second
+	at     time.Duration
 }
 
-// NewBudget returns a budget that nobody draws on.
-func NewBudget() *Budget { return &Budget{holders: make(map[string]demand)} }
+// NewBudget returns a budget without holders.
+func NewBudget() *Budget { return &Budget{holders: make(map[string]report)} }
 
-// Share takes in what a holder sees, in requests a second, and returns the rate
-// it may let through: what it wants and a part of what is over, or its part of
-// what there is.
-func (b *Budget) Share(now time.Duration, holder string, want, rate float64) float64 {
-	b.holders[holder] = demand{want, now}
+// Share records a holder's demand in requests per second and returns the rate that it
+// may let through: its demand and an equal part of the unused rate, or a proportional
+// part of the rate when demand exceeds it.
+func (b *Budget) Share(now time.Duration, holder string, demand, rate float64) float64 {
+	b.holders[holder] = report{demand, now}
 	total := 0.0
 	for h, d := range b.holders {
-		if now-d.at > forgetAfter {
+		if now-d.at > reportLifetime {
 			delete(b.holders, h)
 			continue
 		}
-		total += d.want
+		total += d.demand
 	}
 	if total <= rate {
-		return want + (rate-total)/float64(len(b.holders))
+		return demand + (rate-total)/float64(len(b.holders))
 	}
-	return rate * want / total
+	return rate * demand / total
 }
 
 // Idle reports whether no holder has reported lately.
 func (b *Budget) Idle(now time.Duration) bool {
 	for _, d := range b.holders {
-		if now-d.at <= forgetAfter {
+		if now-d.at <= reportLifetime {
 			return false
 		}
 	}
