--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,23 +1,23 @@
-// Package retry holds the one budget for all retries of a process: a share of
-// the successes, so that a failing service is not hit by a multiple of its load.
+// Package retry limits all retries of a process by one budget, a fraction of its
+// successes, so that a failing service is not hit by a multiple of its load.
 package retry
 
-// Budget is not safe for concurrent use.
+// Budget is a retry budget. It is not safe for concurrent use.
 type Budget struct {
-	share  float64
-	most   float64
-	tokens float64
+	ratio    float64
+	capacity float64
+	tokens   float64
 }
 
-// NewBudget returns a budget that earns share of a retry per success and
-// holds at most that many.
-func NewBudget(share, most float64) *Budget {
-	return &Budget{share: share, most: most, tokens: most}
+// NewBudget returns a full budget that earns ratio retries per success and holds at
+// most capacity of them.
+func NewBudget(ratio, capacity float64) *Budget {
+	return &Budget{ratio: ratio, capacity: capacity, tokens: capacity}
 }
 
-// Success earns its share of a retry.
+// RecordSuccess earns a fraction of a retry.
 func (b *Budget) RecordSuccess() {
-	b.tokens = min(b.tokens+b.share, b.most)
+	b.tokens = min(b.tokens+b.ratio, b.capacity)
 }
 
 // Take spends one retry if there is one.
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -6,19 +6,20 @@
 	"github.com/matryer/is"
 )
 
-// However many fail, retries stay a share of the successes and a few at once.
-func TestBudgetIsAShareOfSuccesses(t *testing.T) {
+// However many requests fail, the number of retries stays within the budget's capacity
+// and its fraction of the successes.
+func TestRetriesAreBoundedBySuccesses(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 3)
-	taken := 0
+	retries := 0
 	for range 1000 {
 		b.RecordSuccess()
 		for b.Take() {
-			taken++
+			retries++
 		}
 	}
-	is.True(taken <= 103)
+	is.True(retries <= 103)
 	for range 5 {
-		is.True(!b.Take()) // nothing earned, nothing given
+		is.True(!b.Take()) // nothing earned since
 	}
 }
