--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,58 +1,59 @@
-// Package lease decides whether this process holds an authority that the
-// platform grants to one at a time, and under which fencing token it may act
-// (Gray and Cheriton, 1989; sequencers after Burrows, 2006).
+// Package lease decides whether this process holds an authority that the platform
+// grants to one process at a time, and under which fencing token it may act (Gray and
+// Cheriton, 1989; sequencers after Burrows, 2006).
 //
-// No clock of another machine counts: the holder's own monotonic clock, read
-// before the write that took or renewed the lease was sent, bounds it from
-// below. What that leaves open, a pause between the check and the act, only a
-// receiver that checks tokens can close.
+// It doesn't rely on the clock of another machine. The holder reads its own monotonic
+// clock before it sends the write that takes or renews the lease, so its estimate of
+// the lease's end is never late. A process may still pause between the check and the
+// act; only a receiver that checks tokens protects against that.
 package lease
 
 import "time"
 
-// Lease is one process's side of a lease. Not safe for concurrent use.
+// Lease is one process's side of a lease. It is not safe for concurrent use.
 type Lease struct {
-	ttl    time.Duration
-	margin time.Duration
-	token  uint64        // version of the key as last written; rises with every write of anybody
-	until  time.Duration // own clock
-	since  time.Duration // own clock: when it was taken, not renewed
-	held   bool
+	ttl        time.Duration
+	margin     time.Duration
+	token      uint64        // version of the key as last written; every write by any process increases it
+	expiresAt  time.Duration // on the own clock
+	acquiredAt time.Duration // on the own clock; renewals don't change it
+	held       bool
 }
 
-// New returns a lease that is not held. margin is taken off its end.
+// New returns a lease that is not held. It counts as expired margin before its end.
 func New(ttl, margin time.Duration) *Lease { return &Lease{ttl: ttl, margin: margin} }
 
 // TTL is how long the platform keeps the lease without a renewal.
 func (l *Lease) TTL() time.Duration { return l.ttl }
 
-// Granted notes that a write sent at that time took or renewed the lease.
+// RecordGrant records that a write sent at the given time took or renewed the lease.
 func (l *Lease) RecordGrant(sent time.Duration, version uint64) {
 	if !l.Held(sent) {
-		l.since = sent
+		l.acquiredAt = sent
 	}
 	l.held = true
 	l.token = version
-	l.until = sent + l.ttl - l.margin
+	l.expiresAt = sent + l.ttl - l.margin
 }
 
-// Lost notes that another holds it, or that the platform refused a renewal.
+// RecordLoss records that another process holds the lease, or that the platform refused
+// a renewal.
 func (l *Lease) RecordLoss() { l.held = false }
 
 // Held reports whether the lease is held at now.
-func (l *Lease) Held(now time.Duration) bool { return l.held && now < l.until }
+func (l *Lease) Held(now time.Duration) bool { return l.held && now < l.expiresAt }
 
-// May reports whether an act that takes at most limit may begin now, and under
-// which token. It must be asked right before the act.
-func (l *Lease) CanAct(now, limit time.Duration) (token uint64, ok bool) {
-	return l.token, l.held && now+limit < l.until
+// CanAct reports whether an act of at most the given duration may begin now, and under
+// which token. Call it right before the act.
+func (l *Lease) CanAct(now, duration time.Duration) (token uint64, ok bool) {
+	return l.token, l.held && now+duration < l.expiresAt
 }
 
-// Settled reports whether every act of a former holder has ended: acts towards
-// receivers that check no tokens must wait for it.
-func (l *Lease) Settled(now, limit time.Duration) bool {
-	return l.Held(now) && now-l.since > l.ttl+limit
+// Settled reports whether every act of a former holder has ended. Acts on receivers
+// that don't check tokens must wait for it.
+func (l *Lease) Settled(now, duration time.Duration) bool {
+	return l.Held(now) && now-l.acquiredAt > l.ttl+duration
 }
 
-// Version is the version under which the next write must be made to renew.
+// Version is the version that the next write must name to renew the lease.
 func (l *Lease) Version() uint64 { return l.token }
