--- a/coordination/shutdown/shutdown.go
+++ b/coordination/shutdown/shutdown.go
@@ -1,38 +1,38 @@
-// Package shutdown decides what a stopping instance still takes, so that a
-// planned stop cuts off no request: clients keep its address for a while after
-// it has left the answers, and whatever it takes must end before the platform
-// ends the process.
+// Package shutdown decides which requests a stopping instance still accepts, so that a
+// planned stop breaks off none: clients keep using its address for a while after it is
+// no longer advertised, and every accepted request must end before the platform kills
+// the process.
 package shutdown
 
 import "time"
 
-// Plan is the course of one planned stop, as times since the stop signal.
+// Plan is the schedule of a planned stop, as times since the stop signal.
 type Plan struct {
-	StreamsUntil  time.Duration // streams are still taken
-	RequestsUntil time.Duration // short requests are still taken
-	End           time.Duration // the process ends whatever runs
+	StreamsUntil  time.Duration // end of accepting streams
+	RequestsUntil time.Duration // end of accepting short requests
+	End           time.Duration // requests still running are ended
 }
 
-// Shares of the time that the platform gives.
+// Fractions of the grace period.
 const (
-	streamsShare = 0.25                   // streams last seconds: they are taken until clients had time to notice, 2 s of 8
-	takesShare   = 0.45                   // short requests end within the rest; clients keep addresses for up to 5 s of 8
-	endMargin    = 250 * time.Millisecond // before the platform kills, for the last answers to leave
+	streamsShare  = 0.25                   // streams take seconds: they are accepted until clients had time to react, 2 s of 8 s
+	requestsShare = 0.45                   // short requests end within the remaining time; clients keep addresses for up to 5 s of 8 s
+	endMargin     = 250 * time.Millisecond // before the kill, so that the last answers are sent
 )
 
-// For returns the plan for a platform that kills after grace.
+// NewPlan returns the plan for a platform that kills the process after grace.
 func NewPlan(grace time.Duration) Plan {
 	return Plan{
 		StreamsUntil:  share(grace, streamsShare),
-		RequestsUntil: share(grace, takesShare),
+		RequestsUntil: share(grace, requestsShare),
 		End:           max(grace-endMargin, grace/2),
 	}
 }
 
 func share(d time.Duration, x float64) time.Duration { return time.Duration(float64(d) * x) }
 
-// Takes reports whether a request that comes so long after the stop signal is
-// taken; the others are told to come back elsewhere at once.
+// Accepts reports whether a request that arrives this long after the stop signal is
+// accepted; others are told at once to retry elsewhere.
 func (p Plan) Accepts(since time.Duration, stream bool) bool {
 	if stream {
 		return since < p.StreamsUntil
