--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -10,11 +10,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/ending"
 	"quinceroad/coordination/health"
 	"quinceroad/coordination/outcome"
 	"quinceroad/coordination/regions"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 	"quinceroad/state/catalog"
@@ -40,7 +40,7 @@
 	conn    *upstream.Conn
 	x       *upstream.Exchange
 	head    platform.Head
-	turn    stated.Attempt
+	turn    advisory.Attempt
 	cut     atomic.Pointer[error] // why this instance ended it; nil: it did not
 	sent    time.Duration
 	asleep  time.Duration // that the machine had been when it was sent
@@ -240,7 +240,7 @@
 	}
 	late := a.stater()
 	late.aside = true
-	a.node.takeHead(late, stated.Attempt{}, h)
+	a.node.takeHead(late, advisory.Attempt{}, h)
 	return false
 }
 
--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -7,8 +7,8 @@
 	hclog "github.com/hashicorp/go-hclog"
 	"github.com/valyala/fasthttp"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/pace"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 )
 
@@ -26,7 +26,7 @@
 	from := stater{life: "i-7f3a91c2", service: "s"}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.takeHead(from, stated.Attempt{}, &h)
+		n.takeHead(from, advisory.Attempt{}, &h)
 	}
 }
 
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/health"
-	"quinceroad/coordination/stated"
 	"quinceroad/protocol/event"
 	"quinceroad/protocol/pb"
 	"quinceroad/state/catalog"
@@ -198,7 +198,7 @@
 func (s *serving) mayUseChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.with(func(b *stated.Tracker) {
+	n.statements.with(func(b *advisory.Tracker) {
 		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.paced {
 			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/outcome"
 	"quinceroad/coordination/pipeline"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 	"quinceroad/state/catalog"
@@ -181,15 +181,15 @@
 
 // mayCall reports, right before a call is sent, whether what its replica states
 // allows it: one that leaves is still told what nobody reads any more.
-func (n *Node) mayCall(c ownCall) (stated.Attempt, bool) {
+func (n *Node) mayCall(c ownCall) (advisory.Attempt, bool) {
 	if c.work {
 		return n.statements.begin(n.now(), c.from.life)
 	}
 	if _, rests := n.statements.restsTo(n.now(), c.from.life); rests {
-		return stated.Attempt{}, false
+		return advisory.Attempt{}, false
 	}
 	n.countAside(c.from.life)
-	return stated.Attempt{}, true
+	return advisory.Attempt{}, true
 }
 
 // connect returns a connection to a replica, a kept one if there is one.
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"quinceroad/cmd/process"
-	"quinceroad/coordination/stated"
+	"quinceroad/coordination/advisory"
 	"quinceroad/state/catalog"
 )
 
@@ -43,8 +43,8 @@
 // mayAll returns those of some replicas that may get a request now, and an error
 // when what they state forbids all of them that this one has not met yet.
 func (s *serving) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
-	first, fresh, paced := stated.Never, false, false
-	s.node.statements.with(func(b *stated.Tracker) {
+	first, fresh, paced := advisory.Never, false, false
+	s.node.statements.with(func(b *advisory.Tracker) {
 		if b.Empty() && !s.node.statements.paces.HasLimits() {
 			may, fresh = all, true
 			return
@@ -61,7 +61,7 @@
 			}
 		}
 	})
-	if !fresh && first != stated.Never {
+	if !fresh && first != advisory.Never {
 		err = &restError{now: now, until: first, paced: paced}
 	}
 	return may, err
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"quinceroad/cmd/process"
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/gossip"
 	"quinceroad/coordination/level"
 	"quinceroad/coordination/pipeline"
 	"quinceroad/coordination/shares"
 	"quinceroad/coordination/speed"
-	"quinceroad/coordination/stated"
 	"quinceroad/protocol/event"
 	"quinceroad/transport/web"
 )
@@ -127,7 +127,7 @@
 		LinkedTo:  n.links.Len(),
 		Customers: n.customers.counts(),
 	}
-	n.statements.with(func(b *stated.Tracker) {
+	n.statements.with(func(b *advisory.Tracker) {
 		s.Leaving = b.Draining()
 		for life, until := range b.Backoffs(n.now()) {
 			s.Resting[life] = (until - n.now()).Round(time.Millisecond).String()
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fasthttp"
 
 	"quinceroad/cmd/process"
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/pace"
 	"quinceroad/coordination/pipeline"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 )
@@ -21,10 +21,10 @@
 // leaving also to its peers.
 type statements struct {
 	mu   sync.Mutex
-	book *stated.Tracker
+	book *advisory.Tracker
 	free map[string]*pipeline.Free // by life that rests: results nobody reads any more
 
-	unread *stated.UnknownFields
+	unread *advisory.UnknownFields
 	paces  *pace.Tracker
 	told   *pace.RetrySchedule
 	paced  atomic.Bool // some replica states a limit
@@ -34,18 +34,18 @@
 }
 
 func newStatements() *statements {
-	return &statements{book: stated.New(stated.Standard()), free: make(map[string]*pipeline.Free), unread: stated.NewUnknownFields(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
+	return &statements{book: advisory.New(advisory.Standard()), free: make(map[string]*pipeline.Free), unread: advisory.NewUnknownFields(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
 }
 
 // with runs f on the book.
-func (s *statements) with(f func(*stated.Tracker)) {
+func (s *statements) with(f func(*advisory.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.book)
 }
 
 func (s *statements) hasLeft(life string) (left bool) {
-	s.with(func(b *stated.Tracker) { left = b.IsDraining(life) })
+	s.with(func(b *advisory.Tracker) { left = b.IsDraining(life) })
 	return left
 }
 
@@ -61,18 +61,18 @@
 
 // restsTo returns until when a life wants nothing from this instance.
 func (s *statements) restsTo(now time.Duration, life string) (until time.Duration, rests bool) {
-	s.with(func(b *stated.Tracker) { until, rests = b.BackoffUntil(now, life) })
+	s.with(func(b *advisory.Tracker) { until, rests = b.BackoffUntil(now, life) })
 	return until, rests
 }
 
 // begin counts a request right before it is sent: a choice may be a second old,
 // and what was stated since forbids it as well.
-func (s *statements) begin(now time.Duration, life string) (turn stated.Attempt, ok bool) {
-	s.with(func(b *stated.Tracker) { turn, ok = b.Begin(now, life) })
+func (s *statements) begin(now time.Duration, life string) (turn advisory.Attempt, ok bool) {
+	s.with(func(b *advisory.Tracker) { turn, ok = b.Begin(now, life) })
 	return turn, ok
 }
 
-func (s *statements) end(turn stated.Attempt) { s.with(func(b *stated.Tracker) { b.End(turn) }) }
+func (s *statements) end(turn advisory.Attempt) { s.with(func(b *advisory.Tracker) { b.End(turn) }) }
 
 // stater is who answers: a life of a replica.
 type stater struct {
@@ -83,7 +83,7 @@
 
 // takeHead reads an answer's head and takes in what its replica states in it. All
 // answers go through here, whatever they are to: what is said is said once.
-func (n *Node) takeHead(from stater, turn stated.Attempt, header *fasthttp.ResponseHeader) platform.Head {
+func (n *Node) takeHead(from stater, turn advisory.Attempt, header *fasthttp.ResponseHeader) platform.Head {
 	h := platform.ParseHead(header.StatusCode(), func(name string) string { return string(header.Peek(name)) })
 	if from.life == "" || h.Stranger { // another replica speaks of itself
 		return h
@@ -100,7 +100,7 @@
 	if h.Rest > 0 {
 		n.takeRest(from, h.Rest)
 	} else {
-		n.statements.with(func(b *stated.Tracker) { b.RecordAnswer(turn) })
+		n.statements.with(func(b *advisory.Tracker) { b.RecordAnswer(turn) })
 	}
 	return h
 }
@@ -122,7 +122,7 @@
 // nothing more from anybody for as long as it is listed.
 func (n *Node) takeLeaving(life, by string) {
 	isNew := false
-	n.statements.with(func(b *stated.Tracker) { isNew = b.RecordDrain(n.now(), life) })
+	n.statements.with(func(b *advisory.Tracker) { isNew = b.RecordDrain(n.now(), life) })
 	if !isNew {
 		return
 	}
@@ -134,7 +134,7 @@
 // Others may have been told nothing, or their own: to them it is a hint.
 func (n *Node) takeRest(from stater, length time.Duration) {
 	now, isNew := n.now(), false
-	n.statements.with(func(b *stated.Tracker) { isNew = b.RecordBackoff(now, from.life, length) })
+	n.statements.with(func(b *advisory.Tracker) { isNew = b.RecordBackoff(now, from.life, length) })
 	n.judgeMu.Lock()
 	n.judge.Rests(now, from.life, length)
 	n.judgeMu.Unlock()
@@ -154,7 +154,7 @@
 	s := n.statements
 	n.sweepLimits()
 	was := s.quiet
-	s.with(func(b *stated.Tracker) { s.quiet = b.Empty() })
+	s.with(func(b *advisory.Tracker) { s.quiet = b.Empty() })
 	if s.quiet && was {
 		return
 	}
@@ -163,14 +163,14 @@
 	for _, r := range n.world.Load().all {
 		listed[r.ID] = r.Service
 	}
-	var changes stated.Changes
+	var changes advisory.Changes
 	leaving, resting := make(map[string]int64), make(map[string]int64)
 	count := func(by map[string]int64, life string) {
 		if service, ok := listed[life]; ok {
 			by[service]++
 		}
 	}
-	s.with(func(b *stated.Tracker) {
+	s.with(func(b *advisory.Tracker) {
 		changes = b.Sweep(now, func(life string) bool { return listed[life] != "" })
 		for _, life := range b.Draining() {
 			count(leaving, life)
@@ -194,7 +194,7 @@
 func (n *Node) restingReplicas(service string) []string {
 	now := n.now()
 	resting := make(map[string]time.Duration)
-	n.statements.with(func(b *stated.Tracker) { resting = b.Backoffs(now) })
+	n.statements.with(func(b *advisory.Tracker) { resting = b.Backoffs(now) })
 	if len(resting) == 0 {
 		return nil
 	}
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/changes"
 	"quinceroad/coordination/regions"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 	"quinceroad/state/catalog"
@@ -224,7 +224,7 @@
 // leavingNews returns the replicas whose leaving is worth telling others, and how
 // many of these, the first ones, have stated it themselves.
 func (n *Node) leavingNews() (out []string, said int) {
-	n.statements.with(func(b *stated.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
+	n.statements.with(func(b *advisory.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
 	said = len(out)
 	out = append(out, n.recentlyLeaving(mostLeavingTold-said)...)
 	return n.spokenAll(out), said
--- a/coordination/stated/stated.go
+++ b/coordination/advisory/advisory.go
@@ -1,4 +1,4 @@
-// Package stated tracks what replicas announce about themselves in their answers:
+// Package advisory tracks what replicas announce about themselves in their answers:
 // that they are draining, and that they want senders to back off.
 //
 // What is inferred about a replica (package health) may be wrong, so its effect is
@@ -10,7 +10,7 @@
 // backoff would overload it again at once.
 //
 // The package is pure: it maps events and times to decisions.
-package stated
+package advisory
 
 import (
 	"cmp"
--- a/coordination/stated/stated_test.go
+++ b/coordination/advisory/advisory_test.go
@@ -1,4 +1,4 @@
-package stated
+package advisory
 
 import (
 	"fmt"
