--- a/coordination/pace/retryschedule.go
+++ b/coordination/pace/retryschedule.go
@@ -16,18 +16,18 @@
 // firstGrant and whose replicas grant perSecond requests to all instances together.
 // random, from 0 to 1, is the position within the slot, so that instances don't all
 // choose the same times.
-func (p *RetrySchedule) Reserve(service string, firstGrant time.Duration, perSecond float64, instances int, random float64) time.Duration {
-	at := max(p.next[service], firstGrant)
+func (s *RetrySchedule) Reserve(service string, firstGrant time.Duration, perSecond float64, instances int, random float64) time.Duration {
+	at := max(s.next[service], firstGrant)
 	interval := float64(max(instances, 1)) / max(perSecond, minPerSecond) * float64(time.Second)
-	p.next[service] = at + time.Duration(interval)
+	s.next[service] = at + time.Duration(interval)
 	return at + time.Duration(random*interval)
 }
 
 // Prune removes reservations that have passed.
-func (p *RetrySchedule) Prune(now time.Duration) {
-	for service, next := range p.next {
+func (s *RetrySchedule) Prune(now time.Duration) {
+	for service, next := range s.next {
 		if next < now {
-			delete(p.next, service)
+			delete(s.next, service)
 		}
 	}
 }
--- a/coordination/pace/retryschedule_test.go
+++ b/coordination/pace/retryschedule_test.go
@@ -14,9 +14,9 @@
 	const instances, perSecond = 6, 3.0
 	var all []time.Duration
 	for i := range instances {
-		p := NewRetrySchedule()
+		schedule := NewRetrySchedule()
 		for range 10 {
-			all = append(all, p.Reserve("s", time.Second, perSecond, instances, float64(i)/instances))
+			all = append(all, schedule.Reserve("s", time.Second, perSecond, instances, float64(i)/instances))
 		}
 	}
 	countBetween := func(from, to time.Duration) (n int) {
@@ -31,9 +31,9 @@
 	for from := time.Second; from < 21*time.Second; from += 2 * time.Second {
 		is.Equal(countBetween(from, from+2*time.Second), 2*int(perSecond))
 	}
-	p := NewRetrySchedule()
-	p.Reserve("s", time.Second, perSecond, instances, 0)
-	p.Prune(4 * time.Second)
-	is.Equal(len(p.next), 0)
-	is.Equal(p.Reserve("s", 9*time.Second, perSecond, instances, 0), 9*time.Second)
+	schedule := NewRetrySchedule()
+	schedule.Reserve("s", time.Second, perSecond, instances, 0)
+	schedule.Prune(4 * time.Second)
+	is.Equal(len(schedule.next), 0)
+	is.Equal(schedule.Reserve("s", 9*time.Second, perSecond, instances, 0), 9*time.Second)
 }
