--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -10,11 +10,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"quinceroad/coordination/advisory"
 	"quinceroad/coordination/ending"
 	"quinceroad/coordination/health"
 	"quinceroad/coordination/outcome"
 	"quinceroad/coordination/regions"
-	"quinceroad/coordination/stated"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 	"quinceroad/state/catalog"
@@ -36,11 +36,11 @@
 type attempt struct {
 	*serving
 	replica catalog.Replica
-	token   outcome.Dispatched
+	token   outcome.DispatchToken
 	conn    *upstream.Conn
 	x       *upstream.Exchange
 	head    platform.Head
-	turn    stated.Attempt
+	turn    advisory.Attempt
 	cut     atomic.Pointer[error] // why this instance ended it; nil: it did not
 	sent    time.Duration
 	asleep  time.Duration // that the machine had been when it was sent
@@ -166,7 +166,7 @@
 		n.sawLeaving(a.replica.ID, "answer")
 	}
 	if way == ending.Refused || way == ending.MissingInputs {
-		a.record.NotRun(a.token)
+		a.record.MarkNotRun(a.token)
 		delete(a.tried, a.replica.ID)
 	}
 	says := way.Evidence()
@@ -240,7 +240,7 @@
 	}
 	late := a.stater()
 	late.aside = true
-	a.node.takeHead(late, stated.Attempt{}, h)
+	a.node.takeHead(late, advisory.Attempt{}, h)
 	return false
 }
 
