--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -1,11 +1,12 @@
-// Package evacuation keeps which data halls are being emptied: their replicas
-// get nothing new until the operator takes the hall back.
+// Package evacuation tracks which data halls are drained: their replicas get no new
+// requests until the operator returns the hall to service.
 //
-// It is the only news of the operator's that is taken back, so its order
-// matters. A view is what was true at one revision of the store, whole: of two
-// views the one of the higher revision wins, whoever tells it, and an older
-// word neither empties a hall nor gives one back. It is small enough to stand
-// in every heartbeat. It is pure: news and time in, changes out.
+// Unlike other operator commands a drain can be revoked, so the order of updates
+// matters. A view is the complete set of drained halls at one revision of the store. Of
+// two views the one with the higher revision wins, whoever sends it; older updates
+// neither drain a hall nor return it. A view is small enough to be part of every
+// heartbeat. The package does no I/O and reads no clock: updates and times are passed
+// in, changes are returned.
 package evacuation
 
 import (
@@ -14,61 +15,62 @@
 	"time"
 )
 
-// Entry is the operator's word on a hall, or its end, at a revision of the store.
+// Entry is the start or end of a hall's drain at a revision of the store.
 type Entry struct {
 	Hall     string
 	Revision uint64
-	Gone     bool // the hall is taken back
+	Gone     bool // the hall is returned to service
 }
 
-// Return is a hall that was taken back.
+// Return is a hall that was returned to service.
 type Return struct {
 	Hall string
 	Age  time.Duration
 }
 
-// News is a view as instances tell it each other.
+// Update is a view as instances send it to each other.
 type Update struct {
-	Revision uint64 // of the store, at which the view was true; 0: nothing is known
+	Revision uint64 // store revision of the view; 0: none was read
 	Drained  []string
-	Returned []Return // lately, so that who starts knows it too
+	Returned []Return // recently returned halls, so that newly started instances learn of them too
 }
 
-// Change is a hall whose evacuation begins or ends.
+// Change is the start or end of a hall's drain.
 type Change struct {
 	Hall    string
 	Drained bool
 }
 
-// View is what an instance knows. It is not safe for concurrent use.
+// View holds the drained halls as known to an instance. It is not safe for concurrent
+// use.
 type View struct {
 	revision uint64
-	emptied  map[string]bool
-	returned map[string]time.Duration // when, as it was heard first
+	drained  map[string]bool
+	returned map[string]time.Duration // local time at which the return was first known
 }
 
-// New returns a view that knows nothing.
+// New returns an empty view.
 func New() *View {
-	return &View{emptied: make(map[string]bool), returned: make(map[string]time.Duration)}
+	return &View{drained: make(map[string]bool), returned: make(map[string]time.Duration)}
 }
 
-// Revision is that of the store at which the view was true.
+// Revision returns the store revision of the view.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Emptied reports whether a hall is being emptied.
-func (v *View) IsDrained(hall string) bool { return v.emptied[hall] }
+// IsDrained reports whether a hall is drained.
+func (v *View) IsDrained(hall string) bool { return v.drained[hall] }
 
-// Halls returns the halls that are being emptied, by name.
-func (v *View) Halls() []string { return slices.Sorted(maps.Keys(v.emptied)) }
+// Halls returns the names of the drained halls, sorted.
+func (v *View) Halls() []string { return slices.Sorted(maps.Keys(v.drained)) }
 
-// Returned returns when a hall was taken back, if it was lately.
+// ReturnedAt returns when a hall was returned to service, if that was recently.
 func (v *View) ReturnedAt(hall string) (time.Duration, bool) {
 	at, ok := v.returned[hall]
 	return at, ok
 }
 
-// Replace takes in the halls that are emptied as they were read whole at a
-// revision, and returns what that changes.
+// Replace sets the drained halls to the complete set read at a store revision and
+// returns the changes.
 func (v *View) Replace(now time.Duration, halls []string, revision uint64) []Change {
 	if revision <= v.revision {
 		return nil
@@ -77,13 +79,13 @@
 	for _, hall := range halls {
 		next[hall] = true
 	}
-	return v.become(now, next, revision)
+	return v.setHalls(now, next, revision)
 }
 
-// Apply takes in the changes that a watch brought, in their order, after which
-// all up to a revision is known.
+// Apply applies the changes from a watch in their order. The view is complete up to
+// revision at afterwards.
 func (v *View) Apply(now time.Duration, entries []Entry, at uint64) []Change {
-	next := maps.Clone(v.emptied)
+	next := maps.Clone(v.drained)
 	for _, e := range entries {
 		switch {
 		case e.Revision <= v.revision:
@@ -93,35 +95,35 @@
 			next[e.Hall] = true
 		}
 	}
-	return v.become(now, next, max(at, v.revision))
+	return v.setHalls(now, next, max(at, v.revision))
 }
 
-// Take takes in what another instance tells.
+// Merge merges another instance's view.
 func (v *View) Merge(now time.Duration, n Update) []Change {
 	changes := v.Replace(now, n.Drained, n.Revision)
 	for _, r := range n.Returned {
-		if _, known := v.returned[r.Hall]; !known && !v.emptied[r.Hall] && r.Age < tellFor {
+		if _, known := v.returned[r.Hall]; !known && !v.drained[r.Hall] && r.Age < returnTTL {
 			v.returned[r.Hall] = now - r.Age
 		}
 	}
 	return changes
 }
 
-func (v *View) become(now time.Duration, next map[string]bool, revision uint64) []Change {
+func (v *View) setHalls(now time.Duration, next map[string]bool, revision uint64) []Change {
 	var out []Change
 	for hall := range next {
-		if !v.emptied[hall] {
+		if !v.drained[hall] {
 			out = append(out, Change{Hall: hall, Drained: true})
 			delete(v.returned, hall)
 		}
 	}
-	for hall := range v.emptied {
+	for hall := range v.drained {
 		if !next[hall] {
 			out = append(out, Change{Hall: hall})
 			v.returned[hall] = now
 		}
 	}
-	v.emptied, v.revision = next, revision
+	v.drained, v.revision = next, revision
 	slices.SortFunc(out, func(a, b Change) int {
 		if a.Hall < b.Hall {
 			return -1
@@ -131,16 +133,16 @@
 	return out
 }
 
-// tellFor is how long a return is told and kept: longer than replicas stay cold
-// after it.
-const tellFor = time.Minute
+// returnTTL is how long a return is kept and sent: longer than replicas warm up after
+// it.
+const returnTTL = time.Minute
 
-// News returns the view for others.
+// Update returns the view to send to other instances and drops expired returns.
 func (v *View) Update(now time.Duration) Update {
 	n := Update{Revision: v.revision, Drained: v.Halls()}
 	for _, hall := range slices.Sorted(maps.Keys(v.returned)) {
 		ago := now - v.returned[hall]
-		if ago >= tellFor {
+		if ago >= returnTTL {
 			delete(v.returned, hall)
 			continue
 		}
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -11,17 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// store is a model of the platform's: a counter, the halls that are emptied and
-// what they were at each revision.
+// store models the platform's store: a revision counter, the drained halls, and their
+// state at each revision.
 type store struct {
 	revision uint64
-	emptied  map[string]bool
+	drained  map[string]bool
 	history  []Entry
-	past     map[uint64][]string
+	stateAt  map[uint64][]string
 }
 
 func newStore() *store {
-	s := &store{emptied: make(map[string]bool), past: make(map[uint64][]string)}
+	s := &store{drained: make(map[string]bool), stateAt: make(map[uint64][]string)}
 	s.change(func() {})
 	return s
 }
@@ -29,17 +29,17 @@
 func (s *store) change(f func()) {
 	s.revision++
 	f()
-	s.past[s.revision] = slices.Sorted(maps.Keys(s.emptied))
+	s.stateAt[s.revision] = slices.Sorted(maps.Keys(s.drained))
 }
 
 func (s *store) write(hall string, gone bool) {
 	s.change(func() {
-		if gone && !s.emptied[hall] {
+		if gone && !s.drained[hall] {
 			return
 		}
-		s.emptied[hall] = true
+		s.drained[hall] = true
 		if gone {
-			delete(s.emptied, hall)
+			delete(s.drained, hall)
 		}
 		s.history = append(s.history, Entry{Hall: hall, Revision: s.revision, Gone: gone})
 	})
@@ -49,93 +49,93 @@
 	return slices.DeleteFunc(slices.Clone(s.history), func(e Entry) bool { return e.Revision <= revision })
 }
 
-// Whatever instances read, watch and tell each other, late, twice, out of order
-// or never, whoever starts anew: each holds what was true at the revision that
-// it claims, goes back never, and hears of the end in the end.
-func TestAllHoldWhatWasTrue(t *testing.T) {
+// Instances read, watch, restart and exchange updates, which may be late, repeated,
+// reordered or lost. Each view must match the store at the revision it claims, never go
+// back to an older revision, and reach the latest state in the end.
+func TestViewsMatchTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
 		views := make([]*View, 4)
 		for i := range views {
 			views[i] = New()
 		}
-		var sent []Update // any of which may still come, again and again
+		var sent []Update // any of these may still be delivered, repeatedly
 		now := time.Duration(0)
 		check := func(i int, before uint64) {
 			v := views[i]
 			if v.Revision() < before {
 				t.Fatalf("instance %d falls from revision %d to %d", i, before, v.Revision())
 			}
-			if v.Revision() > 0 && !slices.Equal(v.Halls(), s.past[v.Revision()]) {
-				t.Fatalf("instance %d holds %v at revision %d, where %v was true", i, v.Halls(), v.Revision(), s.past[v.Revision()])
+			if v.Revision() > 0 && !slices.Equal(v.Halls(), s.stateAt[v.Revision()]) {
+				t.Fatalf("instance %d holds %v at revision %d, where %v was true", i, v.Halls(), v.Revision(), s.stateAt[v.Revision()])
 			}
 		}
 		hall := rapid.SampledFrom([]string{"a", "b", "c"})
-		who := rapid.IntRange(0, len(views)-1)
+		anyView := rapid.IntRange(0, len(views)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"empty":    func(t *rapid.T) { s.write(hall.Draw(t, "hall"), false) },
 			"takeBack": func(t *rapid.T) { s.write(hall.Draw(t, "hall"), true) },
 			"other":    func(*rapid.T) { s.change(func() {}) },
 			"read": func(t *rapid.T) {
-				i := who.Draw(t, "who")
+				i := anyView.Draw(t, "who")
 				before := views[i].Revision()
-				views[i].Replace(now, s.past[s.revision], s.revision)
+				views[i].Replace(now, s.stateAt[s.revision], s.revision)
 				check(i, before)
 			},
 			"watch": func(t *rapid.T) {
-				i := who.Draw(t, "who")
+				i := anyView.Draw(t, "who")
 				before := views[i].Revision()
 				if before == 0 {
-					return // it has read nothing yet
+					return // it has not read the store yet
 				}
-				from := rapid.Uint64Range(1, before).Draw(t, "from") // of an earlier turn as a reader, perhaps
+				from := rapid.Uint64Range(1, before).Draw(t, "from") // possibly from an earlier time as reader
 				views[i].Apply(now, s.after(from), s.revision)
 				check(i, before)
 			},
 			"tell": func(t *rapid.T) {
 				now += time.Millisecond
-				sent = append(sent, views[who.Draw(t, "who")].Update(now))
+				sent = append(sent, views[anyView.Draw(t, "who")].Update(now))
 			},
 			"hear": func(t *rapid.T) {
 				if len(sent) == 0 {
 					return
 				}
-				i := who.Draw(t, "who")
+				i := anyView.Draw(t, "who")
 				before := views[i].Revision()
 				views[i].Merge(now, rapid.SampledFrom(sent).Draw(t, "news"))
 				check(i, before)
 			},
-			"restart": func(t *rapid.T) { views[who.Draw(t, "who")] = New() },
+			"restart": func(t *rapid.T) { views[anyView.Draw(t, "who")] = New() },
 		})
-		views[0].Replace(now, s.past[s.revision], s.revision)
+		views[0].Replace(now, s.stateAt[s.revision], s.revision)
 		for i := range views {
 			views[i].Merge(now, views[0].Update(now))
-			if !slices.Equal(views[i].Halls(), s.past[s.revision]) {
-				t.Fatalf("instance %d holds %v in the end, not %v", i, views[i].Halls(), s.past[s.revision])
+			if !slices.Equal(views[i].Halls(), s.stateAt[s.revision]) {
+				t.Fatalf("instance %d holds %v in the end, not %v", i, views[i].Halls(), s.stateAt[s.revision])
 			}
 		}
 	})
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestChangesAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	v := New()
 	is.Equal(v.Replace(0, []string{"b", "a"}, 7), []Change{{"a", true}, {"b", true}})
-	is.Equal(len(v.Replace(0, nil, 7)), 0)                                         // as old as what is known
+	is.Equal(len(v.Replace(0, nil, 7)), 0)                                         // same revision as the view's
 	is.Equal(len(v.Apply(0, []Entry{{Hall: "a", Revision: 6, Gone: true}}, 9)), 0) // older
 	is.Equal(v.Apply(0, []Entry{{"a", 10, true}, {"b", 11, true}, {"b", 12, false}}, 12), []Change{{"a", false}})
 	is.Equal(v.Halls(), []string{"b"})
 }
 
-// Who starts after a hall was taken back knows since when; what is told again
-// and again makes it no younger.
-func TestAReturnIsToldToWhoStarts(t *testing.T) {
+// An instance that starts after a hall was returned learns when that was; repeated
+// updates must not change that time.
+func TestNewInstanceLearnsReturn(t *testing.T) {
 	is := is.New(t)
 	a := New()
 	a.Replace(0, []string{"h"}, 1)
 	a.Replace(10*time.Second, nil, 2)
 	b := New()
-	b.Merge(time.Second, a.Update(12*time.Second)) // whose clock began later
+	b.Merge(time.Second, a.Update(12*time.Second)) // b's clock started later
 	at, ok := b.ReturnedAt("h")
 	is.True(ok)
 	is.Equal(at, -time.Second)
@@ -144,13 +144,13 @@
 	}
 	at, _ = b.ReturnedAt("h")
 	is.Equal(at, -time.Second)
-	is.Equal(len(b.Update(2*time.Minute).Returned), 0) // and is forgotten
+	is.Equal(len(b.Update(2*time.Minute).Returned), 0) // expired
 	b.Replace(0, []string{"h"}, 9)
 	_, ok = b.ReturnedAt("h")
-	is.True(!ok) // emptied again
+	is.True(!ok) // drained again
 }
 
-func BenchmarkNews(b *testing.B) {
+func BenchmarkUpdate(b *testing.B) {
 	v := New()
 	for i := range 9 {
 		v.Apply(0, []Entry{{Hall: fmt.Sprint("hall-", i), Revision: uint64(i + 1)}}, uint64(i+1))
--- a/coordination/review/review.go
+++ b/coordination/review/review.go
@@ -1,5 +1,5 @@
-// Package review finds what is wrong or doubtful in a configuration before an
-// operator puts it into force: more than what makes it unreadable.
+// Package review checks a configuration for mistakes and doubtful settings before an
+// operator activates it, beyond the errors that make it invalid.
 package review
 
 import (
@@ -11,37 +11,37 @@
 	"quinceroad/state/catalog"
 )
 
-// Finding is one fault of a configuration, with its place.
+// Finding is a problem in a configuration, with its place.
 type Finding struct {
-	Rule  string // its short name, one of Rules
+	Rule  string // name of the violated rule
 	Place string
 	Text  string
 }
 
-// Rule is something that a configuration is held against.
+// Rule is a check of a configuration.
 type Rule struct {
 	Name        string
 	Description string
 	check       func(*catalog.Configuration) []Finding
 }
 
-// Rules returns what configurations are held against.
+// Rules returns all rules.
 func Rules() []Rule {
 	return []Rule{
-		{"service-unknown", "a route, a part of a split or a stage names a service that is configured", servicesUnknown},
-		{"service-unused", "every service is named by a route or a stage", servicesUnused},
+		{"service-unknown", "a route, a part of a split or a stage names a service that is configured", unknownServices},
+		{"service-unused", "every service is named by a route or a stage", unusedServices},
 		{"prefix-form", "a route's prefix begins and ends with a slash, and its host is given", prefixForm},
-		{"prefix-twice", "no two routes of a host have the same prefix", prefixTwice},
+		{"prefix-twice", "no two routes of a host have the same prefix", duplicatePrefix},
 		{"split-weight", "every part of a split has a weight above 0", splitWeight},
-		{"time-order", "a route's objective and its longest pause are below its time-out", timeOrder},
+		{"time-order", "a route's objective and its longest pause are below its time-out", timeoutOrder},
 		{"once-attempts", "a route that may run once is sent to one replica", onceAttempts},
 		{"resumable-kind", "only streams are resumable, and those may be sent to a second replica", resumableKind},
-		{"stage-room", "a replica of a pool has room for a result of every stage that it runs", stageRoom},
+		{"stage-room", "a replica of a pool has room for a result of every stage that it runs", stageMemory},
 		{"stream-engine", "a route with stages ends at a service that generates", streamEngine},
 	}
 }
 
-// Configuration returns all findings, in the order of the rules and places.
+// Check returns all findings, sorted by rule and place.
 func Check(c *catalog.Configuration) []Finding {
 	var out []Finding
 	for _, r := range Rules() {
@@ -55,12 +55,12 @@
 	return out
 }
 
-func find(place, format string, args ...any) Finding {
+func newFinding(place, format string, args ...any) Finding {
 	return Finding{Place: place, Text: fmt.Sprintf(format, args...)}
 }
 
-// eachRoute gathers the findings of every route.
-func eachRoute(c *catalog.Configuration, check func(place string, r *catalog.Route) []Finding) []Finding {
+// checkRoutes returns the findings of a check over all routes.
+func checkRoutes(c *catalog.Configuration, check func(place string, r *catalog.Route) []Finding) []Finding {
 	var out []Finding
 	for i := range c.Routes {
 		out = append(out, check("route "+c.Routes[i].Name, &c.Routes[i])...)
@@ -68,19 +68,19 @@
 	return out
 }
 
-func servicesUnknown(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+func unknownServices(c *catalog.Configuration) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		var out []Finding
 		for _, t := range r.Targets {
 			if c.Services[t.Service] == nil {
-				out = append(out, find(place, "it names the service %q, which is not configured", t.Service))
+				out = append(out, newFinding(place, "it names the service %q, which is not configured", t.Service))
 			}
 		}
 		return out
 	})
 }
 
-func servicesUnused(c *catalog.Configuration) []Finding {
+func unusedServices(c *catalog.Configuration) []Finding {
 	used := make(map[string]bool)
 	for _, r := range c.Routes {
 		for _, t := range r.Targets {
@@ -93,93 +93,93 @@
 	var out []Finding
 	for name := range c.Services {
 		if !used[name] {
-			out = append(out, find("service "+name, "no route and no stage names it"))
+			out = append(out, newFinding("service "+name, "no route and no stage names it"))
 		}
 	}
 	return out
 }
 
 func prefixForm(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		var out []Finding
 		if r.Host == "" {
-			out = append(out, find(place, "it has no host"))
+			out = append(out, newFinding(place, "it has no host"))
 		}
 		if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-			out = append(out, find(place, "the prefix %q does not begin and end with a slash", r.Prefix))
+			out = append(out, newFinding(place, "the prefix %q does not begin and end with a slash", r.Prefix))
 		}
 		return out
 	})
 }
 
-func prefixTwice(c *catalog.Configuration) []Finding {
+func duplicatePrefix(c *catalog.Configuration) []Finding {
 	first := make(map[string]string)
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		key := r.Host + " " + r.Prefix
 		other, twice := first[key]
 		if !twice {
 			first[key] = r.Name
 			return nil
 		}
-		return []Finding{find(place, "route %s has the same host and prefix %s%s", other, r.Host, r.Prefix)}
+		return []Finding{newFinding(place, "route %s has the same host and prefix %s%s", other, r.Host, r.Prefix)}
 	})
 }
 
 func splitWeight(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		var out []Finding
 		for _, t := range r.Targets {
 			if t.Weight <= 0 {
-				out = append(out, find(place, "its part for %q has the weight %d", t.Service, t.Weight))
+				out = append(out, newFinding(place, "its part for %q has the weight %d", t.Service, t.Weight))
 			}
 		}
 		return out
 	})
 }
 
-func timeOrder(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+func timeoutOrder(c *catalog.Configuration) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		var out []Finding
 		if r.Timeout > 0 && r.Objective > r.Timeout {
-			out = append(out, find(place, "the objective of %v is beyond the time-out of %v", r.Objective, r.Timeout))
+			out = append(out, newFinding(place, "the objective of %v is beyond the time-out of %v", r.Objective, r.Timeout))
 		}
 		if r.Timeout > 0 && r.GapObjective > r.Timeout {
-			out = append(out, find(place, "the longest pause of %v is beyond the time-out of %v", r.GapObjective, r.Timeout))
+			out = append(out, newFinding(place, "the longest pause of %v is beyond the time-out of %v", r.GapObjective, r.Timeout))
 		}
 		return out
 	})
 }
 
 func onceAttempts(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		if r.Kind != catalog.Once || r.Attempts <= 1 {
 			return nil
 		}
-		return []Finding{find(place, "it may run once, yet states %d replicas: only those that say that they did not run it are followed by another", r.Attempts)}
+		return []Finding{newFinding(place, "it may run once, yet states %d replicas: only those that say that they did not run it are followed by another", r.Attempts)}
 	})
 }
 
 func resumableKind(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		switch {
 		case !r.Resumable:
 			return nil
 		case r.Kind != catalog.Stream:
-			return []Finding{find(place, "it is resumable but no stream")}
+			return []Finding{newFinding(place, "it is resumable but no stream")}
 		case r.Attempts < 2:
-			return []Finding{find(place, "it is resumable but may be sent to one replica only")}
+			return []Finding{newFinding(place, "it is resumable but may be sent to one replica only")}
 		}
 		return nil
 	})
 }
 
-func stageRoom(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+func stageMemory(c *catalog.Configuration) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		var out []Finding
 		for n, s := range r.Stages {
 			service := c.Services[s.Service]
 			if service != nil && service.Pool != nil && service.Pool.Room > 0 && s.Bytes > service.Pool.Room {
-				out = append(out, find(place, "a result of stage %d takes %d bytes, a replica of %q has room for %d", n, s.Bytes, s.Service, service.Pool.Room))
+				out = append(out, newFinding(place, "a result of stage %d takes %d bytes, a replica of %q has room for %d", n, s.Bytes, s.Service, service.Pool.Room))
 			}
 		}
 		return out
@@ -187,14 +187,14 @@
 }
 
 func streamEngine(c *catalog.Configuration) []Finding {
-	return eachRoute(c, func(place string, r *catalog.Route) []Finding {
+	return checkRoutes(c, func(place string, r *catalog.Route) []Finding {
 		if len(r.Stages) == 0 {
 			return nil
 		}
 		var out []Finding
 		for _, t := range r.Targets {
 			if s := c.Services[t.Service]; s != nil && s.Engine == nil {
-				out = append(out, find(place, "it has stages, but %q does not generate", t.Service))
+				out = append(out, newFinding(place, "it has stages, but %q does not generate", t.Service))
 			}
 		}
 		return out
--- a/coordination/review/review_test.go
+++ b/coordination/review/review_test.go
@@ -10,8 +10,8 @@
 	"quinceroad/state/catalog"
 )
 
-// good is a configuration without a fault.
-func good() *catalog.Configuration {
+// validConfiguration returns a configuration without findings.
+func validConfiguration() *catalog.Configuration {
 	return &catalog.Configuration{
 		Version: 1,
 		Services: map[string]*catalog.Service{
@@ -25,10 +25,10 @@
 	}
 }
 
-// Each rule finds its fault, at its place, and nothing else does.
+// Each rule finds the fault injected for it, with its place, and no other rule does.
 func TestEachRuleFindsItsFault(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Check(good())), 0)
+	is.Equal(len(Check(validConfiguration())), 0)
 	faults := map[string]func(*catalog.Configuration){
 		"service-unknown": func(c *catalog.Configuration) {
 			c.Routes[1].Targets = append(c.Routes[1].Targets, catalog.Target{Service: "none", Weight: 1})
@@ -47,13 +47,13 @@
 		},
 	}
 	for _, r := range Rules() {
-		spoil := faults[r.Name]
-		if spoil == nil {
+		inject := faults[r.Name]
+		if inject == nil {
 			t.Errorf("no fault for rule %s", r.Name)
 			continue
 		}
-		c := good()
-		spoil(c)
+		c := validConfiguration()
+		inject(c)
 		found := Check(c)
 		if len(found) != 1 || found[0].Rule != r.Name || found[0].Place == "" || found[0].Text == "" {
 			t.Errorf("%s: found %v", r.Name, found)
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -1,14 +1,14 @@
-// Package warmup bounds what cold replicas get. A replica that has just started,
-// or has lost what it had at hand, carries a few requests a second until it is
-// warm, and collapses well above that. No instance sees all that is sent to it,
-// so the bound is parted beforehand:
+// Package warmup limits the requests to warming replicas (slow start). A replica that
+// has just started or lost its caches serves only a few requests per second until it
+// is warm, and collapses well above that. No instance sees all requests to a replica,
+// so the limit is divided in advance:
 //
 //   - engines and pools get their work through the owner of their cell, which
 //     counts with a Window; for a moment there may be two owners;
-//   - for a plain service, which every instance sends to by itself, Quota names
-//     a few instances by rendezvous hashing that may use a cold replica.
+//   - a plain service gets requests from every instance directly; Quota selects a
+//     few instances by rendezvous hashing that may use a warming replica.
 //
-// It is pure: counts and time in, decisions out.
+// The package does no I/O and reads no clock: counts and times are passed in.
 package warmup
 
 import (
@@ -19,29 +19,30 @@
 	"quinceroad/coordination/rendezvous"
 )
 
-// Limit is what a deployment allows a cold replica beside what its service
-// states that it carries.
+// Limit is how far a deployment allows the requests to a warming replica to exceed the
+// rate that its service declares.
 type Limit struct {
-	Overrun float64 // times what it carries
-	Slack   float64 // requests in a second beside that
+	Overrun float64 // factor on the declared rate
+	Slack   float64 // requests per second in addition
 }
 
-// deciders is how many may count for one replica at the same moment: its owner,
-// and another while two are taken for it.
-const deciders = 2
+// maxSenders is the number of instances that may count for one replica at the same
+// time: its owner, and a second one while two instances consider themselves its owner.
+const maxSenders = 2
 
-// Most returns how many requests one who counts may send to a cold replica in
-// any second, when it carries so many: no more than that, and no more than its
-// part of what is allowed; one at least, so that no service is shut out.
-func (l Limit) MaxPerSender(carries float64) int {
-	allowed := carries*l.Overrun + l.Slack
-	return max(int(math.Floor(min(carries, allowed/deciders))), 1)
+// MaxPerSender returns how many requests one sender may send to a warming replica in
+// any second, given the replica's declared rate: at most that rate and at most the
+// sender's part of the limit, but at least one, so that no service is blocked entirely.
+func (l Limit) MaxPerSender(rate float64) int {
+	allowed := rate*l.Overrun + l.Slack
+	return max(int(math.Floor(min(rate, allowed/maxSenders))), 1)
 }
 
-// span is over which a Window counts. The bound holds for any second.
-const span = time.Second
+// windowLength is the length of a Window's sliding window: the limit holds for any second.
+const windowLength = time.Second
 
-// Window counts what was sent to cold replicas. It is not safe for concurrent use.
+// Window counts the requests sent to warming replicas in a sliding window. It is not
+// safe for concurrent use.
 type Window struct {
 	sent map[string][]time.Duration // by replica, oldest first
 }
@@ -49,20 +50,20 @@
 // NewWindow returns an empty window.
 func NewWindow() *Window { return &Window{sent: make(map[string][]time.Duration)} }
 
-// Free returns when one more request may go to a replica that gets most in any
-// second: now, or later.
+// NextAllowed returns the earliest time, now or later, at which one more request may
+// go to a replica that gets at most most requests in any second.
 func (w *Window) NextAllowed(now time.Duration, replica string, most int) time.Duration {
 	sent := w.recent(now, replica)
 	if len(sent) < most {
 		return now
 	}
-	return sent[len(sent)-most] + span
+	return sent[len(sent)-most] + windowLength
 }
 
-// Sent counts a request.
+// Record counts a request sent at now.
 func (w *Window) Record(now time.Duration, replica string) {
 	w.sent[replica] = append(w.recent(now, replica), now)
-	for id := range w.sent { // who is warm by now is not asked for any more
+	for id := range w.sent { // replicas that have warmed up are no longer looked up
 		if len(w.recent(now, id)) == 0 {
 			delete(w.sent, id)
 		}
@@ -71,18 +72,18 @@
 
 func (w *Window) recent(now time.Duration, replica string) []time.Duration {
 	sent := w.sent[replica]
-	for len(sent) > 0 && now-sent[0] >= span {
+	for len(sent) > 0 && now-sent[0] >= windowLength {
 		sent = sent[1:]
 	}
 	return sent
 }
 
-// Quota returns how many requests an instance may send to a cold replica of a
-// plain service in any second, of the most that all may: the first instances by
-// rendezvous get an equal whole number each, the others none.
+// Quota returns how many requests an instance may send to a warming replica of a plain
+// service in any second, if all instances together may send most. The first instances
+// by rendezvous weight get an equal whole number each, the others none.
 func Quota(self string, instances []string, replica string, most int) int {
-	named := min(most, len(instances))
-	if named == 0 {
+	senders := min(most, len(instances))
+	if senders == 0 {
 		return 0
 	}
 	own := rendezvous.Weight(replica, self)
@@ -92,8 +93,8 @@
 			before++
 		}
 	}
-	if before >= named || !slices.Contains(instances, self) {
+	if before >= senders || !slices.Contains(instances, self) {
 		return 0
 	}
-	return most / named
+	return most / senders
 }
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -24,9 +24,9 @@
 	return out
 }
 
-// Whatever one who counts is asked, and whoever else counts for a moment: a
-// replica gets no more in any second than the deployment allows.
-func TestNoSecondHoldsMore(t *testing.T) {
+// A replica gets no more requests in any second than the deployment allows, also while
+// two owners count at the same time.
+func TestNoSecondExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Overrun: rapid.Float64Range(1.2, 3).Draw(t, "overrun"), Slack: rapid.Float64Range(2, 20).Draw(t, "slack")}
 		carries := rapid.Float64Range(0.5, 200).Draw(t, "carries")
@@ -52,8 +52,8 @@
 	})
 }
 
-// What the instances may send by themselves adds up to no more than all may,
-// also while some still count an instance that others don't.
+// The quotas of all instances add up to at most the limit, also while instances
+// disagree on who is alive.
 func TestQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Overrun: 1.5, Slack: 5}
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestAServiceIsNeverShutOut(t *testing.T) {
+func TestEveryReplicaGetsRequests(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Limit{}.MaxPerSender(0.1), 1)
 	is.Equal(Limit{Overrun: 1.5, Slack: 5}.MaxPerSender(6.7), 6)
