--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -58,7 +58,9 @@
 // DefaultOptions returns the settings used in production.
 func DefaultOptions() Options {
 	return Options{
-		QuarantineAt:         3,                // the most that the requirements allow; with two, a request that ran concurrently with a poisonous one twice would be quarantined
+		// The most that the requirements allow. With two, a request that ran concurrently
+		// with a poisonous one twice would be quarantined.
+		QuarantineAt:         3,
 		MaxEndDelay:          5 * time.Second,  // a replica's registration is removed about 3 s after its end
 		SuccessTTL:           10 * time.Second, // frequent requests are answered more often than that
 		SuspectTTL:           time.Minute,      // longer than callers retry a failed request
@@ -118,11 +120,11 @@
 	successes  successes
 }
 
-// New returns an empty tracker. The values of turn should differ between instances:
+// New returns an empty tracker. The values of firstRepeat should differ between instances:
 // they then repeat quarantined cases in different order, so that an instance that
 // receives messages of several learns all cases sooner.
-func New(o Options, turn int) *Tracker {
-	return &Tracker{opts: o, nextRepeat: turn, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), successes: newSuccesses(o.SuccessTTL)}
+func New(o Options, firstRepeat int) *Tracker {
+	return &Tracker{opts: o, nextRepeat: firstRepeat, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), successes: newSuccesses(o.SuccessTTL)}
 }
 
 // Check returns the verdict on a request that a caller sends and renews its case.
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -43,7 +43,7 @@
 	Ends         Finding // ends of replicas under requests, counted like answers
 }
 
-// Judge compares the new version with the old one over the life of one order.
+// Judge compares the new version with the old one for the duration of an order.
 type Judge struct {
 	last         map[RowKey]Tally
 	routes       map[string]*routeScore
@@ -72,8 +72,8 @@
 // Observe compares the current totals with the previous ones and returns the new
 // judgement. Once requests shift to the version, good answers from the canary phase
 // no longer count: it is completed only by its answers under the full load.
-func (j *Judge) Observe(now time.Duration, rows map[RowKey]*Tally, moving bool) Judgement {
-	if moving && !j.shifting {
+func (j *Judge) Observe(now time.Duration, rows map[RowKey]*Tally, shifting bool) Judgement {
+	if shifting && !j.shifting {
 		j.shifting = true
 		for _, r := range j.routes {
 			r.Accepted = max(r.Accepted, 0)
@@ -164,8 +164,8 @@
 		r.Median = math.Exp2(float64(t.medianBucket()) / 2)
 	}
 	before := j.last[RowKey{Route: name}]
-	r.recentOldAnswers = r.recentOldAnswers*decay + float64(t.Answers()-before.Answers())
-	r.recentOldBad = r.recentOldBad*decay + float64(t.countBad(limit)-before.countBad(limit))
+	r.decayedOldAnswers = r.decayedOldAnswers*decay + float64(t.Answers()-before.Answers())
+	r.decayedOldBad = r.decayedOldBad*decay + float64(t.countBad(limit)-before.countBad(limit))
 	r.Old, r.OldBad = t.Answers(), t.countBad(limit)
 	return limit
 }
--- a/coordination/rollout/plan.go
+++ b/coordination/rollout/plan.go
@@ -112,7 +112,7 @@
 	left := s.TimeLimit - age
 	need := rampTime + propagationTime + storeWriteTime + max(time.Duration(drainFactor*float64(f.LongestRequest)), minDrainTime)
 	watched := time.Duration(minWatchedFraction * float64(s.TimeLimit))
-	rest := float64(f.Sent) / max(age, evaluationInterval).Seconds() * max(left, 0).Seconds() // expected requests until the time limit
+	expected := float64(f.Sent) / max(age, evaluationInterval).Seconds() * max(left, 0).Seconds() // expected requests until the time limit
 	switch {
 	case f.NewReady < max(f.OldReady, 1):
 		return Step{Reason: fmt.Sprintf("%d replicas of the version are ready for %d", f.NewReady, f.OldReady)}
@@ -126,7 +126,7 @@
 		return Step{SetPhase: Promoted, Reason: "answers are good"}
 	case f.Judgement.inDoubt():
 		return Step{Reason: "in doubt of route " + f.Judgement.Worst().Route}
-	case rest <= slackFraction*f.Slack:
+	case expected <= slackFraction*f.Slack:
 		return Step{SetPhase: Promoted, Reason: "what is still to come is within the slack"}
 	}
 	return Step{Reason: "not enough is seen: " + f.Judgement.Reason}
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -126,9 +126,9 @@
 // othersRemember reports whether an instance other than the restarting one still has
 // the counts. If all instances lose them at once they can't be recovered
 // (docs/design/rollouts.md), so the simulation avoids that.
-func (f *fleet) othersRemember(but *instance) bool {
+func (f *fleet) othersRemember(except *instance) bool {
 	for _, i := range f.instances {
-		if i != but && !i.view.Empty() && f.now > i.lastFault+2*aliveTicks {
+		if i != except && !i.view.Empty() && f.now > i.lastFault+2*aliveTicks {
 			return true
 		}
 	}
@@ -143,22 +143,22 @@
 		if f.random.IntN(4) == 0 {
 			route = "b"
 		}
-		goes := false
+		toTarget := false
 		if ordered && !i.view.Withheld("s", "v2", true, false) {
 			share := s.Share(f.time(), 0.1)
-			goes = i.ledger.Allows(1, route, share, 1)
-			i.ledger.Record(1, route, share, 1, goes)
+			toTarget = i.ledger.Allows(1, route, share, 1)
+			i.ledger.Record(1, route, share, 1, toTarget)
 			i.own.Sent++
 		}
-		f.count(i, route, goes)
+		f.count(i, route, toTarget)
 	}
 }
 
-func (f *fleet) count(i *instance, route string, goes bool) {
-	bad := goes && f.now >= f.badFrom && f.random.IntN(2) == 0
+func (f *fleet) count(i *instance, route string, toTarget bool) {
+	bad := toTarget && f.now >= f.badFrom && f.random.IntN(2) == 0
 	if f.now <= deadline {
 		f.sent++
-		if goes {
+		if toTarget {
 			f.sentToTarget++
 		}
 	}
@@ -167,11 +167,11 @@
 			f.fiftiethBadAt = f.now
 		}
 	}
-	if goes && f.fiftiethBadAt > 0 && f.now > f.fiftiethBadAt+rollbackTicks && f.now > i.lastFault+faultFreeTicks {
+	if toTarget && f.fiftiethBadAt > 0 && f.now > f.fiftiethBadAt+rollbackTicks && f.now > i.lastFault+faultFreeTicks {
 		f.t.Fatalf("%s sends %d ticks after the 50th bad answer, at %d: %+v; %+v", i.name, f.now-f.fiftiethBadAt, f.now, i.view.Active(), i.judge.Latest())
 	}
 	k := RowKey{Route: route}
-	if goes {
+	if toTarget {
 		k.Replica = fmt.Sprint("r", f.random.IntN(2))
 	}
 	if i.own.Rows[k] == nil {
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -68,20 +68,20 @@
 // of the total and of each route.
 func TestManyInstancesWithLittleTraffic(t *testing.T) {
 	is := is.New(t)
-	all, newer := 0, 0
+	all, sentToTarget := 0, 0
 	for i := range 78 {
 		l := NewLedger((float64(i) + 0.5) / 78)
 		for n := range 16 {
 			route := fmt.Sprint("r", n%5/4) // a fifth of the requests on one of two routes
-			goes := l.Allows(1, route, 0.07, 1)
-			l.Record(1, route, 0.07, 1, goes)
+			toTarget := l.Allows(1, route, 0.07, 1)
+			l.Record(1, route, 0.07, 1, toTarget)
 			all++
-			if goes {
-				newer++
+			if toTarget {
+				sentToTarget++
 			}
 		}
 	}
-	share := float64(newer) / float64(all)
+	share := float64(sentToTarget) / float64(all)
 	is.True(share > 0.055 && share < 0.085)
 }
 
@@ -92,17 +92,17 @@
 		share := rapid.Float64Range(0.01, 0.9).Draw(t, "share")
 		start := rapid.Float64Range(0, 1).Draw(t, "start")
 		l := NewLedger(start)
-		all, newer, most := 0, 0, 0
+		all, sentToTarget, most := 0, 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(1, 60)).Draw(t, "sends") {
-			goes := l.Allows(1, "r", share, n)
-			l.Record(1, "r", share, n, goes)
+			toTarget := l.Allows(1, "r", share, n)
+			l.Record(1, "r", share, n, toTarget)
 			all += n
-			if goes {
-				newer += n
+			if toTarget {
+				sentToTarget += n
 				most = max(most, n)
 			}
-			if float64(newer) > share*float64(all)+start*float64(most)+1e-6 {
-				t.Fatalf("%d of %d at a share of %v, start %v", newer, all, share, start)
+			if float64(sentToTarget) > share*float64(all)+start*float64(most)+1e-6 {
+				t.Fatalf("%d of %d at a share of %v, start %v", sentToTarget, all, share, start)
 			}
 		}
 	})
@@ -180,8 +180,8 @@
 func TestIncarnationsOfFaultyReplicaCountAsOne(t *testing.T) {
 	const ms = time.Millisecond
 	rows := map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(30, 0, 30*ms)}
-	for _, life := range []string{"new2", "new2@1", "new2@2"} {
-		rows[RowKey{"a", life}] = tally(0, 3, 0)
+	for _, incarnation := range []string{"new2", "new2@1", "new2@2"} {
+		rows[RowKey{"a", incarnation}] = tally(0, 3, 0)
 	}
 	j := NewJudge()
 	j.Observe(time.Second, rows, false)
--- a/coordination/rollout/score.go
+++ b/coordination/rollout/score.go
@@ -12,25 +12,27 @@
 // (E. S. Page, Continuous Inspection Schemes, 1954), which is bounded at 0 and so
 // discards earlier evidence for the version.
 const (
-	falseAlarmRate       = 0.001                  // probability that a good version is found harmful, per run of the sum
-	missRate             = 0.05                   // probability that a harmful version is accepted
-	minAllowedRate       = 0.02                   // share of bad answers that a good version may always give, however good the old one is
-	allowedRateFactor    = 1.5                    // times the old version's share of bad answers
-	minHarm              = 0.25                   // increase of the share of bad answers that makes a version harmful; a smaller increase takes longer to detect
-	maxAllowedRate       = 0.7                    // upper bound of the allowed share of bad answers
-	slowBuckets          = 3                      // latency buckets above the old version's median from which an answer is slow: 2.8 times the median
-	minMedianAnswers     = 5                      // answers of the old version from which its median is used
-	priorAnswers         = 10.0                   // answers at minAllowedRate that the old version is assumed to have given before (prior)
-	baselineHalfLife     = time.Second            // half-life of the old version's answers: within it, a burst of failures shows in both versions
-	settleTime           = 500 * time.Millisecond // delay before new answers are scored, so that old answers of the same time are reported first: two heartbeats
-	maxObservationGap    = time.Second            // longer times between observations are gaps: the instance was suspended and lacks reports of others
-	maxBadAnswers        = 25                     // bad answers after which a version is rejected. 50 are allowed until the roll-back; the difference covers the delay of heartbeats and of announcing the phase
-	maxBadOfOneReplica   = 40                     // bad answers after which a version is rejected even if they come from a single replica
-	minorRouteShare      = 0.1                    // share of the service's requests below which a route needs no verdict of its own
-	doubtThreshold       = 2.0                    // score against a version from which it is not promoted, also on a minor route
-	minReplicaAnswers    = 5                      // answers from which a replica counts as evidence about its version
-	faultyFraction       = 0.5                    // fraction of harmThreshold from which a replica counts as faulty: two bad answers in a row
-	maxRateForAcceptance = 0.1                    // highest allowed rate at which good answers count for a version: while both versions fail, the judge waits
+	falseAlarmRate    = 0.001                  // probability that a good version is found harmful, per run of the sum
+	missRate          = 0.05                   // probability that a harmful version is accepted
+	minAllowedRate    = 0.02                   // share of bad answers that a good version may always give, however good the old one is
+	allowedRateFactor = 1.5                    // times the old version's share of bad answers
+	minHarm           = 0.25                   // increase of the share of bad answers that makes a version harmful; a smaller increase takes longer to detect
+	maxAllowedRate    = 0.7                    // upper bound of the allowed share of bad answers
+	slowBuckets       = 3                      // latency buckets above the old version's median from which an answer is slow: 2.8 times the median
+	minMedianAnswers  = 5                      // answers of the old version from which its median is used
+	priorAnswers      = 10.0                   // answers at minAllowedRate that the old version is assumed to have given before (prior)
+	baselineHalfLife  = time.Second            // half-life of the old version's answers: within it, a burst of failures shows in both versions
+	settleTime        = 500 * time.Millisecond // delay before new answers are scored, so that old answers of the same time are reported first: two heartbeats
+	maxObservationGap = time.Second            // longer times between observations are gaps: the instance was suspended and lacks reports of others
+	// Bad answers after which a version is rejected. 50 are allowed until the rollback;
+	// the difference covers the delay of heartbeats and of announcing the phase.
+	maxBadAnswers        = 25
+	maxBadOfOneReplica   = 40  // bad answers after which a version is rejected even if they come from a single replica
+	minorRouteShare      = 0.1 // share of the service's requests below which a route needs no verdict of its own
+	doubtThreshold       = 2.0 // score against a version from which it is not promoted, also on a minor route
+	minReplicaAnswers    = 5   // answers from which a replica counts as evidence about its version
+	faultyFraction       = 0.5 // fraction of harmThreshold from which a replica counts as faulty: two bad answers in a row
+	maxRateForAcceptance = 0.1 // highest allowed rate at which good answers count for a version: while both versions fail, the judge waits
 )
 
 // Bounds of the score: above harmThreshold the version is harmful, below
@@ -49,7 +51,7 @@
 
 type routeScore struct {
 	Finding
-	recentOldAnswers, recentOldBad float64 // decayed counts of the old version's answers
+	decayedOldAnswers, decayedOldBad float64 // decayed counts of the old version's answers
 }
 
 func (r *replicaScore) addScore(step float64, counts bool) {
@@ -62,7 +64,7 @@
 // rates returns the share of bad answers that a good version may have now, and the
 // share of a harmful one.
 func (r *routeScore) rates() (good, harm float64) {
-	good = (r.recentOldBad + minAllowedRate*priorAnswers) / (r.recentOldAnswers + priorAnswers)
+	good = (r.decayedOldBad + minAllowedRate*priorAnswers) / (r.decayedOldAnswers + priorAnswers)
 	good = min(max(allowedRateFactor*good, minAllowedRate), maxAllowedRate)
 	return good, min(good+minHarm, (1+good)/2)
 }
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -8,7 +8,9 @@
 )
 
 const (
-	canaryFraction  = 0.7                    // fraction of the allowed share that the version gets. At 0.7 a route with a fifth of 100 requests/s is judged in 8 s, at 0.5 in 11 s; the rest is left for the shift
+	// Fraction of the allowed share that the version gets. At 0.7 a route with a fifth of
+	// 100 requests/s is judged in 8 s, at 0.5 in 11 s; the rest is left for the shift.
+	canaryFraction  = 0.7
 	rampStepTime    = 400 * time.Millisecond // between steps after promotion: two heartbeats and one evaluation by the judging instances
 	retireTime      = 10 * time.Second       // old replicas get no requests for this time after completion: they stop at once, but replica lists lag by 3 s
 	restartPause    = 1 * time.Second        // twice burstWindow, so that later ends of replicas form a burst of their own
@@ -48,14 +50,14 @@
 func (s *OrderState) IsFullyShifted(now time.Duration) bool { return s.Share(now, 0) >= 1 }
 
 // Withheld reports whether replicas of a version of a service get no requests now.
-// others is true if replicas of another version could take its requests, moved if
+// others is true if replicas of another version could take its requests, shifted if
 // all requests go to the ordered version already.
-func (v *View) Withheld(service, version string, others, moved bool) bool {
+func (v *View) Withheld(service, version string, others, shifted bool) bool {
 	s := v.current[service]
 	switch {
 	case s != nil && s.Target == version:
 		return s.Phase == Rejected || s.Phase == Pending && others
-	case s != nil && moved && s.Phase != Rejected:
+	case s != nil && shifted && s.Phase != Rejected:
 		return true
 	}
 	last := v.latestOrder(service, version)
