--- a/cmd/node/apart.go
+++ b/cmd/node/apart.go
@@ -9,57 +9,62 @@
 )
 
 const (
-	aloneWait = 1500 * time.Millisecond // that a trial which is to show who is to blame waits for an engine without other suspects: most are done by then
-	aloneLook = 100 * time.Millisecond  // between questions for one
+	isolationTimeout  = 1500 * time.Millisecond // a trial's wait for an engine without other suspects, so that its outcome is unambiguous; most of them end by then
+	isolationInterval = 100 * time.Millisecond  // between requests for such an engine
 )
 
-// placeApart has a suspect's engine chosen anew where it was chosen before so
-// many replicas had ended under the request, or has been tried: the owner alone
-// sees who is beside it.
-func (s *serving) placeApart(ctx context.Context) {
+// isolateSuspect has a suspect's engine chosen again if the choice can't be used any
+// more or more replicas have ended during the request since. It then waits a while
+// for an engine without other suspects. Only the owner sees which requests run
+// concurrently at an engine.
+func (s *requestHandler) isolateSuspect(ctx context.Context) {
 	if s.trial == nil || s.job == nil || s.service.Engine == nil {
 		return
 	}
-	if s.misplaced() && !s.placeAnew(ctx) {
+	if s.isEngineChoiceStale() && !s.requestNewEngine(ctx) {
 		return
 	}
-	until := s.node.now() + aloneWait
-	for s.crowded() && s.node.now() < until && process.Pause(ctx, aloneLook) {
-		if !s.placeAnew(ctx) {
+	until := s.node.now() + isolationTimeout
+	for s.hasConcurrentSuspects() && s.node.now() < until && process.Pause(ctx, isolationInterval) {
+		if !s.requestNewEngine(ctx) {
 			return
 		}
 	}
 }
 
-// misplaced reports whether the engine was chosen by what is no longer so.
-func (s *serving) misplaced() bool {
-	_, usable := s.ownersChoice()
-	return !usable || s.job.ended != s.node.endedUnder(s.fingerprint)
+// isEngineChoiceStale reports whether the chosen engine can't be used any more, or
+// was chosen before another replica ended during the request.
+func (s *requestHandler) isEngineChoiceStale() bool {
+	_, usable := s.ownerChoice()
+	return !usable || s.job.replicaEnds != s.node.endedUnder(s.fingerprint)
 }
 
-// crowded reports whether other suspects would be lost with the engine.
-func (s *serving) crowded() bool { return s.job.ended >= placement.TrialThreshold && s.job.beside > 0 }
+// hasConcurrentSuspects reports whether other suspects at the engine would make the
+// trial's outcome ambiguous.
+func (s *requestHandler) hasConcurrentSuspects() bool {
+	return s.job.replicaEnds >= placement.TrialThreshold && s.job.concurrentSuspects > 0
+}
 
-// placeAnew asks the owner for an engine; where it can't be asked, or knows none,
-// this instance chooses by itself.
-func (s *serving) placeAnew(ctx context.Context) bool {
-	ask, _ := s.ask()
+// requestNewEngine asks the owner for another engine. If that fails or the owner has
+// none, it returns false and this instance chooses the engine itself.
+func (s *requestHandler) requestNewEngine(ctx context.Context) bool {
+	ask, _ := s.buildStagesAsk()
 	ask.Stages = nil
 	region := s.job.region
-	results := s.job.unplaced()
+	results := s.job.releaseEngine()
 	s.job = results
-	placed, err := s.stagesIn(ctx, ask, region)
+	engineJob, err := s.runStagesIn(ctx, ask, region)
 	if err != nil {
-		s.node.logAside("engine apart from others", s.owner, err)
+		s.node.logSideCallFailure("isolated engine of a suspect", s.lastOwner, err)
 		if results != nil {
 			results.engine = ""
 		}
 		return false
 	}
-	s.job = placed
+	s.job = engineJob
 	if results != nil {
-		s.job = results.at(placed)
+		s.job = results.withEngineOf(engineJob)
 	}
-	s.job.ended = int(ask.Ended)
-	return placed.engine != ""
+	s.job.replicaEnds = int(ask.Ended)
+	return engineJob.engine != ""
 }
--- a/cmd/node/ask.go
+++ b/cmd/node/ask.go
@@ -9,19 +9,20 @@
 	"quinceroad/protocol/pb"
 )
 
-// Bounds of an ask, beyond what a client's request and a configuration can
-// state: an ask that ends its owner is put to the next one, and ends that too.
+// Bounds of a StagesAsk, beyond what a client's request and a configuration can
+// state. A message that crashes its owner would be sent to the next owner and
+// crash that too.
 const (
-	mostStages   = 64             // of a request: far beyond what deployments state
-	longestAsk   = 24 * time.Hour // either way, of a time in an ask: far beyond the longest deadline
-	mostAskBytes = 1 << 40        // bytes, of one result: more than a machine holds
+	maxStages      = 64             // of a request; far beyond what deployments configure
+	maxAskTime     = 24 * time.Hour // of any time, positive or negative; far beyond the longest deadline
+	maxResultBytes = 1 << 40        // of one result; more than a machine can hold
 )
 
-var errAskTimes = errors.New("a time is out of range")
+var errAskTimeOutOfRange = errors.New("a time is out of range")
 
-// checkAsk returns what is wrong with an ask for stages.
-func checkAsk(ask *pb.StagesAsk) error {
-	if len(ask.Stages) > mostStages {
+// validateStagesAsk returns an error if a StagesAsk is out of bounds.
+func validateStagesAsk(ask *pb.StagesAsk) error {
+	if len(ask.Stages) > maxStages {
 		return fmt.Errorf("%d stages", len(ask.Stages))
 	}
 	if len(ask.Parts) > platform.MostParts || ask.TokensOut > platform.MostTokens {
@@ -39,20 +40,20 @@
 		}
 	}
 	for n, w := range ask.Stages {
-		if err := checkStage(n, w); err != nil {
+		if err := validateStageWork(n, w); err != nil {
 			return err
 		}
 	}
 	for _, us := range []int64{ask.ObjectiveUs, ask.DeadlineUs, ask.SlackUs} {
-		if us > longestAsk.Microseconds() || us < -longestAsk.Microseconds() {
-			return errAskTimes
+		if us > maxAskTime.Microseconds() || us < -maxAskTime.Microseconds() {
+			return errAskTimeOutOfRange
 		}
 	}
 	return nil
 }
 
-func checkStage(n int, w *pb.StageWork) error {
-	if w.GetPieces() > platform.MostPieces || w.GetBytes() < 0 || w.GetBytes() > mostAskBytes {
+func validateStageWork(n int, w *pb.StageWork) error {
+	if w.GetPieces() > platform.MostPieces || w.GetBytes() < 0 || w.GetBytes() > maxResultBytes {
 		return fmt.Errorf("stage %d has %d pieces of %d bytes", n, w.GetPieces(), w.GetBytes())
 	}
 	for _, a := range w.GetAfter() {
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -22,69 +22,69 @@
 )
 
 const (
-	connectFor    = 250 * time.Millisecond  // a replica that lives takes a connection in a few ms, below the shortest wait of a client
-	connIdle      = 6 * time.Second         // that a connection to a replica is kept where it states no time itself
-	maxAnswer     = 64 << 20                // bytes
-	patienceShare = 0.6                     // of the objective, that a repeatable request waits at one replica
-	patienceTimes = 4                       // of the replica's usual time
-	gapTimes      = 5                       // of the longest pause in time, after which a resumable stream moves on
-	leastGap      = 2500 * time.Millisecond // clients give a silent stream up after 2 s or more; a resumable one moves on when it would be lost anyway
-	clientWrite   = 5 * time.Second         // that a client may take to read an event
+	replicaConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below the shortest wait of a client
+	defaultReplicaConnIdle = 6 * time.Second        // idle time of a connection to a replica that states none
+	maxAnswerBytes         = 64 << 20
+	timeoutObjectiveShare  = 0.6                     // part of the objective that a repeatable request waits for one replica
+	timeoutMeanFactor      = 4                       // multiple of the replica's mean answer time that it waits at least
+	eventGapFactor         = 5                       // multiple of the route's gap objective after which a resumable stream moves to another replica
+	minEventGapTimeout     = 2500 * time.Millisecond // clients abandon a silent stream after 2 s or more; a resumable one moves only when it would be lost anyway
+	clientWriteTimeout     = 5 * time.Second         // for a client to read an event
 )
 
 // attempt is one send of a request to a replica.
 type attempt struct {
-	*serving
-	replica catalog.Replica
-	token   outcome.Dispatched
-	conn    *upstream.Conn
-	x       *upstream.Exchange
-	head    platform.Head
-	turn    stated.Attempt
-	cut     atomic.Pointer[error] // why this instance ended it; nil: it did not
-	sent    time.Duration
-	asleep  time.Duration // that the machine had been when it was sent
-	began   time.Duration // the answer; of a stream its first event; 0: not yet
+	*requestHandler
+	replica         catalog.Replica
+	token           outcome.Dispatched
+	conn            *upstream.Conn
+	exchange        *upstream.Exchange
+	head            platform.Head
+	advisoryAttempt stated.Attempt
+	abortReason     atomic.Pointer[error] // why this instance aborted it; nil: it did not
+	sentAt          time.Duration
+	suspendedBefore time.Duration // total time that the machine was suspended before the send
+	answerBegan     time.Duration // when the answer, or a stream's first event, arrived; 0: not yet
 }
 
-// attempt sends the request to a replica and passes the answer on. It returns
-// nil once the client has an answer.
-func (s *serving) attempt(ctx context.Context, r catalog.Replica, fetch string) error {
-	s.replica, s.region, s.fetch = r.ID, r.Region, fetch
+// attempt sends the request to a replica and forwards the answer. It returns nil
+// once the client has an answer.
+func (s *requestHandler) attempt(ctx context.Context, r catalog.Replica, fetch string) error {
+	s.lastReplica, s.lastRegion, s.lastFetchFrom = r.ID, r.Region, fetch
 	n := s.node
 	if !s.hasTurn(ctx, &r) {
 		return errPaced
 	}
-	conn, err := n.connect(ctx, r.Address, connectFor)
+	conn, err := n.connectReplica(ctx, r.Address, replicaConnectTimeout)
 	if err != nil {
-		if !done(ctx) {
-			s.note(r.ID, health.Unreachable)
+		if !isDone(ctx) {
+			s.recordHealth(r.ID, health.Unreachable)
 		}
-		return errUnreached
+		return errNoReplicaReached
 	}
-	defer n.rollouts.enter(&r, !s.movable())() // before it is asked whether the replica may get it
-	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
+	defer n.rollouts.enter(&r, !s.movable())() // must precede the checks whether the replica may receive the request
+	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
-		return errUnreached
+		return errNoReplicaReached
 	}
-	turn, ok := n.statements.begin(n.now(), r.ID)
+	advisoryAttempt, ok := n.statements.begin(n.now(), r.ID)
 	if !ok {
 		conn.Close()
-		return errUnreached
+		return errNoReplicaReached
 	}
-	defer func() { n.statements.end(turn) }()
-	a := &attempt{serving: s, replica: r, conn: conn, sent: n.now(), asleep: n.clock.Asleep(), turn: turn}
+	defer func() { n.statements.end(advisoryAttempt) }()
+	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.Asleep(), advisoryAttempt: advisoryAttempt}
 	token, ok := s.record.Dispatch()
 	if !ok {
 		conn.Close()
-		return errUnreached
+		return errNoReplicaReached
 	}
 	a.token = token
 	if len(s.tried) > 0 {
 		n.counters.again.Inc(1)
 	}
 	n.counters.attempts.Inc(1)
-	if n.distance(r.Hall) == regions.Remote {
+	if n.distanceTo(r.Hall) == regions.Remote {
 		n.counters.farAttempts.Inc(1)
 		n.counters.farBytes.requests.Inc(int64(len(s.req.Body)))
 	}
@@ -95,62 +95,64 @@
 	if n.endedUnder(s.fingerprint) > 0 {
 		defer n.runsSuspect(s.fingerprint, r.ID)()
 	}
-	err = a.exchange(ctx, fetch)
+	err = a.sendAndReceive(ctx, fetch)
 	a.finish(ctx, err)
 	return err
 }
 
-// closesAtRefusal reports whether the replica turned the request away and closed
-// the connection, as one that leaves does, and stated no reason itself.
-func (a *attempt) closesAtRefusal() bool {
+// closedAfterRefusal reports whether the replica refused the request and closed
+// the connection without an advisory, as a draining replica does.
+func (a *attempt) closedAfterRefusal() bool {
 	h := &a.head
 	return h.Closes && h.NotRun && h.Rest == 0 && !h.Leaves
 }
 
-// countAnswer counts what comes from another region.
-func (a *attempt) countAnswer(bytes int) {
-	if a.node.distance(a.replica.Hall) == regions.Remote {
+// countRemoteBytes counts the answer's bytes if the replica is in another region.
+func (a *attempt) countRemoteBytes(bytes int) {
+	if a.node.distanceTo(a.replica.Hall) == regions.Remote {
 		a.node.counters.farBytes.answers.Inc(int64(bytes))
 	}
 }
 
-// way tells how the attempt ended.
-func (a *attempt) way(ctx context.Context, err error) ending.Kind {
+// endingKind classifies how the attempt ended.
+func (a *attempt) endingKind(ctx context.Context, err error) ending.Kind {
 	switch {
-	case err == nil && a.x.Header.StatusCode() >= http.StatusInternalServerError:
+	case err == nil && a.exchange.Header.StatusCode() >= http.StatusInternalServerError:
 		return ending.Failed
 	case err == nil:
 		return ending.Succeeded
-	case errors.Is(err, errNotRun):
+	case errors.Is(err, errReplicaRefused):
 		return ending.Refused
-	case errors.Is(err, errInputs):
+	case errors.Is(err, errMissingInputs):
 		return ending.MissingInputs
-	case errors.Is(err, errOwnFault):
+	case errors.Is(err, errReplicaFailed):
 		return ending.Failed
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errReplicaTimeout):
 		return ending.ResponseTimeout
-	case errors.Is(err, errLeft):
+	case errors.Is(err, errClientGone):
 		return ending.ClientGone
-	case done(ctx):
+	case isDone(ctx):
 		return ending.DeadlineExceeded
-	case errors.Is(err, errLifeOver):
+	case errors.Is(err, errReplicaRestarted):
 		return ending.ReplicaRestarted
 	}
 	return ending.ConnectionBroken
 }
 
-// finish takes in how the attempt ended.
+// finish records how the attempt ended: in the load table, the health detector,
+// the quarantine and the rollout. It may wait for the probe of a replica whose
+// answer broke off.
 func (a *attempt) finish(ctx context.Context, err error) {
 	n := a.node
-	took := n.now() - a.sent
+	took := n.now() - a.sentAt
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		err = errLeft
+		err = errClientGone
 	}
-	way := a.way(ctx, err)
-	suspended := n.clock.Asleep() != a.asleep
+	kind := a.endingKind(ctx, err)
+	suspended := n.clock.Asleep() != a.suspendedBefore
 	if err != nil {
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
-			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEvent, "chosen", a.chosen, "rest", a.head.Rest, "leaves", a.head.Leaves)
+			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Rest, "leaves", a.head.Leaves)
 	}
 	n.judgeMu.Lock()
 	if err == nil && !suspended {
@@ -162,91 +164,91 @@
 		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
 	n.judgeMu.Unlock()
-	if a.head.Stranger || a.closesAtRefusal() {
+	if a.head.Stranger || a.closedAfterRefusal() {
 		n.sawLeaving(a.replica.ID, "answer")
 	}
-	if way == ending.Refused || way == ending.MissingInputs {
+	if kind == ending.Refused || kind == ending.MissingInputs {
 		a.record.NotRun(a.token)
 		delete(a.tried, a.replica.ID)
 	}
-	says := way.Evidence()
-	if says.Health != nil {
-		a.note(a.replica.ID, *says.Health)
+	evidence := kind.Evidence()
+	if evidence.Health != nil {
+		a.recordHealth(a.replica.ID, *evidence.Health)
 	}
-	switch says.Request {
+	switch evidence.Request {
 	case ending.RequestCleared:
 		n.answeredWhole(a.fingerprint)
 	case ending.RequestBlamed:
-		n.endedUnfinished(a.replica.ID, a.sent, a.fingerprint)
+		n.endedUnfinished(a.replica.ID, a.sentAt, a.fingerprint)
 	case ending.RequestProbe:
-		a.look = n.brokeOff(&a.replica, a.sent, a.fingerprint)
+		a.probe = n.brokeOff(&a.replica, a.sentAt, a.fingerprint)
 	}
-	a.tellRollout(way, suspended, took)
-	if says.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
-		n.awaitLook(ctx, a.look) // else there is nothing to wait for: it has its end at once
+	a.tellRollout(kind, suspended, took)
+	if evidence.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
+		n.awaitLook(ctx, a.probe) // without a further attempt there is nothing to wait for
 	}
 }
 
-// exchange writes the request and passes the answer on.
-func (a *attempt) exchange(ctx context.Context, fetch string) error {
-	_ = a.conn.SetDeadline(time.Now().Add(a.end - a.node.now() + time.Second)) // the context ends it; this is for what the context misses
+// sendAndReceive sends the request and forwards the answer.
+func (a *attempt) sendAndReceive(ctx context.Context, fetch string) error {
+	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second)) // a fallback: normally the context ends the attempt
 	stop := context.AfterFunc(ctx, a.conn.Close)
 	defer stop()
-	defer a.node.running.begin(a.replica.ID, func() { a.cutOff(errLifeOver) })()
-	watch := a.watch()
-	defer watch.Stop()
+	defer a.node.running.begin(a.replica.ID, func() { a.abort(errReplicaRestarted) })()
+	timer := a.startTimeout()
+	defer timer.Stop()
 
 	req := fasthttp.AcquireRequest()
-	a.fill(req, fetch)
+	a.fillRequest(req, fetch)
 	x, err := a.conn.Begin(a.token, req)
 	if err != nil {
 		a.conn.Close()
-		return a.broken(errBroken)
+		return a.abortReasonOr(errAnswerBroken)
 	}
-	a.x = x
+	a.exchange = x
 	defer func() {
-		x.Release(idleOf(&a.head, connIdle))
+		x.Release(idleTimeoutAfter(&a.head, defaultReplicaConnIdle))
 	}()
-	if err := x.ReadHead(a.own); err != nil {
-		return a.broken(errBroken)
+	if err := x.ReadHead(a.isOwnAnswer); err != nil {
+		return a.abortReasonOr(errAnswerBroken)
 	}
-	a.head = a.node.takeHead(a.stater(), a.turn, &x.Header)
-	a.leaves = a.head.Leaves
-	a.began = a.node.now()
-	return a.answer(watch)
+	a.head = a.node.takeHead(a.answerSource(), a.advisoryAttempt, &x.Header)
+	a.lastReplicaDrains = a.head.Leaves
+	a.answerBegan = a.node.now()
+	return a.forwardAnswer(timer)
 }
 
-// cutOff ends the attempt for a reason of this instance's own.
-func (a *attempt) cutOff(why error) {
-	a.cut.CompareAndSwap(nil, &why)
+// abort ends the attempt with this instance's own reason. The first reason wins.
+func (a *attempt) abort(why error) {
+	a.abortReason.CompareAndSwap(nil, &why)
 	a.conn.Close()
 }
 
-// broken returns why the answer broke off: this instance's own reason to end it,
-// else what it looks like.
-func (a *attempt) broken(looks error) error {
-	if why := a.cut.Load(); why != nil {
+// abortReasonOr returns this instance's reason to abort the attempt, or else the
+// apparent error.
+func (a *attempt) abortReasonOr(apparent error) error {
+	if why := a.abortReason.Load(); why != nil {
 		return *why
 	}
-	return looks
+	return apparent
 }
 
-// own reports whether an answer is this request's. What its replica states in
-// another one, which came late, is stated all the same.
-func (a *attempt) own(h *fasthttp.ResponseHeader) bool {
+// isOwnAnswer reports whether an answer belongs to this request. The advisories in
+// a late answer to another request are recorded all the same.
+func (a *attempt) isOwnAnswer(h *fasthttp.ResponseHeader) bool {
 	id := string(h.Peek(platform.HeaderID))
 	if id == a.req.ID || (id == "" && h.StatusCode() >= http.StatusBadRequest) {
 		return true
 	}
-	late := a.stater()
-	late.aside = true
-	a.node.takeHead(late, stated.Attempt{}, h)
+	lateSource := a.answerSource()
+	lateSource.aside = true
+	a.node.takeHead(lateSource, stated.Attempt{}, h)
 	return false
 }
 
-func (a *attempt) stater() stater { return stater{life: a.replica.ID, service: a.service.Name} }
+func (a *attempt) answerSource() stater { return stater{life: a.replica.ID, service: a.service.Name} }
 
-func (a *attempt) fill(req *fasthttp.Request, fetch string) {
+func (a *attempt) fillRequest(req *fasthttp.Request, fetch string) {
 	req.Header.DisableNormalizing()
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetMethod(a.req.Method)
@@ -255,99 +257,101 @@
 	send := &platform.Send{
 		Replica:   a.replica.Name,
 		Customer:  a.customer,
-		Left:      a.end - a.node.now(),
+		Left:      a.deadline - a.node.now(),
 		Fetch:     fetch,
 		Urgency:   -1,
 		LastEvent: a.req.LastEvent,
 	}
 	if a.service.Engine != nil {
-		send.Urgency = a.rank / rankStep
+		send.Urgency = a.rank / customerRankFactor
 	}
 	if a.job != nil {
 		send.Inputs = a.job.handles
 	}
-	if a.stream.lastEvent != "" {
-		send.LastEvent = a.stream.lastEvent
+	if a.stream.lastEventID != "" {
+		send.LastEvent = a.stream.lastEventID
 	}
 	platform.Fill(a.req, send, req.Header.Add)
 	req.SetBodyRaw(a.req.Body)
 }
 
-// watch ends the attempt after too long a silence, where the request may go
-// on elsewhere; else it never fires.
-func (a *attempt) watch() *time.Timer {
-	wait := a.patience()
+// startTimeout returns a timer that aborts the attempt when its answer does not
+// begin in time. It never fires if the request may not be sent elsewhere.
+func (a *attempt) startTimeout() *time.Timer {
+	wait := a.timeout()
 	if wait == 0 {
-		wait = a.end - a.node.now() + time.Hour
+		wait = a.deadline - a.node.now() + time.Hour
 	}
 	return time.AfterFunc(wait, func() {
 		if a.node.stopping.Load() {
-			return // a stop ends nothing that may still come
+			return // a shutdown aborts no attempt that may still be answered
 		}
-		a.cutOff(errSilent)
+		a.abort(errReplicaTimeout)
 	})
 }
 
-// patience is how long the attempt waits for its answer to begin; 0: to the end.
-func (a *attempt) patience() time.Duration {
+// timeout returns how long the attempt waits for its answer to begin; 0: until the
+// request's deadline.
+func (a *attempt) timeout() time.Duration {
 	if len(a.tried) >= a.route.MaxAttempts || a.route.Objective == 0 {
 		return 0
 	}
 	n := a.node
 	n.judgeMu.Lock()
-	usual := n.loads.MeanAnswerTime(a.replica.ID)
+	mean := n.loads.MeanAnswerTime(a.replica.ID)
 	n.judgeMu.Unlock()
 	switch {
 	case a.route.Kind == catalog.Repeatable:
-		return max(time.Duration(float64(a.route.Objective)*patienceShare), patienceTimes*usual)
+		return max(time.Duration(float64(a.route.Objective)*timeoutObjectiveShare), timeoutMeanFactor*mean)
 	case a.route.Kind == catalog.Stream && a.route.Resumable:
 		return max(a.route.Objective, time.Second)
 	}
 	return 0
 }
 
-// answer passes an answer on whose head has come.
-func (a *attempt) answer(watch *time.Timer) error {
-	status := a.x.Header.StatusCode()
+// forwardAnswer passes an answer to the client after its headers have arrived.
+func (a *attempt) forwardAnswer(timer *time.Timer) error {
+	status := a.exchange.Header.StatusCode()
 	switch {
 	case a.head.NotRun && status == http.StatusConflict:
-		_, _ = io.Copy(io.Discard, a.x)
-		return errInputs
+		_, _ = io.Copy(io.Discard, a.exchange)
+		return errMissingInputs
 	case a.head.NotRun:
-		_, _ = io.Copy(io.Discard, a.x)
-		return errNotRun
+		_, _ = io.Copy(io.Discard, a.exchange)
+		return errReplicaRefused
 	case status < http.StatusMultipleChoices && !a.head.FullSignature():
-		return errBroken
+		return errAnswerBroken
 	case status < http.StatusMultipleChoices && a.route.Kind == catalog.Stream:
-		return a.passStream(watch)
+		return a.forwardStream(timer)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.x, maxAnswer))
-	if err != nil || !a.x.Whole() {
-		return a.broken(errBroken)
+	body, err := io.ReadAll(io.LimitReader(a.exchange, maxAnswerBytes))
+	if err != nil || !a.exchange.Whole() {
+		return a.abortReasonOr(errAnswerBroken)
 	}
-	watch.Stop()
-	if status >= http.StatusInternalServerError && a.mayMend() {
-		return errOwnFault
+	timer.Stop()
+	if status >= http.StatusInternalServerError && a.shouldRetryFailure() {
+		return errReplicaFailed
 	}
-	if a.stream.headSent {
-		return errCutOff
+	if a.stream.headersSent {
+		return errStreamBroken
 	}
-	a.copyHead()
+	a.copyHeaders()
 	a.node.counters.status(status).Inc(1)
 	a.w.WriteHeader(status)
 	_, _ = a.w.Write(body)
-	a.countAnswer(len(body))
+	a.countRemoteBytes(len(body))
 	return nil
 }
 
-// mayMend reports whether another replica is tried after a replica's own
-// failure; where it may not, the client gets that answer.
-func (a *attempt) mayMend() bool {
-	return a.route.Kind == catalog.Repeatable && len(a.tried) < a.route.MaxAttempts && a.hasOthers() && a.mayRepeat()
+// shouldRetryFailure reports whether another replica is tried after a replica
+// answered with a server error, and consumes the retry budget. Otherwise the
+// client gets that answer.
+func (a *attempt) shouldRetryFailure() bool {
+	return a.route.Kind == catalog.Repeatable && len(a.tried) < a.route.MaxAttempts && a.hasUntriedReplica() && a.consumeRetryBudget()
 }
 
-func (a *attempt) hasOthers() bool {
-	for _, r := range permitted(a.homes(), a.node.world.Load().services[a.service.Name]) {
+func (a *attempt) hasUntriedReplica() bool {
+	for _, r := range replicasInRegions(a.allowedRegions(), a.node.world.Load().services[a.service.Name]) {
 		if !a.tried[r.ID] && !a.avoid[r.ID] {
 			return true
 		}
@@ -355,15 +359,15 @@
 	return false
 }
 
-// copyHead gives the replica's headers to the client.
-func (a *attempt) copyHead() {
+// copyHeaders copies the replica's headers to the client's answer.
+func (a *attempt) copyHeaders() {
 	h := a.w.Header()
-	for name, value := range a.x.Header.All() {
+	for name, value := range a.exchange.Header.All() {
 		if platform.PassedOn(string(name)) {
 			h.Add(string(name), string(value))
 		}
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // the library must not guess one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 }
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -15,7 +15,8 @@
 	"quinceroad/transport/datagram"
 )
 
-// fleetNode returns a node that knows of so many instances and replicas.
+// fleetNode returns a node with a view of the given numbers of instances and
+// replicas.
 func fleetNode(b testing.TB, instances, replicas int) *Node {
 	n := New(&platform.Settings{Name: "n", Hall: "hall-0", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
 	for i := range instances - 1 {
@@ -35,7 +36,7 @@
 	return n
 }
 
-// heartbeatOf is a heartbeat that tells nothing of replicas.
+// heartbeatOf returns a heartbeat without reports on replicas.
 func heartbeatOf(m gossip.Message) *pb.Heartbeat {
 	h := &pb.Heartbeat{}
 	for _, i := range m.Entries {
@@ -48,13 +49,14 @@
 	return h
 }
 
-// BenchmarkHeartbeat is one round: whom to tell, what, and its bytes. A node
-// makes five rounds a second and sends each to four others.
+// BenchmarkHeartbeat measures one gossip round: choosing the targets and the
+// entries, and encoding the message. A node makes five rounds a second and sends
+// each message to four others.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, instances := range []int{6, 74, 390} {
 		b.Run(fmt.Sprint("instances=", instances), func(b *testing.B) {
 			n := fleetNode(b, instances, 0)
-			size, now := 0, n.now() // the others stay alive
+			size, now := 0, n.now() // a fixed time keeps the others alive
 			for b.Loop() {
 				_, m := n.members.Round(now, newRandom())
 				data, err := datagram.Encode(heartbeatOf(m))
@@ -68,8 +70,8 @@
 	}
 }
 
-// BenchmarkReplicaChange is one change of the list at an instance that is told
-// of it by a peer.
+// BenchmarkReplicaChange measures one change of the replica list that an instance
+// receives from a peer.
 func BenchmarkReplicaChange(b *testing.B) {
 	for _, replicas := range []int{30, 145, 600} {
 		b.Run(fmt.Sprint("replicas=", replicas), func(b *testing.B) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// replicaEntry is a replica's own entry in the store.
+// replicaEntry returns a replica's entry as it stands in the store.
 func replicaEntry(t testing.TB, r *catalog.Replica) []byte {
 	t.Helper()
 	value, err := platform.FormatReplica(r, 4)
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -42,7 +42,7 @@
 	if w.config == nil {
 		return
 	}
-	replicas := w.share(c.number)
+	replicas := w.cellReplicas(c.number)
 	c.do(func(now time.Duration) []pipeline.Action {
 		c.engines.SetEngines(w.config.Services, replicas)
 		return c.scheduler.SetPools(now, w.config.Services, replicas)
@@ -104,7 +104,7 @@
 	defer over()
 	defer n.running.begin(a.Replica, over)()
 	leave := n.rollouts.enter(&replica, false) // its pieces go to another replica
-	results, fate := n.runPieces(ctx, a)
+	results, fate := n.runBatch(ctx, a)
 	if fate == pipeline.Broken || fate == pipeline.TimedOut && n.quarantine.hasEnded(a.Replica) {
 		fate = c.whyBroken(ctx, a, began)
 	}
@@ -224,7 +224,7 @@
 			return
 		}
 		var asked sync.WaitGroup
-		for _, r := range w.share(c.number) {
+		for _, r := range w.cellReplicas(c.number) {
 			switch {
 			case !r.AcceptsWork():
 			case w.config.Services[r.Service].Pool != nil:
@@ -240,9 +240,9 @@
 // look takes in what a replica tells of itself.
 func (c *cell) look(r catalog.Replica) {
 	n := c.owner.node
-	told, err := n.report(r)
+	told, err := n.fetchReplicaReport(r)
 	if err != nil {
-		n.logAside("report", r.ID, err)
+		n.logSideCallFailure("report", r.ID, err)
 		return
 	}
 	if told.Leaves {
@@ -260,7 +260,7 @@
 // prompts that are read again.
 func (c *cell) askKept(r catalog.Replica) {
 	n := c.owner.node
-	parts, err := n.keptParts(r)
+	parts, err := n.fetchCachedParts(r)
 	if err != nil {
 		event.NodeKeptUnknown.Log(n.log, "replica", r.ID, "error", err)
 		return
--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -9,22 +9,24 @@
 	"quinceroad/state/catalog"
 )
 
-// coldness counts what this instance itself sends to cold replicas of plain
-// services; those of pools and engines are counted by their cell's owner.
-type coldness struct {
+// warmUpLimiter limits the requests that this instance sends to warming replicas of
+// plain services. The replicas of pools and engines are limited by their cell's
+// owner.
+type warmUpLimiter struct {
 	limit  warmup.Limit
 	mu     sync.Mutex
 	window *warmup.Window
 }
 
-func newColdness(s *platform.Settings) *coldness {
-	return &coldness{limit: warmup.Limit{Overrun: s.ColdOverrun, Slack: s.ColdSlack}, window: warmup.NewWindow()}
+func newWarmUpLimiter(s *platform.Settings) *warmUpLimiter {
+	return &warmUpLimiter{limit: warmup.Limit{Overrun: s.ColdOverrun, Slack: s.ColdSlack}, window: warmup.NewWindow()}
 }
 
-// coldUntil returns until when a replica is to be taken for cold: by its own
-// word, or because its hall was taken back a moment ago. It may have turned cold
-// just before, and says so up to a heartbeat later. It needs followMu.
-func (n *Node) coldUntil(c *catalog.Configuration, row *replicaRow) time.Duration {
+// warmingUntil returns until when a replica counts as warming: by its own report, or
+// because its hall has just returned from a drain: the replica may have begun to
+// warm up shortly before, which it reports up to a heartbeat later. The caller holds
+// followMu.
+func (n *Node) warmingUntil(c *catalog.Configuration, row *replicaRow) time.Duration {
 	if c == nil {
 		return 0
 	}
@@ -39,9 +41,10 @@
 	return until
 }
 
-// allowsCold reports whether this instance may send a request to a cold replica of
-// a plain service now, given who takes requests; count counts it.
-func (n *Node) allowsCold(now time.Duration, s *catalog.Service, id string, instances []string, count bool) bool {
+// allowsWarmingReplica reports whether this instance may send a request to a warming
+// replica of a plain service now, given the instances that accept requests. With
+// record, the request is counted.
+func (n *Node) allowsWarmingReplica(now time.Duration, s *catalog.Service, id string, instances []string, record bool) bool {
 	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.MaxPerSender(s.WarmUp.RequestsPerSecond))
 	if quota == 0 {
 		return false
@@ -51,16 +54,16 @@
 	if n.cold.window.NextAllowed(now, id, quota) > now {
 		return false
 	}
-	if count {
+	if record {
 		n.cold.window.Record(now, id)
 	}
 	return true
 }
 
-// mayGet reports, right before the send, whether a replica may get a request by
-// what is known now: it may have waited since its replica was chosen. What goes
-// to a cold replica of a plain service is counted.
-func (n *Node) mayGet(s *catalog.Service, id string) bool {
+// mayReceive reports, right before the send, whether a replica may get a request: it
+// may have waited since its replica was chosen. Requests to warming replicas of
+// plain services are counted.
+func (n *Node) mayReceive(s *catalog.Service, id string) bool {
 	if !n.replicaTakes(id) {
 		return false
 	}
@@ -70,14 +73,14 @@
 	now := n.now()
 	for _, r := range n.world.Load().services[s.Name] {
 		if r.ID == id {
-			return r.WarmingUntil <= now || n.allowsCold(now, s, id, n.taking(), true)
+			return r.WarmingUntil <= now || n.allowsWarmingReplica(now, s, id, n.acceptingInstances(), true)
 		}
 	}
 	return true
 }
 
-// taking returns the names of the instances that take requests.
-func (n *Node) taking() []string {
+// acceptingInstances returns the names of the instances that accept requests.
+func (n *Node) acceptingInstances() []string {
 	var out []string
 	for _, i := range n.alive() {
 		if !i.Leaving {
--- a/cmd/node/deadlines.go
+++ b/cmd/node/deadlines.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// deadlines is, by route, the longest deadline that a client has stated: what
-// clients state at their first attempt, less a connection's time.
-type deadlines map[string]time.Duration
+// longestDeadlines holds, by route, the longest deadline that a client has stated.
+// Clients state about this deadline in a first attempt, less the time of their
+// connection.
+type longestDeadlines map[string]time.Duration
 
-// cameAfter is how much shorter than its route's longest the deadline is of a
-// client that came back: one that was refused waits 100 ms at least (the
-// scheduler's LeastRetry), and a first connection takes some 10 to 30 ms.
-const cameAfter = 70 * time.Millisecond
+// minDeadlineGap is how much shorter than the route's longest deadline the deadline
+// of a retry is at least. A refused client waits 100 ms or more (the scheduler's
+// MinRetryAfter), and a first connection takes 10 to 30 ms.
+const minDeadlineGap = 70 * time.Millisecond
 
-// cameBack takes in the deadline that a client states, and reports whether it
-// is that of a later attempt.
-func (d deadlines) cameBack(route string, stated time.Duration) bool {
+// isRetry records the deadline that a client states, and reports whether it is that
+// of a retry.
+func (d longestDeadlines) isRetry(route string, stated time.Duration) bool {
 	d[route] = max(d[route], stated)
-	return d[route]-stated >= cameAfter
+	return d[route]-stated >= minDeadlineGap
 }
--- a/cmd/node/deadlines_test.go
+++ b/cmd/node/deadlines_test.go
@@ -7,14 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// Two thirds of all first attempts were taken for clients that came back, and
-// admitted as such: their connections had taken a few ms of long deadlines.
-func TestAFirstAttemptsConnectionIsNotAReturn(t *testing.T) {
+// The connection time of a first attempt shortens its deadline by some ms. Two thirds
+// of all first attempts were once taken for retries, and admitted as such, as a few
+// ms less than a long deadline were enough.
+func TestConnectionTimeOfFirstAttemptIsNoRetry(t *testing.T) {
 	is := is.New(t)
-	d := make(deadlines)
+	d := make(longestDeadlines)
 	const full = 6 * time.Second
-	is.True(!d.cameBack("r", full))
-	is.True(!d.cameBack("r", full-30*time.Millisecond))
-	is.True(d.cameBack("r", full-120*time.Millisecond)) // refused, and back after the least time
-	is.True(!d.cameBack("other", full/2))               // another route's clients state less
+	is.True(!d.isRetry("r", full))
+	is.True(!d.isRetry("r", full-30*time.Millisecond))
+	is.True(d.isRetry("r", full-120*time.Millisecond)) // refused, and retried after the minimum wait
+	is.True(!d.isRetry("other", full/2))               // clients of another route state shorter deadlines
 }
--- a/cmd/node/end.go
+++ b/cmd/node/end.go
@@ -10,61 +10,62 @@
 	"quinceroad/protocol/event"
 )
 
-// fail answers a request that could not be served.
-func (s *serving) fail(ctx context.Context, err error) {
-	if s.stream.headSent {
-		panic(http.ErrAbortHandler) // what was sent must not look whole
+// answerFailure answers a request that could not be served.
+func (s *requestHandler) answerFailure(ctx context.Context, err error) {
+	if s.stream.headersSent {
+		panic(http.ErrAbortHandler) // closes the connection: a partial stream must not look complete
 	}
-	if errors.Is(err, errLeft) {
+	if errors.Is(err, errClientGone) {
 		panic(http.ErrAbortHandler)
 	}
-	if errors.Is(err, errCondemned) { // final: no refusal, which would invite to come again
-		s.node.answerOwn(s.w, s.req, &answerError{status: http.StatusBadRequest, text: err.Error()})
+	if errors.Is(err, errCondemned) { // final: a refusal would invite a retry
+		s.node.writeError(s.w, s.req, &answerError{status: http.StatusBadRequest, text: err.Error()})
 		return
 	}
-	after := backSoon
+	retryAfter := shortRetryAfter
 	var refused *refusedError
 	var failed *failedError
-	var rest *restError
+	var backoff *restError
 	switch {
-	case errors.As(err, &rest) && rest.paced:
-		after = s.node.promise(s.service.Name, rest)
-	case errors.As(err, &rest):
-		after = max(rest.left(), backSoon) + spreadReturn()
+	case errors.As(err, &backoff) && backoff.paced:
+		retryAfter = s.node.promise(s.service.Name, backoff)
+	case errors.As(err, &backoff):
+		retryAfter = max(backoff.left(), shortRetryAfter) + spreadReturn()
 	case errors.As(err, &refused):
-		after = refused.after
-		if !refused.expects.standing.Within {
-			after += spreadReturn()
+		retryAfter = refused.retryAfter
+		if !refused.forecast.standing.Within {
+			retryAfter += spreadReturn()
 		}
 	case errors.As(err, &failed):
-		after = max(failed.after, backSoon)
-		if failed.why == pipeline.ReasonBackoff || failed.why == pipeline.ReasonShare {
-			after += spreadReturn()
+		retryAfter = max(failed.retryAfter, shortRetryAfter)
+		if failed.reason == pipeline.ReasonBackoff || failed.reason == pipeline.ReasonShare {
+			retryAfter += spreadReturn()
 		}
-	case errors.Is(err, errEmptied), errors.Is(err, errCold), errors.Is(err, errNoRegion), errors.Is(err, errNoTurn):
-		after = backLater
+	case errors.Is(err, errHallsDrained), errors.Is(err, errReplicasWarming), errors.Is(err, errNoAllowedRegion), errors.Is(err, errNoTurn):
+		retryAfter = longRetryAfter
 	}
-	left := s.req.Deadline - s.since()
-	after = min(after, time.Duration(float64(left)/retryPart*retryMargin))
-	if refusal, ok := s.record.Refuse(err.Error(), max(after, 0)); ok {
-		s.node.answerOwn(s.w, s.req, &answerError{status: http.StatusServiceUnavailable, after: refusal.RetryAfter(), text: refusal.Reason()})
+	left := s.req.Deadline - s.elapsed()
+	retryAfter = min(retryAfter, time.Duration(float64(left)/retryAfterDivisor*retryAfterMargin))
+	if refusal, ok := s.record.Refuse(err.Error(), max(retryAfter, 0)); ok {
+		s.node.writeError(s.w, s.req, &answerError{status: http.StatusServiceUnavailable, retryAfter: refusal.RetryAfter(), text: refusal.Reason()})
 		return
 	}
 	status := http.StatusBadGateway
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		status = http.StatusGatewayTimeout
 	}
-	s.node.answerOwn(s.w, s.req, &answerError{status: status, text: err.Error()})
+	s.node.writeError(s.w, s.req, &answerError{status: status, text: err.Error()})
 }
 
-// beyondShare reports whether a request was refused for its customer's share.
-func (s *serving) beyondShare(err error) bool {
+// isOverShare reports whether a request was refused because its customer is over
+// its share.
+func (s *requestHandler) isOverShare(err error) bool {
 	var refused *refusedError
 	var failed *failedError
-	return errors.As(err, &refused) && !refused.expects.standing.Within || errors.As(err, &failed) && failed.why == pipeline.ReasonShare
+	return errors.As(err, &refused) && !refused.forecast.standing.Within || errors.As(err, &failed) && failed.reason == pipeline.ReasonShare
 }
 
-func (s *serving) log(err error) {
+func (s *requestHandler) logRequest(err error) {
 	if !s.node.log.IsInfo() {
 		return
 	}
@@ -73,9 +74,9 @@
 		why = err.Error()
 	}
 	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", nameOf(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
-		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.owner,
-		"attempts", len(s.tried), "replica", s.replica, "took", s.since(), "staged", s.staged, "expected", s.expects.stages,
-		"engine_expected", s.expects.engine, "reads", s.expects.reads, "moves", s.expects.moves,
-		"first", s.first, "gap", s.gap, "tokens", s.req.TokensIn, "fetch", s.fetch, "pieces", s.req.Pieces, "region", s.region,
-		"chosen", s.chosen, "leaves", s.leaves, "short", s.expects.standing.Resource, "asked", s.expects.standing.Demand, "share", s.expects.standing.Share)
+		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.lastOwner,
+		"attempts", len(s.tried), "replica", s.lastReplica, "took", s.elapsed(), "staged", s.stagesTook, "expected", s.forecast.stages,
+		"engine_expected", s.forecast.engine, "reads", s.forecast.prefillTokens, "moves", s.forecast.transferTokens,
+		"first", s.timeToFirstEvent, "gap", s.maxEventGap, "tokens", s.req.TokensIn, "fetch", s.lastFetchFrom, "pieces", s.req.Pieces, "region", s.lastRegion,
+		"chosen", s.chosenBy, "leaves", s.lastReplicaDrains, "short", s.forecast.standing.Resource, "asked", s.forecast.standing.Demand, "share", s.forecast.standing.Share)
 }
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	leastFar = 64                     // shared tokens that no engine of the region keeps, from which others are asked: about where the question costs as much as reading them
-	farFor   = 150 * time.Millisecond // of a question to an owner in another region: twice the way there and back between cities of one country
+	minRemotePrefixTokens = 64                     // shared tokens not cached in the region, from which other regions are asked; the query costs about as much as computing so many
+	remoteCacheTimeout    = 150 * time.Millisecond // of a query to an owner in another region: two round trips between cities of one country
 )
 
-// askFar asks the owners in other regions which engine keeps most of the
-// request's prompt, when none here keeps its shared parts: to move them is a
-// tenth of the price of reading them, also from there. Each part is so read once
-// in a fleet and moved once to each region. The stages run meanwhile.
-func (r *ownedRequest) askFar() {
+// queryRemoteCaches asks the owners in other regions which engine has cached the
+// longest prefix of the request's prompt, if the shared parts are not cached here.
+// Fetching them costs a tenth of computing them, also from another region. Each part
+// is thus computed once in the fleet and fetched once by each region. The stages run
+// concurrently.
+func (r *ownedRequest) queryRemoteCaches() {
 	n := r.cell.owner.node
 	parts := r.request.Parts
 	if len(parts) < 2 || !n.places.HasRegions() {
@@ -36,31 +37,32 @@
 		total += p.Tokens
 	}
 	r.cell.mu.Lock()
-	here := r.cell.engines.LongestCachedPrefix(n.now(), r.request.Service, shared)
+	local := r.cell.engines.LongestCachedPrefix(n.now(), r.request.Service, shared)
 	r.cell.mu.Unlock()
 	home, _ := n.places.RegionOfCell(r.cell.number)
-	if total-here.Tokens < leastFar || !r.inTime() {
+	if total-local.Tokens < minRemotePrefixTokens || !r.canAwaitRemotePrefix() {
 		return
 	}
 	allowed := regions.Intersect(r.ask.Regions)
 	var others []string
 	for _, region := range n.places.Names() {
-		if region != home && region != "" && allowed.Allows(region) && !n.silentRegion(region) {
+		if region != home && region != "" && allowed.Allows(region) && !n.isRegionUnresponsive(region) {
 			others = append(others, region)
 		}
 	}
 	if len(others) > 0 {
-		r.far = n.mostKept(others, r.request.Service, shared)
+		r.far = n.longestRemotePrefix(others, r.request.Service, shared)
 	}
 }
 
-// mostKept asks some regions at once, and tells which engine keeps most.
-func (n *Node) mostKept(others []string, service string, shared []catalog.PromptPart) <-chan placement.CachedPrefix {
+// longestRemotePrefix queries regions concurrently, and sends the longest cached
+// prefix once all have answered.
+func (n *Node) longestRemotePrefix(others []string, service string, shared []catalog.PromptPart) <-chan placement.CachedPrefix {
 	answers := make(chan placement.CachedPrefix, len(others))
 	for _, region := range others {
-		go func() { answers <- n.keptIn(region, service, shared) }()
+		go func() { answers <- n.cachedPrefixIn(region, service, shared) }()
 	}
-	most := make(chan placement.CachedPrefix, 1)
+	longest := make(chan placement.CachedPrefix, 1)
 	go func() {
 		var best placement.CachedPrefix
 		for range others {
@@ -68,17 +70,18 @@
 				best = k
 			}
 		}
-		most <- best
+		longest <- best
 	}()
-	return most
+	return longest
 }
 
-// heardFar returns what the others said, once they have or their time is over.
-func (r *ownedRequest) heardFar() placement.CachedPrefix {
+// awaitRemotePrefix returns the longest cached prefix in other regions, or none if
+// they have not answered in time.
+func (r *ownedRequest) awaitRemotePrefix() placement.CachedPrefix {
 	if r.far == nil {
 		return placement.CachedPrefix{}
 	}
-	wait := time.NewTimer(farFor - (r.cell.owner.node.now() - r.began))
+	wait := time.NewTimer(remoteCacheTimeout - (r.cell.owner.node.now() - r.began))
 	defer wait.Stop()
 	select {
 	case k := <-r.far:
@@ -93,18 +96,19 @@
 	}
 }
 
-// inTime reports whether the request can wait for others' answers: its stages
-// take longer, or its objective is far.
-func (r *ownedRequest) inTime() bool {
-	return len(jobOf(r.ask).Stages) > 0 || r.request.Slack > 2*farFor
+// canAwaitRemotePrefix reports whether the request can wait for other regions: it
+// has stages, which take longer, or enough slack.
+func (r *ownedRequest) canAwaitRemotePrefix() bool {
+	return len(jobOf(r.ask).Stages) > 0 || r.request.Slack > 2*remoteCacheTimeout
 }
 
-// keptIn asks the owner of a region's cell what engines there keep of a prompt.
-func (n *Node) keptIn(region, service string, shared []catalog.PromptPart) placement.CachedPrefix {
+// cachedPrefixIn asks the owner of a region's cell for the longest prefix of a
+// prompt that an engine there has cached.
+func (n *Node) cachedPrefixIn(region, service string, shared []catalog.PromptPart) placement.CachedPrefix {
 	w := n.world.Load()
-	cell := w.places.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
+	cell := w.places.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cellCount(region))))
 	owners := ownership.Rank(n.alive(), cell, region)
-	if len(owners) == 0 || owners[0].Region != region { // nobody is there to know
+	if len(owners) == 0 || owners[0].Region != region { // no instance in that region owns the cell
 		return placement.CachedPrefix{}
 	}
 	ask := &pb.KeptAsk{Cell: uint32(cell), Engine: service}
@@ -114,10 +118,10 @@
 	n.counters.keptAsks.Inc(1)
 	n.counters.farBytes.kept.Inc(int64(proto.Size(ask)))
 	reply := &pb.KeptReply{}
-	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, farFor)
-	n.noteHeard(region, err == nil)
+	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, remoteCacheTimeout)
+	n.recordRegionResponse(region, err == nil)
 	if err != nil {
-		n.logAside("kept prompts of "+region, owners[0].Name, err)
+		n.logSideCallFailure("cached prefix in "+region, owners[0].Name, err)
 		return placement.CachedPrefix{}
 	}
 	if reply.Tokens > 0 {
@@ -126,28 +130,29 @@
 	return placement.CachedPrefix{Address: reply.Address, Tokens: int(reply.Tokens)}
 }
 
-func (n *Node) silentRegion(region string) bool {
+func (n *Node) isRegionUnresponsive(region string) bool {
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.lending.short.IsUnresponsive(n.now(), region)
+	return n.lending.availability.IsUnresponsive(n.now(), region)
 }
 
-// noteHeard takes in whether a region answered.
-func (n *Node) noteHeard(region string, heard bool) {
+// recordRegionResponse records whether a region answered.
+func (n *Node) recordRegionResponse(region string, answered bool) {
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	if heard {
-		n.lending.short.RecordAnswer(region)
+	if answered {
+		n.lending.availability.RecordAnswer(region)
 		return
 	}
-	n.lending.short.RecordNoAnswer(n.now(), region)
+	n.lending.availability.RecordNoAnswer(n.now(), region)
 }
 
-// answerKept tells another region's owner what engines of a cell keep.
-func (n *Node) answerKept(first []byte) proto.Message {
+// answerCacheQuery returns the longest prefix of a prompt that an engine of a cell
+// has cached, to an owner in another region.
+func (n *Node) answerCacheQuery(first []byte) proto.Message {
 	ask := &pb.KeptAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "question for kept prompts", "from", "", "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "query for cached prompts", "from", "", "error", err)
 		return &pb.KeptReply{}
 	}
 	c := n.owner.owned(int(ask.Cell))
@@ -160,6 +165,6 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.engines.LongestCachedPrefix(n.now(), ask.Engine, parts)
-	return &pb.KeptReply{Address: most.Address, Tokens: uint32(most.Tokens)}
+	longest := c.engines.LongestCachedPrefix(n.now(), ask.Engine, parts)
+	return &pb.KeptReply{Address: longest.Address, Tokens: uint32(longest.Tokens)}
 }
--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -70,7 +70,7 @@
 			process.Pause(ctx, roleLook)
 			continue
 		case !f.known() && n.leavesFirstRead():
-			process.Pause(ctx, meetLook)
+			process.Pause(ctx, startupViewInterval)
 			continue
 		}
 		began := n.now()
@@ -213,7 +213,7 @@
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
-	return now >= meetFor || n.members.Settled(now) || now >= aloneFor && len(n.members.Alive(now)) == 1
+	return now >= startupViewTimeout || n.members.Settled(now) || now >= aloneFor && len(n.members.Alive(now)) == 1
 }
 
 // takeRole finds out whether this instance is one of those that follow the
--- a/cmd/node/front.go
+++ b/cmd/node/front.go
@@ -16,16 +16,16 @@
 	"quinceroad/protocol/exchange"
 )
 
-// The limits that hold until a configuration states others.
+// Limits of client requests, where no configuration sets them.
 const (
-	mostHeader      = 256 << 10 // of any configuration
-	standardBody    = 4 << 20
-	standardHeadFor = 3 * time.Second  // the limit that the deployments state so far
-	mostIdle        = 75 * time.Second // that a client's connection may rest, longer than configurations allow
-	bodyFor         = 10 * time.Second // that a body may take; longer than the deadlines of short requests
+	maxHeaderBytes       = 256 << 10 // upper bound of the configurable limit
+	defaultMaxBodyBytes  = 4 << 20
+	defaultHeaderTimeout = 3 * time.Second  // the limit that deployments state
+	maxClientIdle        = 75 * time.Second // for a client's idle connection; longer than configurations allow
+	bodyTimeout          = 10 * time.Second // for the arrival of a body; longer than the deadlines of short requests
 )
 
-// listeners are the process's HTTP listeners.
+// listeners holds the process's HTTP servers.
 type listeners struct {
 	servers []*http.Server
 }
@@ -36,9 +36,9 @@
 	}
 }
 
-// listen opens the listeners for clients, checks, and questions for addresses.
-// net/http serves them: it tells when a client goes away, which the house's
-// library does not (docs/STYLE.md).
+// listen opens the listeners for client requests, readiness checks and the address
+// directory. They use net/http because it reports when a client disconnects, which
+// fasthttp does not (docs/STYLE.md).
 func (n *Node) listen() error {
 	handlers := []struct {
 		addr    string
@@ -54,10 +54,10 @@
 			return trace.Wrap(err, "listening on %s", h.addr)
 		}
 		server := &http.Server{
-			Handler:           n.guard(h.handler),
-			ReadHeaderTimeout: standardHeadFor,
-			IdleTimeout:       mostIdle,
-			MaxHeaderBytes:    mostHeader, // the configuration's own limit is looked at for each request
+			Handler:           n.recoverPanics(h.handler),
+			ReadHeaderTimeout: defaultHeaderTimeout,
+			IdleTimeout:       maxClientIdle,
+			MaxHeaderBytes:    maxHeaderBytes, // the configured limit is checked for each request
 			ErrorLog:          log.New(io.Discard, "", 0),
 		}
 		n.listeners.servers = append(n.listeners.servers, server)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// guard keeps a panic to its own request.
-func (n *Node) guard(h http.Handler) http.Handler {
+// recoverPanics confines a panic to its request.
+func (n *Node) recoverPanics(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			p := recover()
@@ -77,7 +77,7 @@
 			if p != http.ErrAbortHandler {
 				event.NodePanicked.Log(n.log, "panic", p)
 			}
-			panic(http.ErrAbortHandler) // ends the connection without an answer that looks whole
+			panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look complete
 		}()
 		h.ServeHTTP(w, r)
 	})
@@ -95,11 +95,11 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// answerError is an answer of the system's own to a client.
+// answerError is an error that is answered to the client by this instance.
 type answerError struct {
-	status int
-	after  time.Duration // when the client may come back; 0: not said
-	text   string
+	status     int
+	retryAfter time.Duration // when the client may retry; 0: not stated, except with status 503
+	text       string
 }
 
 // Error implements error.
@@ -112,23 +112,23 @@
 	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	req, err := n.receive(w, r, arrived)
+	req, err := n.readRequest(w, r, arrived)
 	if err != nil {
-		n.answerOwn(w, req, err)
+		n.writeError(w, req, err)
 		return
 	}
-	n.serve(r.Context(), w, req)
+	n.handleRequest(r.Context(), w, req)
 }
 
-func (n *Node) answerOwn(w http.ResponseWriter, req *exchange.Request, err error) {
+func (n *Node) writeError(w http.ResponseWriter, req *exchange.Request, err error) {
 	own := &answerError{status: http.StatusBadRequest, text: err.Error()}
 	var as *answerError
 	if errors.As(err, &as) {
 		own = as
 	}
 	platform.SetID(w.Header(), req.ID)
-	if own.after > 0 || own.status == http.StatusServiceUnavailable {
-		platform.SetRetryAfter(w.Header(), own.after)
+	if own.retryAfter > 0 || own.status == http.StatusServiceUnavailable {
+		platform.SetRetryAfter(w.Header(), own.retryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	n.counters.status(own.status).Inc(1)
@@ -136,19 +136,19 @@
 	_, _ = io.WriteString(w, own.text+"\n")
 }
 
-// receive reads a request and checks that it may be served.
-func (n *Node) receive(w http.ResponseWriter, r *http.Request, arrived time.Duration) (*exchange.Request, error) {
+// readRequest reads a request and checks it against the size limits.
+func (n *Node) readRequest(w http.ResponseWriter, r *http.Request, arrived time.Duration) (*exchange.Request, error) {
 	req, err := platform.ParseRequest(r)
 	req.Arrived = arrived
 	if err != nil {
 		return req, err
 	}
-	limit := int64(standardBody)
+	limit := int64(defaultMaxBodyBytes)
 	if c := n.world.Load().config; c != nil {
 		if c.Limits.BodyBytes > 0 {
 			limit = c.Limits.BodyBytes
 		}
-		if c.Limits.HeaderBytes > 0 && headerBytes(r) > c.Limits.HeaderBytes {
+		if c.Limits.HeaderBytes > 0 && approxHeaderBytes(r) > c.Limits.HeaderBytes {
 			return req, &answerError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is longer than the configuration allows"}
 		}
 	}
@@ -159,7 +159,7 @@
 		return req, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyFor))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	req.Body, err = io.ReadAll(io.LimitReader(r.Body, limit+1))
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
@@ -173,9 +173,9 @@
 	return req, nil
 }
 
-// headerBytes is the length of a request's head, about.
-func headerBytes(r *http.Request) int {
-	const framing = 4 // colon, blank and the line's end
+// approxHeaderBytes returns the approximate size of a request's line and headers.
+func approxHeaderBytes(r *http.Request) int {
+	const framing = 4 // colon, space and line end
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -185,5 +185,5 @@
 	return n
 }
 
-// done reports whether the client has gone or its time is over.
-func done(ctx context.Context) bool { return ctx.Err() != nil }
+// isDone reports whether the client has disconnected or the deadline has passed.
+func isDone(ctx context.Context) bool { return ctx.Err() != nil }
--- a/cmd/node/front_test.go
+++ b/cmd/node/front_test.go
@@ -12,9 +12,9 @@
 	"quinceroad/platform"
 )
 
-// In a hall with more instances than an answer holds, each is told to its part
-// of the callers, and one caller is told the same ones each time.
-func TestAllInstancesOfALargeHallAreTold(t *testing.T) {
+// In a hall with more instances than an answer holds, each instance is returned to
+// about the same number of callers, and a caller always gets the same ones.
+func TestCallersAreSpreadOverALargeHall(t *testing.T) {
 	is := is.New(t)
 	const instances, callers = 100, 400
 	var alive []gossip.Instance
@@ -24,7 +24,7 @@
 			alive = append(alive, gossip.Instance{Name: name, Hall: hall, ClientAddress: name, Leaving: i == 7})
 		}
 	}
-	told := make(map[string]int)
+	counts := make(map[string]int)
 	for c := range callers {
 		caller := fmt.Sprint("10.0.0.", c)
 		got := addresses(alive, client{hall: "a", name: caller})
@@ -32,25 +32,25 @@
 		is.Equal(got, addresses(alive, client{hall: "a", name: caller}))
 		for _, a := range got {
 			is.Equal(a[:1], "a")
-			told[a]++
+			counts[a]++
 		}
 	}
-	is.Equal(len(told), instances-1) // but for the one that leaves
-	for name, n := range told {
-		if usual := callers * platform.MaxAddresses / (instances - 1); n < usual*3/4 || n > usual*5/4 {
-			t.Errorf("%s is told %d times, usual is %d", name, n, usual)
+	is.Equal(len(counts), instances-1) // except the one that is leaving
+	for name, n := range counts {
+		if expected := callers * platform.MaxAddresses / (instances - 1); n < expected*3/4 || n > expected*5/4 {
+			t.Errorf("%s is returned %d times, want about %d", name, n, expected)
 		}
 	}
 	few := alive[:20]
 	is.Equal(len(addresses(few, client{hall: "a", name: "x"})), 18)
-	is.True(slices.Equal(addresses(few, client{hall: "a", name: "x"}), addresses(few, client{hall: "a", name: "y"}))) // all fit
+	is.True(slices.Equal(addresses(few, client{hall: "a", name: "x"}), addresses(few, client{hall: "a", name: "y"}))) // all fit into an answer
 	mixed := addresses(append(slices.Clone(few), alive[100:]...), client{hall: "c", name: "x"})
 	is.Equal(len(mixed), platform.MaxAddresses)
 }
 
-// Clients choose by chance among what they are told, so a region's are told its
-// own instances alone, until these are too few.
-func TestARegionsClientsAreToldItsOwnInstancesWhileTheseServe(t *testing.T) {
+// Clients choose among the returned addresses at random, so they get only instances
+// of their own region unless these are too few.
+func TestClientsGetInstancesOfTheirRegionFirst(t *testing.T) {
 	is := is.New(t)
 	var alive []gossip.Instance
 	for _, region := range []string{"n", "s", "w"} {
@@ -62,25 +62,25 @@
 	c := client{hall: "n0", region: "n", name: "x"}
 	got := addresses(alive, c)
 	is.Equal(len(got), 15)
-	is.Equal(got[:3], []string{"n00", "n02", "n04"}) // of its hall
+	is.Equal(got[:3], []string{"n00", "n02", "n04"}) // instances of its hall first
 	for i := range alive[3:15] {
 		alive[3+i].Leaving = true
 	}
-	is.Equal(len(addresses(alive, c)), 33) // three for a region's clients are too few
+	is.Equal(len(addresses(alive, c)), 33) // three instances are too few for a region's clients
 	is.Equal(len(addresses(alive[15:], c)), 30)
 	is.Equal(len(addresses(alive[15:], client{hall: "s0", region: "s", name: "x"})), 15)
-	is.Equal(len(addresses(alive[15:], client{hall: "q", name: "x"})), 30) // whom nobody can place
+	is.Equal(len(addresses(alive[15:], client{hall: "q", name: "x"})), 30) // a hall of no region
 }
 
-// HOME: clients of a host whose routes are bound to regions are not sent through
-// others when their own region is short.
-func TestFarAddressesAreThoseOfHomes(t *testing.T) {
+// HOME: clients of a host whose routes are restricted to regions get no addresses
+// in other regions when their own region has too few instances.
+func TestRemoteAddressesAreInAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "n", ClientAddress: "n", Region: "n"}, {Name: "s", ClientAddress: "s", Region: "s"}, {Name: "w", ClientAddress: "w", Region: "w"}}
 	c := client{region: "n", name: "x", hall: "n0", homes: regions.Intersect([]string{"s"})}
 	is.Equal(addresses(alive, c), []string{"n", "s"})
-	c.homes = regions.Allowed{} // one of the host's routes may be served anywhere
+	c.homes = regions.Allowed{} // one of the host's routes is unrestricted
 	is.Equal(len(addresses(alive, c)), 3)
 	c.homes = regions.Intersect([]string{"s"})
-	is.Equal(addresses(alive[2:], c), []string{"w"}) // rather there than nowhere
+	is.Equal(addresses(alive[2:], c), []string{"w"}) // better than no address
 }
--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -12,8 +12,9 @@
 	"quinceroad/platform"
 )
 
-// What each answer's head costs while no replica states anything.
-func BenchmarkAnswersHead(b *testing.B) {
+// BenchmarkAnswerHead measures the cost of reading an answer's headers while no
+// replica has an advisory in force.
+func BenchmarkAnswerHead(b *testing.B) {
 	n := New(&platform.Settings{Name: "n1", Hall: "h1"}, hclog.NewNullLogger())
 	var h fasthttp.ResponseHeader
 	h.SetStatusCode(fasthttp.StatusOK)
@@ -30,8 +31,9 @@
 	}
 }
 
-// What five looks a second cost while a fifth of a large fleet's replicas state limits.
-func BenchmarkLimitsAreLookedAt(b *testing.B) {
+// BenchmarkSweepLimits measures one sweep of the rate limits, of which there are
+// five a second, while a fifth of a large fleet's replicas state limits.
+func BenchmarkSweepLimits(b *testing.B) {
 	n := fleetNode(b, 295, 287)
 	for i := range 57 {
 		n.hearLimit(pace.Report{Incarnation: fmt.Sprintf("i-%08x", i), Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
--- a/cmd/node/homes_test.go
+++ b/cmd/node/homes_test.go
@@ -9,10 +9,11 @@
 	"quinceroad/state/catalog"
 )
 
-// A request without a key, admitted while its route asked for none, is under way
-// as a configuration comes into force that asks for one: no customer binds it.
-// To look for the regions of a customer that is not there ended its connection.
-func TestARequestWithoutAKeyIsBoundByItsRouteAlone(t *testing.T) {
+// A request without a key is in flight, admitted while its route was anonymous, when
+// a configuration comes into force that requires a key. Only its route restricts its
+// regions then: looking up the regions of its missing customer panicked and closed
+// the connection.
+func TestRequestWithoutKeyIsRestrictedByRouteOnly(t *testing.T) {
 	is := is.New(t)
 	route := func(anonymous bool) *catalog.Configuration {
 		c := &catalog.Configuration{Routes: []catalog.Route{{Name: "r", Host: "h", Prefix: "/", Anonymous: anonymous, AllowedRegions: []string{"north"}}}}
@@ -22,6 +23,6 @@
 	before, after := &world{config: route(true)}, &world{config: route(false)}
 	n := &Node{}
 	n.world.Store(after)
-	s := &serving{node: n, world: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
-	is.Equal(s.homes().Names(), []string{"north"})
+	s := &requestHandler{node: n, world: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
+	is.Equal(s.allowedRegions().Names(), []string{"north"})
 }
--- a/cmd/node/look.go
+++ b/cmd/node/look.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	lookFor   = connectFor             // that a replica's port may take to answer a look
+	lookFor   = replicaConnectTimeout  // that a replica's port may take to answer a look
 	lookWait  = 150 * time.Millisecond // that a request waits for it before it may go on elsewhere: a port that refuses does so in a way there and back
 	lookLasts = 10 * time.Millisecond  // that a connection must stay open to show that its replica runs: one that is ending may still take it, as its port closes a moment after its connections
 	mostLooks = 3                      // connections of one look, of which none stayed open: the replica runs, and takes no more
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -23,7 +23,7 @@
 	process.Every(ctx, beatEach, func() {
 		alive := n.alive()
 		n.logHeard(heard, alive)
-		n.noteFar(alive)
+		n.recordRemoteHosts(alive)
 		n.noteLevel(alive)
 		n.takeRole(alive)
 		n.noteSpeeds()
@@ -127,7 +127,7 @@
 	}
 	for _, addr := range to {
 		n.socket.Send(addr, b)
-		if n.isFarAddress(addr) {
+		if n.isRemoteAddress(addr) {
 			n.counters.farBytes.heartbeats.Inc(int64(len(b)))
 		}
 	}
@@ -309,7 +309,7 @@
 	case frame.PullReplicas:
 		_ = frame.Write(stream, frame.Reply, n.answerReplicas(first))
 	case frame.Kept:
-		_ = frame.Write(stream, frame.Reply, n.answerKept(first))
+		_ = frame.Write(stream, frame.Reply, n.answerCacheQuery(first))
 	case frame.Trial:
 		n.arbitrate(first, stream)
 	case frame.Pace:
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -74,8 +74,8 @@
 
 	speeds speeds // has a lock of its own
 
-	cold     *coldness // has a lock of its own, which is taken last
-	rollouts *rollouts // the same
+	cold     *warmUpLimiter // has a lock of its own, which is taken last
+	rollouts *rollouts      // the same
 
 	running    *running       // has a lock of its own, under which no other is taken
 	quarantine *quarantined   // has a lock of its own, under which no other is taken
@@ -87,8 +87,8 @@
 	judge     *health.Detector
 	loads     *balancer.Table
 	rates     map[string]*serviceRates
-	lending   lending
-	deadlines deadlines
+	lending   regionTrackers
+	deadlines longestDeadlines
 
 	owner *owner
 
@@ -123,7 +123,7 @@
 		places:     regions.New(s.Regions),
 		replicas:   newReplicaSet(),
 		emptied:    evacuation.New(),
-		cold:       newColdness(s),
+		cold:       newWarmUpLimiter(s),
 		rollouts:   newRollouts(s),
 		running:    newRunning(),
 		quarantine: newQuarantined(spreadOf(s.Name)),
@@ -133,8 +133,8 @@
 		judge:      health.New(health.DefaultOptions()),
 		loads:      balancer.NewTable(),
 		rates:      make(map[string]*serviceRates),
-		deadlines:  make(deadlines),
-		lending:    newLending(),
+		deadlines:  make(longestDeadlines),
+		lending:    newRegionTrackers(),
 		stopPlan:   shutdown.For(s.StopFor),
 	}
 	n.seeds.Store(&s.Seeds)
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -24,7 +24,7 @@
 		event.NodeMessageBroken.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
-	if err := checkAsk(ask); err != nil {
+	if err := validateStagesAsk(ask); err != nil {
 		event.NodeMessageBroken.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
@@ -87,7 +87,7 @@
 		return pipeline.Deliver{}, false
 	}
 	if len(job.Stages) == 0 {
-		r.askFar()
+		r.queryRemoteCaches()
 		return pipeline.Deliver{}, send(&pb.StagesReply{Admitted: true}) == nil
 	}
 	end := make(chan pipeline.Action, 1)
@@ -115,7 +115,7 @@
 		return pipeline.Deliver{}, false
 	}
 	n.counters.jobs.Inc(1)
-	r.askFar()
+	r.queryRemoteCaches()
 	reply.Standing = standingNews(verdict.Standing)
 	reply.Admitted, reply.ExpectedUs = true, verdict.Expected.Microseconds()
 	if send(reply) != nil {
@@ -174,7 +174,7 @@
 func (r *ownedRequest) place(ready pipeline.Deliver) *pb.StagesReply {
 	c, n := r.cell, r.cell.owner.node
 	reply := &pb.StagesReply{Handles: ready.Handles}
-	r.request.RemoteCache = r.heardFar()
+	r.request.RemoteCache = r.awaitRemotePrefix()
 	sick := n.pausedReplicas()
 	w := n.world.Load()
 	now := n.now()
--- a/cmd/node/owner_test.go
+++ b/cmd/node/owner_test.go
@@ -20,10 +20,10 @@
 		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", HallDrained: i%2 == 0} // the cells stay as they are
 		w.all = append(w.all, r)
 	}
-	is.Equal(w.cells(""), 4)
+	is.Equal(w.cellCount(""), 4)
 	seen := make(map[string]int)
-	for cell := range w.cells("") {
-		for _, r := range w.share(cell) {
+	for cell := range w.cellCount("") {
+		for _, r := range w.cellReplicas(cell) {
 			seen[r.ID]++
 		}
 	}
@@ -49,13 +49,13 @@
 		r.Region = w.places.RegionOf(r.Hall)
 		w.all = append(w.all, r)
 	}
-	is.Equal(w.cells("n"), 3) // 75 of the pool
-	is.Equal(w.cells("s"), 2)
+	is.Equal(w.cellCount("n"), 3) // 75 of the pool
+	is.Equal(w.cellCount("s"), 2)
 	seen := make(map[string]bool)
 	for _, region := range w.places.Names() {
-		for local := range w.cells(region) {
-			share := w.share(w.places.CellNumber(region, local))
-			is.True(len(share) <= cellReplicas+9) // of the pool, and a third of 25 engines
+		for local := range w.cellCount(region) {
+			share := w.cellReplicas(w.places.CellNumber(region, local))
+			is.True(len(share) <= maxPoolReplicasPerCell+9) // of the pool, and a third of 25 engines
 			for _, r := range share {
 				is.Equal(r.Region, region)
 				is.True(!seen[r.ID])
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -64,7 +64,7 @@
 
 // of returns who gives a replica's turns; false where nobody does.
 func (k *keepers) of(r *catalog.Replica) (gossip.Instance, bool) {
-	cell, pooled := k.world.cellHolding(r.ID)
+	cell, pooled := k.world.cellOfReplica(r.ID)
 	if !pooled {
 		return pace.SelectGrantor(k.alive, r.ID, pace.Location{Hall: r.Hall, Region: r.Region})
 	}
@@ -82,7 +82,7 @@
 // isSelf reports whether this instance gives a replica's turns: by its view, or as
 // the others take it for the owner.
 func (k *keepers) isSelf(r *catalog.Replica) bool {
-	if cell, ok := k.world.cellHolding(r.ID); ok && k.node.owner.owned(cell) != nil {
+	if cell, ok := k.world.cellOfReplica(r.ID); ok && k.node.owner.owned(cell) != nil {
 		return true
 	}
 	keeper, ok := k.of(r)
@@ -92,13 +92,13 @@
 // hasTurn reports whether a request may go to a replica now by what that states
 // that it takes, and counts it: with the turn that the owner chose the replica
 // with, or one that its keeper gives.
-func (s *serving) hasTurn(ctx context.Context, r *catalog.Replica) bool {
+func (s *requestHandler) hasTurn(ctx context.Context, r *catalog.Replica) bool {
 	n := s.node
 	if !n.statements.paced.Load() {
 		return true
 	}
-	if s.job != nil && s.job.paced && s.job.engine == r.ID {
-		s.job.paced = false // it serves once
+	if s.job != nil && s.job.hasSendGrant && s.job.engine == r.ID {
+		s.job.hasSendGrant = false // it serves once
 		n.counters.paced.Inc(1)
 		return true
 	}
@@ -121,7 +121,7 @@
 	case errors.Is(err, errNotKeeper):
 		n.statements.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+keeperLost) })
 	default:
-		n.logAside("turn at a limited replica", r.ID, err)
+		n.logSideCallFailure("turn at a limited replica", r.ID, err)
 		return n.takeAlone(r.ID)
 	}
 	n.counters.pacedOut.Inc(1)
@@ -139,7 +139,7 @@
 	for _, r := range replicas {
 		perSecond += s.paces.Limit(r.ID).PerSecond
 	}
-	return max(s.told.Reserve(service, rest.until, perSecond, instances, newRandom().Float64())-rest.now, backSoon)
+	return max(s.told.Reserve(service, rest.until, perSecond, instances, newRandom().Float64())-rest.now, shortRetryAfter)
 }
 
 // takeAlone has a turn of this instance's own part of a limit.
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -167,17 +167,17 @@
 	stage := func(pieces uint32, bytes int64, after ...uint32) *pb.StagesAsk {
 		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: pieces, Bytes: bytes, After: after}}}
 	}
-	is.NoErr(checkAsk(stage(platform.MostPieces, 1<<20)))
+	is.NoErr(validateStagesAsk(stage(platform.MostPieces, 1<<20)))
 	for _, ask := range []*pb.StagesAsk{
 		stage(math.MaxUint32, 1),
 		stage(1, -1),
 		stage(1, 1, 0),
-		{Stages: make([]*pb.StageWork, mostStages+1)},
+		{Stages: make([]*pb.StageWork, maxStages+1)},
 		{Parts: make([]*pb.PromptPart, platform.MostParts+1)},
 		{Parts: []*pb.PromptPart{{Tokens: math.MaxUint32}}},
 		{TokensOut: math.MaxUint32},
 		{SlackUs: math.MinInt64},
 	} {
-		is.True(checkAsk(ask) != nil)
+		is.True(validateStagesAsk(ask) != nil)
 	}
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -13,10 +13,10 @@
 	"quinceroad/state/catalog"
 )
 
-// prepare has the request's stages run and its engine chosen by their owner,
-// unless that has been done.
-func (s *serving) prepare(ctx context.Context) error {
-	if s.job != nil && !s.homes().Allows(s.job.region) {
+// prepareStages has the request's stages run and its engine chosen by the cell's
+// owner, unless it has a job already.
+func (s *requestHandler) prepareStages(ctx context.Context) error {
+	if s.job != nil && !s.allowedRegions().Allows(s.job.region) {
 		s.endJob()
 	}
 	if s.job != nil || (s.service.Engine == nil && len(s.route.Stages) == 0) {
@@ -25,35 +25,35 @@
 	if err := s.servable(); err != nil {
 		return err
 	}
-	ask, pieces := s.ask()
-	job, err := s.stages(ctx, ask)
-	if errors.Is(err, errOwnerLost) && pieces == 0 && !done(ctx) {
-		return nil // this instance chooses by itself
+	ask, items := s.buildStagesAsk()
+	job, err := s.runStages(ctx, ask)
+	if errors.Is(err, errOwnerLost) && items == 0 && !isDone(ctx) {
+		return nil // without stages to run, this instance chooses the replica itself
 	}
 	var refused *refusedError
 	if errors.As(err, &refused) {
-		s.expects = refused.expects
+		s.forecast = refused.forecast
 	}
 	if err != nil {
 		return err
 	}
-	job.ended = int(ask.Ended)
+	job.replicaEnds = int(ask.Ended)
 	s.job = job
-	s.staged, s.expects = s.since(), job.expects
+	s.stagesTook, s.forecast = s.elapsed(), job.forecast
 	return nil
 }
 
-// ask returns what the owner is asked, and how many pieces that is.
-func (s *serving) ask() (*pb.StagesAsk, int) {
+// buildStagesAsk returns the message to the owner, and the number of items in it.
+func (s *requestHandler) buildStagesAsk() (*pb.StagesAsk, int) {
 	ask := &pb.StagesAsk{
 		RequestId: s.req.ID,
 		Key:       s.req.PieceKey,
 		Rank:      uint32(s.rank),
 		Engine:    s.service.Name,
-		Regions:   s.homes().Names(),
+		Regions:   s.allowedRegions().Names(),
 		TokensOut: uint32(s.req.TokensOut),
-		SlackUs:   (s.route.Objective - s.since()).Microseconds(),
-		Again:     s.came() || s.redone > 0 || len(s.tried) > 0,
+		SlackUs:   (s.route.Objective - s.elapsed()).Microseconds(),
+		Again:     s.isClientRetry() || s.stageReruns > 0 || len(s.tried) > 0,
 		Newer:     s.mayNewer(s.node.world.Load()),
 		Ended:     uint32(s.node.endedUnder(s.fingerprint)),
 
@@ -84,151 +84,154 @@
 	return ask, total
 }
 
-func (s *serving) endJob() {
+func (s *requestHandler) endJob() {
 	if s.job != nil {
 		s.job.end()
 		s.job = nil
 	}
 }
 
-// pick chooses the replica for the next attempt: the owner's choice, or this
-// instance's own where there is none or it was tried.
-func (s *serving) pick() (catalog.Replica, string, error) {
-	s.chosen = byInstance
-	if r, ok := s.ownersChoice(); ok {
-		s.chosen = byOwner
-		return r, s.job.fetch, nil
+// pickReplica chooses the replica for the next attempt, and where an engine should
+// fetch cached prompt parts from: the owner's choice, or this instance's own if
+// there is none or it was tried.
+func (s *requestHandler) pickReplica() (catalog.Replica, string, error) {
+	s.chosenBy = chosenByInstance
+	if r, ok := s.ownerChoice(); ok {
+		s.chosenBy = chosenByOwner
+		return r, s.job.fetchFrom, nil
 	}
 	n := s.node
-	world := n.world.Load() // replicas may have left since the request came
+	world := n.world.Load() // replicas may have left since the request arrived
 	now := n.now()
-	listed := permitted(s.homes(), world.services[s.service.Name])
+	listed := replicasInRegions(s.allowedRegions(), world.services[s.service.Name])
 	if len(listed) == 0 && len(world.services[s.service.Name]) > 0 {
-		return catalog.Replica{}, "", errNoRegion
+		return catalog.Replica{}, "", errNoAllowedRegion
 	}
 	newer, older := s.sides(world, listed)
-	ableNew, restNew := s.mayAll(now, s.able(now, newer))
-	ableOld, restOld := s.mayAll(now, s.able(now, older))
+	allowedNew, backoffNew := s.mayAll(now, s.withinWarmUpQuota(now, newer))
+	allowedOld, backoffOld := s.mayAll(now, s.withinWarmUpQuota(now, older))
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	fit := s.fit(now, ableNew, len(newer))
-	if len(fit) == 0 {
-		fit = s.fit(now, ableOld, len(older))
+	candidates := s.healthyCandidates(now, allowedNew, len(newer))
+	if len(candidates) == 0 {
+		candidates = s.healthyCandidates(now, allowedOld, len(older))
 	}
-	if len(fit) == 0 {
-		return catalog.Replica{}, "", s.none(world, append(ableNew, ableOld...), sooner(restNew, restOld))
+	if len(candidates) == 0 {
+		return catalog.Replica{}, "", s.noReplicaError(world, append(allowedNew, allowedOld...), sooner(backoffNew, backoffOld))
 	}
-	fit = n.apart(fit)
+	candidates = n.apart(candidates)
 	if s.service.Engine == nil {
-		return n.loads.PickReplica(now, n.distance, fit, newRandom()), "", nil
+		return n.loads.PickReplica(now, n.distanceTo, candidates, newRandom()), "", nil
 	}
-	if s.trial != nil { // not where its prompt is kept: all that were beside it would follow it there
-		r := fit[newRandom().IntN(len(fit))]
+	if s.trial != nil { // at random: by cached prefix, the requests that ran concurrently would go to the same engine again
+		r := candidates[newRandom().IntN(len(candidates))]
 		return r, "", nil
 	}
-	e := n.loads.PickEngine(now, s.req.Shared(), s.req.ID, s.nearest(fit))
+	e := n.loads.PickEngine(now, s.req.Shared(), s.req.ID, s.preferStageRegion(candidates))
 	return e.Replica, e.FetchFrom, nil
 }
 
-// fit returns those of the replicas that the request may go to which are well,
-// of so many that there are. It needs judgeMu.
-func (s *serving) fit(now time.Duration, able []catalog.Replica, listed int) []catalog.Replica {
-	var fit, sick []catalog.Replica
-	for _, r := range able {
+// healthyCandidates returns the candidates that are untried and not ejected, and
+// the ejected ones too if they are the majority; listed is the number of all
+// replicas. The caller holds judgeMu.
+func (s *requestHandler) healthyCandidates(now time.Duration, candidates []catalog.Replica, listed int) []catalog.Replica {
+	var healthy, ejected []catalog.Replica
+	for _, r := range candidates {
 		switch {
 		case s.avoid[r.ID] || s.tried[r.ID]:
 		case s.node.judge.IsEjected(now, r.ID):
-			sick = append(sick, r)
+			ejected = append(ejected, r)
 		default:
-			fit = append(fit, r)
+			healthy = append(healthy, r)
 		}
 	}
-	if len(fit) < len(sick) && len(fit) < listed/2 {
-		fit = append(fit, sick...) // when most seem sick, the cause is elsewhere
+	if len(healthy) < len(ejected) && len(healthy) < listed/2 {
+		healthy = append(healthy, ejected...) // when most are ejected, the cause is elsewhere
 	}
-	return fit
+	return healthy
 }
 
-// none says why there is no replica for the request; rest is why those that might
-// take it don't.
-func (s *serving) none(w *world, able []catalog.Replica, rest error) error {
+// noReplicaError returns why there is no replica for the request; backoff is the
+// advisory error, if any, of the candidates that would otherwise be eligible.
+func (s *requestHandler) noReplicaError(w *world, candidates []catalog.Replica, backoff error) error {
 	switch listed := len(w.services[s.service.Name]); {
-	case rest != nil:
-		return rest
+	case backoff != nil:
+		return backoff
 	case listed == 0 && s.allLeave(w) != nil:
 		return errLeaving
-	case listed > 0 && len(able) == 0:
-		return errCold
+	case listed > 0 && len(candidates) == 0:
+		return errReplicasWarming
 	case listed == 0 && w.sizes[s.service.Name] > 0:
-		return errEmptied
+		return errHallsDrained
 	}
-	return errUnreached
+	return errNoReplicaReached
 }
 
-// able returns the replicas that this instance may choose by itself: not the
-// cold ones beyond its part of what they carry, which for engines is none.
-func (s *serving) able(now time.Duration, all []catalog.Replica) []catalog.Replica {
+// withinWarmUpQuota returns the replicas that this instance may choose itself:
+// warming ones only within its quota, which is zero for engines.
+func (s *requestHandler) withinWarmUpQuota(now time.Duration, all []catalog.Replica) []catalog.Replica {
 	if s.service.WarmUp == nil || !slices.ContainsFunc(all, func(r catalog.Replica) bool { return r.WarmingUntil > now }) {
 		return all
 	}
-	instances := s.node.taking()
+	instances := s.node.acceptingInstances()
 	var out []catalog.Replica
 	for _, r := range all {
-		if r.WarmingUntil <= now || s.service.Engine == nil && s.node.allowsCold(now, s.service, r.ID, instances, false) {
+		if r.WarmingUntil <= now || s.service.Engine == nil && s.node.allowsWarmingReplica(now, s.service, r.ID, instances, false) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (s *serving) ownersChoice() (catalog.Replica, bool) {
+func (s *requestHandler) ownerChoice() (catalog.Replica, bool) {
 	if s.job == nil || s.job.engine == "" || s.tried[s.job.engine] || s.avoid[s.job.engine] {
 		return catalog.Replica{}, false
 	}
 	for _, r := range s.node.world.Load().services[s.service.Name] {
 		if r.ID == s.job.engine {
-			return r, s.mayUseChoice()
+			return r, s.mayUseOwnerChoice()
 		}
 	}
 	return catalog.Replica{}, false
 }
 
-// mayUseChoice reports whether what the owner's choice states allows it: a turn
-// that the owner has counted is the request's.
-func (s *serving) mayUseChoice() bool {
+// mayUseOwnerChoice reports whether the advisories of the owner's choice allow a
+// send. A send grant that the owner has taken belongs to the request.
+func (s *requestHandler) mayUseOwnerChoice() bool {
 	n := s.node
 	ok := false
 	n.statements.with(func(b *stated.Tracker) {
-		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.paced {
+		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.hasSendGrant {
 			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
 }
 
-// note tells the judge and the load table how an attempt went.
-func (s *serving) note(id string, sign health.Signal) {
-	usual := 0.0
-	s.rates(func(r *serviceRates) {
+// recordHealth records an attempt's signal in the service's failure rate and in the
+// health detector.
+func (s *requestHandler) recordHealth(id string, signal health.Signal) {
+	serviceRate := 0.0
+	s.withServiceRates(func(r *serviceRates) {
 		failed := 0.0
-		if sign == health.Failure || sign == health.Broken {
+		if signal == health.Failure || signal == health.Broken {
 			failed = 1
 		}
-		r.fails += failureWeight * (failed - r.fails)
-		usual = r.fails
+		r.failureRate += failureRateWeight * (failed - r.failureRate)
+		serviceRate = r.failureRate
 	})
 	n := s.node
 	now := n.now()
 	n.judgeMu.Lock()
-	before := n.judge.IsEjected(now, id)
-	n.judge.Record(now, id, sign, usual)
-	after := n.judge.IsEjected(now, id)
+	wasEjected := n.judge.IsEjected(now, id)
+	n.judge.Record(now, id, signal, serviceRate)
+	isEjected := n.judge.IsEjected(now, id)
 	n.judgeMu.Unlock()
 	switch {
-	case sign == health.Full: // said by the replica with each request
-	case after && !before:
-		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", sign, "usual", usual, "by", n.settings.Name)
-	case before && !after:
+	case signal == health.Full: // a full replica reports it with each request
+	case isEjected && !wasEjected:
+		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", signal, "usual", serviceRate, "by", n.settings.Name)
+	case wasEjected && !isEjected:
 		event.NodeTakesBack.Log(n.log, "replica", id)
 	}
 }
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	callConnect = 250 * time.Millisecond // a replica that lives takes a connection in a few ms, below a call's fixed time
-	callIdle    = 8 * time.Second        // that a connection to a pool's replica is kept
-	freeFor     = 500 * time.Millisecond // a loss costs room until results end by themselves
-	maxResults  = 1 << 20                // bytes of an answer
+	callConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below a call's fixed time
+	defaultCallConnIdle = 8 * time.Second        // idle time of a connection to a pool's replica
+	freeTimeout         = 500 * time.Millisecond // a lost call costs result memory until the results expire
+	maxCallAnswerBytes  = 1 << 20                // of an answer
 )
 
-// runPieces sends a call of pieces to a replica.
-func (n *Node) runPieces(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
+// runBatch sends a batch of items to a replica.
+func (n *Node) runBatch(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
 	path, body, err := platform.RunCall(c.Items)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "call of pieces", "from", n.settings.Name, "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
 	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
-	status, head, data, err := n.call(ctx, ownCall{address: c.Address, replica: c.Name, from: stater{life: c.Replica, service: c.Service}, work: true, method: fasthttp.MethodPost, path: path, body: body})
+	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: stater{life: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
 	switch {
 	case errors.Is(err, errStated):
 		return nil, pipeline.Refused
@@ -53,46 +53,46 @@
 	}
 	results, err := platform.ParseRun(data, len(c.Items))
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "results of pieces", "from", c.Replica, "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
 		return nil, pipeline.Broken
 	}
 	return results, pipeline.Answered
 }
 
-// freeResults tells a replica what nobody reads any more; a loss costs room
-// until the results end by themselves.
+// freeResults tells a replica which results are no longer read. A lost call costs
+// result memory until the results expire.
 func (n *Node) freeResults(f pipeline.Free) {
 	if !n.heldFree(f) {
-		n.sendFree(f)
+		n.sendFreeResults(f)
 	}
 }
 
-func (n *Node) sendFree(f pipeline.Free) {
+func (n *Node) sendFreeResults(f pipeline.Free) {
 	path, body, err := platform.FreeCall(f.Handles)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), freeFor)
+	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	_, _, _, err = n.call(ctx, ownCall{address: f.Address, from: stater{life: f.Replica, service: f.Service, aside: true}, method: fasthttp.MethodPost, path: path, body: body})
-	n.logAside("free results", f.Replica, err)
+	_, _, _, err = n.callReplica(ctx, replicaCall{address: f.Address, source: stater{life: f.Replica, service: f.Service, aside: true}, method: fasthttp.MethodPost, path: path, body: body})
+	n.logSideCallFailure("free results", f.Replica, err)
 }
 
-// logAside logs a call beside a request's way that failed.
-func (n *Node) logAside(what, to string, err error) {
+// logSideCallFailure logs the failure of a call that no request depends on.
+func (n *Node) logSideCallFailure(what, to string, err error) {
 	if err != nil {
 		event.NodeAsideFails.Log(n.log, "what", what, "to", to, "error", err)
 	}
 }
 
-const reportFor = 60 * time.Millisecond
+const reportTimeout = 60 * time.Millisecond
 
-// report asks a pool's replica for its state.
-func (n *Node) report(r catalog.Replica) (platform.Report, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportFor)
+// fetchReplicaReport asks a pool's replica for its state.
+func (n *Node) fetchReplicaReport(r catalog.Replica) (platform.Report, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathReport})
+	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathReport})
 	if err != nil {
 		return platform.Report{}, err
 	}
@@ -102,15 +102,15 @@
 	return platform.ParseReport(data)
 }
 
-// keptFor is how long an engine may take to tell what it keeps: it does so
-// between two steps of its work.
-const keptFor = time.Second
+// cacheReportTimeout bounds an engine's report of its cache: it answers between two
+// steps of its work.
+const cacheReportTimeout = time.Second
 
-// keptParts asks an engine which parts of prompts it keeps.
-func (n *Node) keptParts(r catalog.Replica) ([]catalog.PromptPart, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), keptFor)
+// fetchCachedParts asks an engine which prompt parts it has cached.
+func (n *Node) fetchCachedParts(r catalog.Replica) ([]catalog.PromptPart, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), cacheReportTimeout)
 	defer cancel()
-	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
+	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
 	if err != nil {
 		return nil, err
 	}
@@ -120,31 +120,31 @@
 	return platform.ParseKept(data)
 }
 
-// ownCall is a call of the system's own to a replica.
-type ownCall struct {
-	address string
-	replica string // name of the one that is meant; "" for whoever is there
-	from    stater // who should answer
-	work    bool   // that a replica which leaves must not get, and whose turn is counted
-	method  string
-	path    string
-	body    []byte
+// replicaCall is a call to a replica that forwards no client request.
+type replicaCall struct {
+	address         string
+	expectedReplica string // name of the replica that must answer; "" for any at the address
+	source          stater // incarnation and service whose advisories the answer carries
+	isWork          bool   // refused for a draining replica, and counted against its send grants
+	method          string
+	path            string
+	body            []byte
 }
 
-// call makes one call of the system's own to a replica.
-func (n *Node) call(ctx context.Context, c ownCall) (int, platform.Head, []byte, error) {
-	cn, err := n.connect(ctx, c.address, callConnect)
+// callReplica makes one such call.
+func (n *Node) callReplica(ctx context.Context, c replicaCall) (int, platform.Head, []byte, error) {
+	cn, err := n.connectReplica(ctx, c.address, callConnectTimeout)
 	if err != nil {
 		return 0, platform.Head{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, cn.Close)
 	defer stop()
-	turn, ok := n.mayCall(c)
+	advisoryAttempt, ok := n.beginCall(c)
 	if !ok {
 		cn.Close()
 		return 0, platform.Head{}, nil, errStated
 	}
-	defer n.statements.end(turn)
+	defer n.statements.end(advisoryAttempt)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
@@ -155,8 +155,8 @@
 	if len(c.body) > 0 {
 		req.Header.SetContentType("application/json")
 	}
-	if c.replica != "" {
-		platform.Expect(c.replica, req.Header.Set)
+	if c.expectedReplica != "" {
+		platform.Expect(c.expectedReplica, req.Header.Set)
 	}
 	req.SetBody(c.body)
 	record := outcome.Accept()
@@ -170,30 +170,31 @@
 		x.Release(0)
 		return 0, platform.Head{}, nil, err
 	}
-	head := n.takeHead(c.from, turn, &x.Header)
-	data, err := io.ReadAll(io.LimitReader(x, maxResults))
+	head := n.takeHead(c.source, advisoryAttempt, &x.Header)
+	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
 	if err == nil && !x.Whole() {
 		err = upstream.ErrCut
 	}
-	x.Release(idleOf(&head, callIdle))
+	x.Release(idleTimeoutAfter(&head, defaultCallConnIdle))
 	return x.Header.StatusCode(), head, data, err
 }
 
-// mayCall reports, right before a call is sent, whether what its replica states
-// allows it: one that leaves is still told what nobody reads any more.
-func (n *Node) mayCall(c ownCall) (stated.Attempt, bool) {
-	if c.work {
-		return n.statements.begin(n.now(), c.from.life)
+// beginCall reports, right before a call is sent, whether the replica's advisories
+// allow it. A draining replica still gets calls that carry no work, such as the
+// release of results.
+func (n *Node) beginCall(c replicaCall) (stated.Attempt, bool) {
+	if c.isWork {
+		return n.statements.begin(n.now(), c.source.life)
 	}
-	if _, rests := n.statements.restsTo(n.now(), c.from.life); rests {
+	if _, backsOff := n.statements.restsTo(n.now(), c.source.life); backsOff {
 		return stated.Attempt{}, false
 	}
-	n.countAside(c.from.life)
+	n.countAside(c.source.life)
 	return stated.Attempt{}, true
 }
 
-// connect returns a connection to a replica, a kept one if there is one.
-func (n *Node) connect(ctx context.Context, address string, within time.Duration) (*upstream.Conn, error) {
+// connectReplica returns a connection to a replica, a pooled one if there is one.
+func (n *Node) connectReplica(ctx context.Context, address string, within time.Duration) (*upstream.Conn, error) {
 	if cn := n.clients.Kept(address); cn != nil {
 		return cn, nil
 	}
@@ -204,13 +205,13 @@
 	return n.clients.Dial(address, max(within, time.Millisecond))
 }
 
-// idleOf returns how long a connection may be kept after an answer.
-func idleOf(h *platform.Head, standard time.Duration) time.Duration {
+// idleTimeoutAfter returns how long a connection may be kept idle after an answer.
+func idleTimeoutAfter(h *platform.Head, defaultIdle time.Duration) time.Duration {
 	if h.Closes {
 		return 0
 	}
 	if h.Idle > 0 {
-		return min(standard, h.Idle*3/4)
+		return min(defaultIdle, h.Idle*3/4)
 	}
-	return standard
+	return defaultIdle
 }
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -13,34 +13,36 @@
 	"quinceroad/state/catalog"
 )
 
-// The errors of requests that some regions may not serve.
+// Errors of requests that are restricted to some regions.
 var (
-	errNoRegion = errors.New("no region that may serve the request can")
-	errNarrowed = errors.New("the region that served the request no longer may")
+	errNoAllowedRegion  = errors.New("no region that may serve the request can")
+	errRegionDisallowed = errors.New("the region that served the request no longer may")
 )
 
-// lending is what an instance knows of other regions.
-type lending struct {
-	short *regions.Availability
-	trips *regions.RoundTrips
+// regionTrackers holds what this instance has observed of other regions: whether
+// they accept requests, and the round-trip times to them.
+type regionTrackers struct {
+	availability *regions.Availability
+	roundTrips   *regions.RoundTrips
 }
 
-func newLending() lending {
-	return lending{short: regions.NewAvailability(), trips: regions.NewRoundTrips()}
+func newRegionTrackers() regionTrackers {
+	return regionTrackers{availability: regions.NewAvailability(), roundTrips: regions.NewRoundTrips()}
 }
 
-// homes returns the regions that may serve the request, by the configuration in
-// force: it may have changed since the request came.
-func (s *serving) homes() regions.Allowed {
-	if config := s.node.world.Load().config; config != s.boundBy {
-		s.boundBy, s.bound = config, s.boundTo(config)
+// allowedRegions returns the regions that may serve the request by the configuration
+// in force, which may have changed since the request arrived.
+func (s *requestHandler) allowedRegions() regions.Allowed {
+	if config := s.node.world.Load().config; config != s.cachedRegionsConfig {
+		s.cachedRegionsConfig, s.cachedRegions = config, s.allowedRegionsIn(config)
 	}
-	return s.bound
+	return s.cachedRegions
 }
 
-// boundTo returns the regions that may serve the request by a configuration; a
-// route or customer that it no longer has binds as it did.
-func (s *serving) boundTo(config *catalog.Configuration) regions.Allowed {
+// allowedRegionsIn returns the regions that may serve the request by a
+// configuration. A route or customer that it no longer has restricts the request
+// as before.
+func (s *requestHandler) allowedRegionsIn(config *catalog.Configuration) regions.Allowed {
 	route := config.Match(s.req.Host, s.req.Path)
 	if route == nil {
 		route = s.route
@@ -55,84 +57,84 @@
 	return regions.Intersect(route.AllowedRegions, customer.AllowedRegions)
 }
 
-// permitted returns the replicas in regions that may serve the request.
-func permitted(homes regions.Allowed, all []catalog.Replica) []catalog.Replica {
-	if !homes.IsRestricted() {
+// replicasInRegions returns the replicas in allowed regions.
+func replicasInRegions(allowed regions.Allowed, all []catalog.Replica) []catalog.Replica {
+	if !allowed.IsRestricted() {
 		return all
 	}
 	var out []catalog.Replica
 	for _, r := range all {
-		if homes.Allows(r.Region) {
+		if allowed.Allows(r.Region) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// nearest returns the replicas of the region that has run the request's stages,
-// or of the own one; all where it has none.
-func (s *serving) nearest(all []catalog.Replica) []catalog.Replica {
+// preferStageRegion returns the replicas in the region that has run the request's
+// stages, or in this instance's region if it has no job; all if there are none.
+func (s *requestHandler) preferStageRegion(all []catalog.Replica) []catalog.Replica {
 	region := s.node.home
 	if s.job != nil {
 		region = s.job.region
 	}
-	var near []catalog.Replica
+	var local []catalog.Replica
 	for _, r := range all {
 		if r.Region == region {
-			near = append(near, r)
+			local = append(local, r)
 		}
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return all
 	}
-	return near
+	return local
 }
 
-// inTurn returns the regions whose owners may be asked for the request's
-// stages, the first one first.
-func (s *serving) inTurn() []string {
-	n, w, homes := s.node, s.node.world.Load(), s.homes()
-	manned := make(map[string]bool)
+// regionOrder returns the regions whose owners may be asked to run the request's
+// stages, in the order in which they are asked.
+func (s *requestHandler) regionOrder() []string {
+	n, w, allowed := s.node, s.node.world.Load(), s.allowedRegions()
+	hasInstances := make(map[string]bool)
 	for _, i := range n.alive() {
-		manned[i.Region] = true
+		hasInstances[i.Region] = true
 	}
 	var all []regions.Candidate
 	for _, region := range w.places.Names() {
-		if homes.Allows(region) && (region != "" || n.home == "" || w.holds("")) {
-			all = append(all, regions.Candidate{Region: region, HasReplicas: w.serves(region, s.route, s.service.Name), HasInstances: manned[region]})
+		if allowed.Allows(region) && (region != "" || n.home == "" || w.hasPooledReplicas("")) {
+			all = append(all, regions.Candidate{Region: region, HasReplicas: w.hasReplicasFor(region, s.route, s.service.Name), HasInstances: hasInstances[region]})
 		}
 	}
 	return regions.OrderCandidates(n.home, all, s.req.ID)
 }
 
-// stages has the request's stages run in the own region or, where that refuses,
-// in another one that has the time to.
-func (s *serving) stages(ctx context.Context, ask *pb.StagesAsk) (job *stageJob, err error) {
-	turn := s.inTurn()
-	if len(turn) == 0 {
-		return nil, errNoRegion
+// runStages has the request's stages run in the local region or, if that refuses,
+// in another one that can run them in time.
+func (s *requestHandler) runStages(ctx context.Context, ask *pb.StagesAsk) (job *stageJob, err error) {
+	order := s.regionOrder()
+	if len(order) == 0 {
+		return nil, errNoAllowedRegion
 	}
 	mayBeLate := s.node.settings.LateCounts()
-	ask.LateToo = mayBeLate && len(turn) == 1
-	for i, region := range turn {
-		if i > 0 && !s.worthAsking(region) {
+	ask.LateToo = mayBeLate && len(order) == 1
+	for i, region := range order {
+		if i > 0 && !s.isWorthAsking(region) {
 			continue
 		}
-		asked := s.node.now()
+		askedAt := s.node.now()
 		var failure error
-		job, failure = s.stagesIn(ctx, ask, region)
-		s.noteLending(region, failure, s.node.now()-asked)
+		job, failure = s.runStagesIn(ctx, ask, region)
+		s.recordRegionResult(region, failure, s.node.now()-askedAt)
 		if failure == nil {
 			return job, nil
 		}
 		var refused *refusedError
 		if err == nil || errors.Is(err, errOwnerLost) && errors.As(failure, &refused) {
-			err = failure // the client is told what the nearest one says that answers
+			err = failure // the client gets the error of the first region that answers
 		}
 		if errors.As(failure, &refused) {
-			s.expects = refused.expects
+			s.forecast = refused.forecast
 		}
-		if ctx.Err() != nil || !errors.As(failure, &refused) && !errors.Is(failure, errOwnerLost) && !errors.Is(failure, errNarrowed) {
+		if ctx.Err() != nil || !errors.As(failure, &refused) && !errors.Is(failure, errOwnerLost) && !errors.Is(failure, errRegionDisallowed) {
 			return nil, failure
 		}
 	}
@@ -140,65 +142,65 @@
 	if !mayBeLate || ask.LateToo || !errors.As(err, &refused) {
 		return nil, err
 	}
-	ask.LateToo = true // nobody has it in time: the nearest one may have it late
-	return s.stagesIn(ctx, ask, turn[0])
+	ask.LateToo = true // no region can be in time: the first one may be late
+	return s.runStagesIn(ctx, ask, order[0])
 }
 
-// stagesIn has the request's stages run in one region.
-func (s *serving) stagesIn(ctx context.Context, ask *pb.StagesAsk, region string) (*stageJob, error) {
+// runStagesIn has the request's stages run in one region.
+func (s *requestHandler) runStagesIn(ctx context.Context, ask *pb.StagesAsk, region string) (*stageJob, error) {
 	n := s.node
-	ask.Cell = uint32(n.world.Load().cellOf(s.req, region))
-	trip := n.trip(region)
-	j := &stageWork{
-		ask: ask, region: region, began: s.req.Arrived, homes: s.homes,
-		objective: s.route.Objective - trip,
-		deadline:  s.allowed() - trip,
-		asked:     func(owner string) { s.owner = owner },
+	ask.Cell = uint32(n.world.Load().cellOfRequest(s.req, region))
+	roundTrip := n.roundTripTo(region)
+	j := &stagesRequest{
+		ask: ask, region: region, arrivedAt: s.req.Arrived, allowedRegions: s.allowedRegions,
+		objective: s.route.Objective - roundTrip,
+		deadline:  s.timeLimit() - roundTrip,
+		onAsk:     func(owner string) { s.lastOwner = owner },
 	}
 	return n.runStages(ctx, j)
 }
 
-// worthAsking reports whether another region may be asked: it did not refuse
-// lately, and there is time for the way there and back, twice: for the question,
-// and for the request itself.
-func (s *serving) worthAsking(region string) bool {
+// isWorthAsking reports whether another region should be asked: it has not refused
+// recently, and there is time for two round trips, one for the stages and one for
+// the request itself.
+func (s *requestHandler) isWorthAsking(region string) bool {
 	n := s.node
 	n.judgeMu.Lock()
-	short := n.lending.short.LikelyRefuses(n.now(), region, s.rank)
+	likelyRefuses := n.lending.availability.LikelyRefuses(n.now(), region, s.rank)
 	n.judgeMu.Unlock()
-	left := s.route.Objective - s.expects.engine - s.since()
-	return !short && left > 2*n.trip(region)
+	left := s.route.Objective - s.forecast.engine - s.elapsed()
+	return !likelyRefuses && left > 2*n.roundTripTo(region)
 }
 
-// distance returns how far a hall is from this instance.
-func (n *Node) distance(hall string) regions.Distance {
+// distanceTo returns the distance from this instance to a hall.
+func (n *Node) distanceTo(hall string) regions.Distance {
 	return n.places.Distance(n.settings.Hall, hall)
 }
 
-// trip is the time to a region and back.
-func (n *Node) trip(region string) time.Duration {
+// roundTripTo returns the estimated round-trip time to a region.
+func (n *Node) roundTripTo(region string) time.Duration {
 	if region == n.home {
 		return 0
 	}
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.lending.trips.Estimate(region)
+	return n.lending.roundTrips.Estimate(region)
 }
 
-// noteLending takes in what a region said to a request's stages.
-func (s *serving) noteLending(region string, failure error, took time.Duration) {
+// recordRegionResult records how a region answered a request's stages.
+func (s *requestHandler) recordRegionResult(region string, failure error, took time.Duration) {
 	n := s.node
 	var refused *refusedError
 	isRefused := errors.As(failure, &refused)
 	n.judgeMu.Lock()
 	switch {
 	case isRefused:
-		n.lending.short.RecordRefusal(n.now(), region, s.rank)
-		n.lending.trips.Observe(region, took)
+		n.lending.availability.RecordRefusal(n.now(), region, s.rank)
+		n.lending.roundTrips.Observe(region, took)
 	case errors.Is(failure, errOwnerLost):
-		n.lending.short.RecordNoAnswer(n.now(), region)
+		n.lending.availability.RecordNoAnswer(n.now(), region)
 	case failure == nil:
-		n.lending.short.RecordAnswer(region)
+		n.lending.availability.RecordAnswer(region)
 	}
 	n.judgeMu.Unlock()
 	if region == n.home {
@@ -211,8 +213,8 @@
 	event.NodeRegionAsked.Log(n.log, "request", s.req.ID, "region", region, "refused", isRefused, "error", failure, "took", took)
 }
 
-// logUnplaced says once of each hall that nobody can place it.
-func (n *Node) logUnplaced(all []catalog.Replica) {
+// logHallsWithoutRegion logs each hall that belongs to no region, once.
+func (n *Node) logHallsWithoutRegion(all []catalog.Replica) {
 	if !n.places.HasRegions() {
 		return
 	}
@@ -229,23 +231,23 @@
 	}
 }
 
-// noteFar keeps which hosts are in other regions, as far as is known.
-func (n *Node) noteFar(alive []gossip.Instance) {
-	far := make(map[string]bool)
+// recordRemoteHosts stores which hosts are known to be in other regions.
+func (n *Node) recordRemoteHosts(alive []gossip.Instance) {
+	remote := make(map[string]bool)
 	for _, i := range alive {
 		if host, _, err := net.SplitHostPort(i.HeartbeatAddress); err == nil && i.Region != n.home {
-			far[host] = true
+			remote[host] = true
 		}
 	}
-	n.farHosts.Store(&far)
+	n.farHosts.Store(&remote)
 }
 
-// isFarAddress reports whether an instance's address is in another region.
-func (n *Node) isFarAddress(addr string) bool {
-	far := n.farHosts.Load()
-	if far == nil || len(*far) == 0 {
+// isRemoteAddress reports whether an instance's address is in another region.
+func (n *Node) isRemoteAddress(addr string) bool {
+	remote := n.farHosts.Load()
+	if remote == nil || len(*remote) == 0 {
 		return false
 	}
 	host, _, err := net.SplitHostPort(addr)
-	return err == nil && (*far)[host]
+	return err == nil && (*remote)[host]
 }
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -92,7 +92,7 @@
 	answer := &pb.Config{}
 	if err := n.links.Call(addr, frame.PullConfig, &pb.PullConfig{Have: have}, answer, pullFor); err != nil {
 		n.configPull.done()
-		n.logAside("configuration", addr, err)
+		n.logSideCallFailure("configuration", addr, err)
 		return
 	}
 	n.countPull(addr, answer)
@@ -116,7 +116,7 @@
 
 // countPull counts what a peer of another region has told.
 func (n *Node) countPull(addr string, answer proto.Message) {
-	if n.isFarAddress(addr) {
+	if n.isRemoteAddress(addr) {
 		n.counters.farBytes.pulls.Inc(int64(proto.Size(answer)))
 	}
 }
@@ -160,7 +160,7 @@
 	}
 	if err != nil {
 		n.listPull.done()
-		n.logAside("replicas", addr, err)
+		n.logSideCallFailure("replicas", addr, err)
 		return
 	}
 	if answer.Busy {
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -29,7 +29,7 @@
 	var lease uint64 // the store's number of it; 0: none is held
 	n.greet(ctx)
 	if n.size() == 1 {
-		n.logAside("instances", "store", n.meet()) // the seeds may be gone; those that read before may be back
+		n.logSideCallFailure("instances", "store", n.meet()) // the seeds may be gone; those that read before may be back
 	}
 	process.Pause(ctx, registerAfter)
 	for ctx.Err() == nil {
@@ -133,7 +133,7 @@
 // registered returns where the others that the store names take heartbeats.
 func (n *Node) registered() []string {
 	entries, err := n.entries()
-	n.logAside("instances", "store", err)
+	n.logSideCallFailure("instances", "store", err)
 	var out []string
 	for _, i := range entries {
 		if i.Name != n.settings.Name {
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -42,7 +42,7 @@
 
 // mayAll returns those of some replicas that may get a request now, and an error
 // when what they state forbids all of them that this one has not met yet.
-func (s *serving) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
+func (s *requestHandler) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
 	first, fresh, paced := stated.Never, false, false
 	s.node.statements.with(func(b *stated.Tracker) {
 		if b.Empty() && !s.node.statements.paces.HasLimits() {
@@ -81,10 +81,10 @@
 
 // servable returns why nobody can serve the request in time, by what replicas state;
 // nil where somebody may. Its stages would be work for nothing.
-func (s *serving) servable() error {
+func (s *requestHandler) servable() error {
 	w := s.node.world.Load()
 	now := s.node.now()
-	listed := permitted(s.homes(), w.services[s.service.Name])
+	listed := replicasInRegions(s.allowedRegions(), w.services[s.service.Name])
 	if len(listed) == 0 {
 		return s.allLeave(w)
 	}
@@ -97,15 +97,15 @@
 }
 
 // lastUse is until when an answer of the request is of use that has yet to begin.
-func (s *serving) lastUse() time.Duration {
+func (s *requestHandler) lastUse() time.Duration {
 	if s.route.Objective == 0 {
-		return s.end
+		return s.deadline
 	}
-	return min(s.req.Arrived+s.route.Objective, s.end)
+	return min(s.req.Arrived+s.route.Objective, s.deadline)
 }
 
 // allLeave tells whether there are replicas for the request, all of which leave.
-func (s *serving) allLeave(w *world) error {
+func (s *requestHandler) allLeave(w *world) error {
 	leaves := false
 	for _, r := range w.all {
 		if r.Service != s.service.Name {
@@ -126,14 +126,14 @@
 // it has, where that is better than to refuse it: one whose stages are done, or
 // that can't be refused any more, for as long as its answer is of use; another
 // one for a moment.
-func (s *serving) waitsForRest(ctx context.Context, err error) bool {
+func (s *requestHandler) waitsForRest(ctx context.Context, err error) bool {
 	var rest *restError
 	if !errors.As(err, &rest) {
 		return false
 	}
 	now := s.node.now()
 	last := s.req.Arrived + time.Duration(float64(s.route.Objective)*shareToWait)
-	if s.stream.headSent || s.job != nil && len(s.job.handles) > 0 {
+	if s.stream.headersSent || s.job != nil && len(s.job.handles) > 0 {
 		last = s.lastUse()
 	}
 	if rest.until > last || now >= last {
@@ -145,11 +145,11 @@
 // placeAgain has the engine chosen anew where what its replica has stated since it
 // was chosen, or only to this instance, forbids it: the owner alone sees what runs
 // where. It is asked once; what it names then is held against the same.
-func (s *serving) placeAgain(ctx context.Context) {
+func (s *requestHandler) placeAgain(ctx context.Context) {
 	if s.job == nil || s.job.engine == "" || s.service.Engine == nil {
 		return
 	}
-	if !s.mayUseChoice() {
-		s.placeAnew(ctx)
+	if !s.mayUseOwnerChoice() {
+		s.requestNewEngine(ctx)
 	}
 }
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -66,7 +66,7 @@
 
 // movable reports whether the request, broken off at its replica, goes on at
 // another one.
-func (s *serving) movable() bool {
+func (s *requestHandler) movable() bool {
 	return s.route.Kind == catalog.Repeatable || s.route.Kind == catalog.Stream && s.route.Resumable
 }
 
@@ -82,14 +82,14 @@
 	if !a.movable() {
 		out.lasted = took
 	}
-	if a.began != 0 {
-		out.took = a.began - a.sent
+	if a.answerBegan != 0 {
+		out.took = a.answerBegan - a.sentAt
 	}
 	if way != ending.ConnectionBroken {
 		n.answered(out)
 		return
 	}
-	l := a.look
+	l := a.probe
 	go func() {
 		if n.awaitLook(context.Background(), l) {
 			out.says = ending.ReplicaCrashed.Evidence().Version
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -161,7 +161,7 @@
 
 // sides parts replicas of the request's service in a roll-out: the new ones that
 // it may go to, and the old ones.
-func (s *serving) sides(w *world, all []catalog.Replica) (newer, older []catalog.Replica) {
+func (s *requestHandler) sides(w *world, all []catalog.Replica) (newer, older []catalog.Replica) {
 	m := w.moves[s.service.Name]
 	if m == nil {
 		return nil, all
@@ -180,7 +180,7 @@
 
 // mayNewer reports whether the request may go to its service's new version. One
 // that comes again goes to an old replica, where there is one.
-func (s *serving) mayNewer(w *world) bool {
+func (s *requestHandler) mayNewer(w *world) bool {
 	m := w.moves[s.service.Name]
 	if m == nil {
 		return false
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	standardLeft  = 30 * time.Second       // of a request that states no deadline
-	backSoon      = 300 * time.Millisecond // when a client may come back where nothing is known of when, one heartbeat and a half
-	backLater     = time.Second            // the same while no replica may take it: what cold ones get is counted by the second
-	mostUnsent    = 4                      // sends of one request that reached nobody or were turned away
-	mostWaits     = 6                      // for stages of a stream that broke off: with backSoon 1.8 s, less than clients wait for an event
-	mostRedone    = 2                      // times that a request's stages are run again
-	retryPart     = 3                      // clients wait at most this part of the time they have left
-	retryMargin   = 0.95                   // of that part, so that a client's clock may differ a little
-	shareOfSlack  = 0.6                    // of the retries that the deployment allows beside its ratio
-	shareOfRatio  = 0.75                   // of the ratio itself
-	failureWeight = 0.05                   // of a new sign in a service's share of failures: the last 20 or so count
+	defaultTimeLimit   = 30 * time.Second       // for a request without a deadline
+	shortRetryAfter    = 300 * time.Millisecond // Retry-After without a better estimate: 1.5 heartbeat intervals
+	longRetryAfter     = time.Second            // Retry-After while no replica may accept the request; the limit of warming replicas is per second
+	maxUnexecutedSends = 4                      // sends of one request that no replica received or that were refused
+	maxStageWaits      = 6                      // waits for the stages of a broken stream; 1.8 s with shortRetryAfter, less than clients wait for an event
+	maxStageReruns     = 2                      // reruns of a request's stages
+	retryAfterDivisor  = 3                      // a client is asked to wait at most its remaining time divided by this
+	retryAfterMargin   = 0.95                   // part of that wait that is used, as the client's clock may differ slightly
+	retrySlackShare    = 0.6                    // used part of the retries that the deployment allows in addition to its ratio
+	retryRatioShare    = 0.75                   // used part of the retry ratio
+	failureRateWeight  = 0.05                   // weight of a new signal in a service's failure rate: about the last 20 count
 )
 
-// serviceRates is what this instance knows of a service as a whole.
+// serviceRates holds this instance's retry budget and failure rate of a service.
 type serviceRates struct {
-	budget *retry.Budget
-	fails  float64 // share of requests that replicas fail
+	budget      *retry.Budget
+	failureRate float64 // share of requests that fail at replicas
 }
 
-// serving is one request on its way through.
-type serving struct {
+// requestHandler serves one client request, from admission to its answer.
+type requestHandler struct {
 	node        *Node
 	w           http.ResponseWriter
 	req         *exchange.Request
@@ -48,79 +48,79 @@
 	customer    string
 	rank        int
 	record      *outcome.Record
-	end         time.Duration          // by when it must be answered, by the process's clock
-	look        *look                  // whether the replica of its last attempt has ended; nil: nobody asked
-	trial       *trial                 // its turn, once it is a suspect
-	fingerprint quarantine.Fingerprint // of what its caller repeats when it comes again
+	deadline    time.Duration          // when the answer is due, by the process's clock
+	probe       *look                  // checks whether the replica of the last attempt has ended; nil: no check
+	trial       *trial                 // trial lease of a suspect request
+	fingerprint quarantine.Fingerprint // of the parts that a caller repeats in a retry
 
-	job     *stageJob
-	tried   map[string]bool // replicas that may have run it
-	avoid   map[string]bool // replicas that turned it away
-	unsent  int
-	redone  int
-	waits   int                    // for stages of a stream that broke off
-	replica string                 // the last one it was sent to
-	region  string                 // of that
-	boundBy *catalog.Configuration // that bound was read from
-	bound   regions.Allowed
-	owner   string // of the pools that its stages were asked of last
-	stream  streamState
-	staged  time.Duration // that its stages took
-	expects expectation   // of the owner
-	first   time.Duration // from its arrival to the first event
-	gap     time.Duration // longest pause between events
-	fetch   string        // from where the last engine was to fetch
-	chosen  chooser       // of the last replica
-	leaves  bool          // the last replica said so as it answered
+	job                 *stageJob
+	tried               map[string]bool // replicas that may have run the request
+	avoid               map[string]bool // replicas that refused it or were not reached
+	unexecutedSends     int
+	stageReruns         int
+	stageWaits          int                    // waits for the stages of a broken stream
+	lastReplica         string                 // replica of the last send
+	lastRegion          string                 // region of lastReplica
+	cachedRegionsConfig *catalog.Configuration // configuration that cachedRegions was read from
+	cachedRegions       regions.Allowed
+	lastOwner           string // last owner that its stages were requested from
+	stream              streamState
+	stagesTook          time.Duration   // time from its arrival until its stages were done
+	forecast            requestForecast // the owner's estimates
+	timeToFirstEvent    time.Duration   // from the request's arrival
+	maxEventGap         time.Duration   // longest interval between two events
+	lastFetchFrom       string          // where the last engine was to fetch cached prompt parts from
+	chosenBy            chooser         // who chose the last replica
+	lastReplicaDrains   bool            // the last replica announced a drain in its answer
 }
 
-// chooser is who chose a replica for a request.
+// chooser names the party that chose a replica for a request.
 type chooser string
 
 const (
-	byOwner    chooser = "owner"
-	byInstance chooser = "instance" // that serves the request
+	chosenByOwner    chooser = "owner"
+	chosenByInstance chooser = "instance" // the instance that serves the request
 )
 
-// serve takes a request through to its answer.
-func (n *Node) serve(ctx context.Context, w http.ResponseWriter, req *exchange.Request) {
+// handleRequest serves a request until it is answered.
+func (n *Node) handleRequest(ctx context.Context, w http.ResponseWriter, req *exchange.Request) {
 	n.counters.requests.Inc(1)
 	s, err := n.admit(w, req)
 	if err != nil {
-		n.answerOwn(w, req, err)
+		n.writeError(w, req, err)
 		return
 	}
-	ctx, cancel := n.clock.WithDeadline(ctx, s.end)
+	ctx, cancel := n.clock.WithDeadline(ctx, s.deadline)
 	defer cancel()
 	defer s.endJob()
 	defer s.endTrial()
 	err = s.run(ctx)
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		err = errLeft // whatever it looked like
+		err = errClientGone // whichever error the attempt ended with
 	}
-	s.node.customers.count(nameOf(s.customer), err, s.beyondShare(err))
-	s.log(err)
+	s.node.customers.count(nameOf(s.customer), err, s.isOverShare(err))
+	s.logRequest(err)
 	if err != nil {
-		s.fail(ctx, err)
+		s.answerFailure(ctx, err)
 	}
 }
 
 // admit finds the request's route, customer and service.
-func (n *Node) admit(w http.ResponseWriter, req *exchange.Request) (*serving, error) {
+func (n *Node) admit(w http.ResponseWriter, req *exchange.Request) (*requestHandler, error) {
 	world := n.world.Load()
 	if world.config == nil {
-		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: errNoConfiguration.Error()}
+		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoConfiguration.Error()}
 	}
 	route := world.config.Match(req.Host, req.Path)
 	if route == nil {
 		return nil, &answerError{status: http.StatusNotFound, text: "no route for this host and path"}
 	}
-	s := &serving{
+	s := &requestHandler{
 		node: n, w: w, req: req, world: world, route: route,
 		record: outcome.Accept(),
 		tried:  make(map[string]bool),
 		avoid:  make(map[string]bool),
-		rank:   route.Priority*rankStep + route.Priority,
+		rank:   route.Priority*customerRankFactor + route.Priority,
 	}
 	if !route.Anonymous {
 		customer := world.config.Customers[req.Key]
@@ -129,7 +129,7 @@
 		}
 		s.customer = customer.Name
 		if customer.Priority != platform.NoPriority {
-			s.rank = customer.Priority*rankStep + route.Priority
+			s.rank = customer.Priority*customerRankFactor + route.Priority
 		}
 	}
 	if !n.takes(route.Kind == catalog.Stream) {
@@ -137,31 +137,33 @@
 	}
 	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
 	if !world.listed {
-		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: errNoReplicas.Error()}
+		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoReplicas.Error()}
 	}
 	if s.service == nil {
-		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: "the route's service is not configured"}
+		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: "the route's service is not configured"}
 	}
 	if len(req.Pieces) != len(route.Stages) {
 		return nil, &answerError{status: http.StatusBadRequest, text: "the piece counts don't fit the route's stages"}
 	}
-	s.end = req.Arrived + s.allowed()
+	s.deadline = req.Arrived + s.timeLimit()
 	s.fingerprint = quarantine.FingerprintOf(s.customer, req.Method, req.Host, req.Target, req.Body)
-	s.rates(func(r *serviceRates) { r.budget.Success() })
+	s.withServiceRates(func(r *serviceRates) { r.budget.Success() })
 	return s, nil
 }
 
-// since is how long ago the request came.
-func (s *serving) since() time.Duration { return s.node.now() - s.req.Arrived }
+// elapsed returns the time since the request arrived.
+func (s *requestHandler) elapsed() time.Duration { return s.node.now() - s.req.Arrived }
 
-// rankStep puts a customer's priority before the route's.
-const rankStep = 10
+// customerRankFactor ranks requests by their customer's priority first, then by
+// their route's.
+const customerRankFactor = 10
 
-// allowed is the time that the request may take: the client's, and the route's.
-func (s *serving) allowed() time.Duration {
+// timeLimit returns the time that the request may take: its deadline, limited by
+// the route's timeout.
+func (s *requestHandler) timeLimit() time.Duration {
 	left := s.req.Deadline
 	if left == 0 {
-		left = standardLeft
+		left = defaultTimeLimit
 	}
 	if s.route.Timeout > 0 {
 		left = min(left, s.route.Timeout)
@@ -169,70 +171,71 @@
 	return left
 }
 
-// rates runs f on what is known of the request's service.
-func (s *serving) rates(f func(*serviceRates)) {
+// withServiceRates runs f on the rates of the request's service, under judgeMu.
+func (s *requestHandler) withServiceRates(f func(*serviceRates)) {
 	n := s.node
 	instances := float64(n.size())
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	r := n.rates[s.service.Name]
 	if r == nil {
-		slack := n.settings.RetrySlack * shareOfSlack / instances
-		r = &serviceRates{budget: retry.NewBudget(n.settings.RetryRatio*shareOfRatio, max(slack, 1))}
+		slack := n.settings.RetrySlack * retrySlackShare / instances
+		r = &serviceRates{budget: retry.NewBudget(n.settings.RetryRatio*retryRatioShare, max(slack, 1))}
 		n.rates[s.service.Name] = r
 	}
 	f(r)
 }
 
-// mayRepeat reports whether one more arrival of the request at a replica is
-// within the budget that all instances share, and takes it.
-func (s *serving) mayRepeat() bool {
+// consumeRetryBudget reports whether one more send of the request is within this
+// instance's part of the retry budget, and consumes it if so.
+func (s *requestHandler) consumeRetryBudget() bool {
 	ok := false
-	s.rates(func(r *serviceRates) { ok = r.budget.Take() })
+	s.withServiceRates(func(r *serviceRates) { ok = r.budget.Take() })
 	return ok
 }
 
-// came reports whether the client's deadline says that it came back.
-func (s *serving) came() bool {
+// isClientRetry reports whether the client's deadline shows that it retries a
+// refused request.
+func (s *requestHandler) isClientRetry() bool {
 	n := s.node
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.deadlines.cameBack(s.route.Name, s.req.Deadline)
+	return n.deadlines.isRetry(s.route.Name, s.req.Deadline)
 }
 
-// errors of attempts that another attempt may mend.
+// Errors of attempts and of the choice of a replica.
 var (
-	errNotRun    = errors.New("the replica turned the request away")
-	errInputs    = errors.New("the replica did not find the request's inputs")
-	errUnreached = errors.New("no replica was reached")
-	errEmptied   = errors.New("every hall that has replicas is being emptied")
-	errCold      = errors.New("all replicas are cold and get as much as they carry")
-	errBroken    = errors.New("the answer broke off")
-	errSilent    = errors.New("the replica did not answer in time")
-	errLifeOver  = errors.New("the replica has started again")
-	errOwnFault  = errors.New("the replica failed the request")
-	errCutOff    = errors.New("the stream broke off midway")
-	errLeft      = errors.New("the client has gone")
+	errReplicaRefused   = errors.New("the replica turned the request away")
+	errMissingInputs    = errors.New("the replica did not find the request's inputs")
+	errNoReplicaReached = errors.New("no replica was reached")
+	errHallsDrained     = errors.New("every hall that has replicas is being emptied")
+	errReplicasWarming  = errors.New("all replicas are cold and get as much as they carry")
+	errAnswerBroken     = errors.New("the answer broke off")
+	errReplicaTimeout   = errors.New("the replica did not answer in time")
+	errReplicaRestarted = errors.New("the replica has started again")
+	errReplicaFailed    = errors.New("the replica failed the request")
+	errStreamBroken     = errors.New("the stream broke off midway")
+	errClientGone       = errors.New("the client has gone")
 )
 
-// run sends the request until it is answered or nothing more may be done.
-func (s *serving) run(ctx context.Context) error {
+// run makes attempts until the request is answered or may not be retried.
+func (s *requestHandler) run(ctx context.Context) error {
 	for {
-		if err := s.clear(ctx); err != nil {
+		if err := s.checkQuarantine(ctx); err != nil {
 			return err
 		}
-		if err := s.prepare(ctx); err != nil {
-			if s.waitsFor(ctx, err) || s.waitsForRest(ctx, err) {
+		if err := s.prepareStages(ctx); err != nil {
+			if s.waitToRetryStages(ctx, err) || s.waitsForRest(ctx, err) {
 				continue
 			}
 			return err
 		}
-		if err := s.clear(ctx); err != nil { // its stages took their time
+		if err := s.checkQuarantine(ctx); err != nil { // the verdict may have changed while the stages ran
 			return err
 		}
-		s.placeApart(ctx)
+		s.isolateSuspect(ctx)
 		s.placeAgain(ctx)
-		engine, fetch, err := s.pick()
+		engine, fetch, err := s.pickReplica()
 		if err != nil {
 			if s.waitsForRest(ctx, err) {
 				continue
@@ -243,14 +246,15 @@
 		if err == nil {
 			return nil
 		}
-		if done(ctx) || errors.Is(err, errLeft) || !s.again(err) {
+		if isDone(ctx) || errors.Is(err, errClientGone) || !s.shouldRetry(err) {
 			return err
 		}
 	}
 }
 
-// clear ends a request that is condemned, and has a suspect wait for its turn.
-func (s *serving) clear(ctx context.Context) error {
+// checkQuarantine rejects a quarantined request, and has a suspect request wait
+// for its trial lease.
+func (s *requestHandler) checkQuarantine(ctx context.Context) error {
 	verdict := s.node.verdict(s.fingerprint)
 	if verdict == quarantine.Suspect && s.trial == nil {
 		t, err := s.node.turn(ctx, s.fingerprint)
@@ -259,7 +263,7 @@
 			return err
 		}
 		s.trial = t
-		verdict = s.node.verdict(s.fingerprint) // the last trial may have shown more
+		verdict = s.node.verdict(s.fingerprint) // the previous trial may have changed it
 		event.NodeTries.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
 	}
 	if verdict == quarantine.Quarantined {
@@ -269,60 +273,61 @@
 	return nil
 }
 
-// endTrial gives the request's turn back, once it is known what the trial has
-// shown: the client has its answer before that.
-func (s *serving) endTrial() {
-	t, l := s.trial, s.look
+// endTrial returns the request's trial lease. If a probe of the replica is
+// running, it does so after its result, without delaying the client's answer.
+func (s *requestHandler) endTrial() {
+	t, p := s.trial, s.probe
 	switch {
 	case t == nil:
-	case l == nil:
+	case p == nil:
 		t.end()
 	default:
 		go func() {
-			s.node.awaitLook(context.Background(), l)
+			s.node.awaitLook(context.Background(), p)
 			t.end()
 		}()
 	}
 }
 
-// waitsFor reports, after a pause, whether a stream that broke off midway may
-// ask for its stages once more: it can't be refused any more.
-func (s *serving) waitsFor(ctx context.Context, err error) bool {
+// waitToRetryStages pauses and reports whether a stream that broke off midway may
+// request its stages again: it can't be refused any more, as its headers are sent.
+func (s *requestHandler) waitToRetryStages(ctx context.Context, err error) bool {
 	var refused *refusedError
 	var failed *failedError
-	if !s.stream.headSent || s.waits >= mostWaits || !errors.As(err, &refused) && !errors.As(err, &failed) {
+	if !s.stream.headersSent || s.stageWaits >= maxStageWaits || !errors.As(err, &refused) && !errors.As(err, &failed) {
 		return false
 	}
-	s.waits++
-	return process.Pause(ctx, backSoon)
+	s.stageWaits++
+	return process.Pause(ctx, shortRetryAfter)
 }
 
-// again decides whether the request is sent once more after an attempt ended so.
-func (s *serving) again(err error) bool {
+// shouldRetry decides whether the request is sent again after an attempt ended
+// with err.
+func (s *requestHandler) shouldRetry(err error) bool {
 	switch {
-	case errors.Is(err, errPaced): // it is known now from when on there is one
+	case errors.Is(err, errPaced): // the time of the next send grant is known now
 		return true
-	case errors.Is(err, errUnreached):
-		s.avoid[s.replica] = true
-		s.unsent++
-		return s.unsent < mostUnsent
-	case errors.Is(err, errInputs):
+	case errors.Is(err, errNoReplicaReached):
+		s.avoid[s.lastReplica] = true
+		s.unexecutedSends++
+		return s.unexecutedSends < maxUnexecutedSends
+	case errors.Is(err, errMissingInputs):
 		s.endJob()
-		s.redone++
-		return s.redone <= mostRedone && s.mayRepeat()
-	case errors.Is(err, errNotRun):
-		if _, rests := s.node.statements.restsTo(s.node.now(), s.replica); !rests { // else it may run the request after that
-			s.avoid[s.replica] = true
+		s.stageReruns++
+		return s.stageReruns <= maxStageReruns && s.consumeRetryBudget()
+	case errors.Is(err, errReplicaRefused):
+		if _, backsOff := s.node.statements.restsTo(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
+			s.avoid[s.lastReplica] = true
 		}
-		s.unsent++
-		return s.unsent < mostUnsent && s.mayRepeat()
+		s.unexecutedSends++
+		return s.unexecutedSends < maxUnexecutedSends && s.consumeRetryBudget()
 	}
-	if s.job != nil && (len(s.job.handles) == 0 || s.stream.headSent) {
-		s.endJob() // its results are gone, or it has none: the owner chooses anew
+	if s.job != nil && (len(s.job.handles) == 0 || s.stream.headersSent) {
+		s.endJob() // its results are gone or it has none: the owner chooses an engine again
 	}
-	if errors.Is(err, errOwnFault) {
-		return true // the answer was given up for another attempt, which was paid for
+	if errors.Is(err, errReplicaFailed) {
+		return true // forwardAnswer dropped the answer for another attempt and has consumed the retry budget
 	}
 	repeatable := s.route.Kind == catalog.Repeatable || (s.route.Kind == catalog.Stream && s.route.Resumable)
-	return repeatable && len(s.tried) < s.route.MaxAttempts && s.mayRepeat()
+	return repeatable && len(s.tried) < s.route.MaxAttempts && s.consumeRetryBudget()
 }
--- a/cmd/node/shares_test.go
+++ b/cmd/node/shares_test.go
@@ -16,12 +16,12 @@
 // said to be beyond one.
 func TestARefusalTellsWhetherItIsTheCustomersShare(t *testing.T) {
 	is := is.New(t)
-	within := &refusedError{after: time.Second, expects: expectationOf(&pb.StagesReply{Refused: true})}
-	is.True(within.expects.standing.Within)
+	within := &refusedError{retryAfter: time.Second, forecast: forecastOf(&pb.StagesReply{Refused: true})}
+	is.True(within.forecast.standing.Within)
 	is.True(strings.HasPrefix(within.Error(), "stages refused"))
 	told := &pb.StagesReply{Refused: true, Standing: standingNews(shares.Standing{Resource: "pool", Demand: 8, Share: 2})}
-	beyond := &refusedError{after: time.Second, expects: expectationOf(told)}
-	is.Equal(beyond.expects.standing, shares.Standing{Resource: "pool", Demand: 8, Share: 2})
+	beyond := &refusedError{retryAfter: time.Second, forecast: forecastOf(told)}
+	is.Equal(beyond.forecast.standing, shares.Standing{Resource: "pool", Demand: 8, Share: 2})
 	is.True(strings.HasPrefix(beyond.Error(), "over its customer's share"))
 	is.Equal(standingNews(shares.Standing{Within: true}), nil)
 }
@@ -33,8 +33,8 @@
 	long := strings.Repeat("x", 10_000)
 	is.True(len(nameOf(long)) <= mostCustomer)
 	is.True(nameOf(long) != nameOf(long+"y"))
-	is.NoErr(checkAsk(&pb.StagesAsk{Customer: nameOf(long)}))
-	is.True(checkAsk(&pb.StagesAsk{Customer: long}) != nil)
+	is.NoErr(validateStagesAsk(&pb.StagesAsk{Customer: nameOf(long)}))
+	is.True(validateStagesAsk(&pb.StagesAsk{Customer: long}) != nil)
 }
 
 // Customers by the thousand are counted, more than that together: nothing is lost
@@ -45,8 +45,8 @@
 	for i := range 5400 {
 		c.count(fmt.Sprint("customer-", i), nil, false)
 	}
-	c.count("customer-1", &failedError{why: "share"}, true)
-	c.count("customer-1", errLeft, false)
+	c.count("customer-1", &failedError{reason: "share"}, true)
+	c.count("customer-1", errClientGone, false)
 	all := c.counts()
 	is.Equal(len(all), mostCounted+1)
 	one := all["customer-1"]
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -20,96 +20,96 @@
 )
 
 const (
-	verdictFor  = 500 * time.Millisecond // that an owner may take to admit or refuse
-	watchOwner  = 150 * time.Millisecond // between looks whether it is still heard of
-	meetFor     = 700 * time.Millisecond // from the start, that an instance waits to hear who owns pools
-	meetLook    = 20 * time.Millisecond  // between looks at the view while it is not clear
-	mostOwners  = 3                      // asked for one request
-	mostReplies = 2                      // of an owner to one job
+	admissionTimeout    = 500 * time.Millisecond // for an owner to admit or refuse a job
+	ownerCheckInterval  = 150 * time.Millisecond // between checks whether the owner is alive
+	startupViewTimeout  = 700 * time.Millisecond // since the process's start, to wait for a view of the cells' owners
+	startupViewInterval = 20 * time.Millisecond  // between checks of that view
+	maxOwnersAsked      = 3                      // for one request
+	maxOwnerReplies     = 2                      // to one job: admission, then results
 )
 
-// refusedError says that the owner does not take a request's stages.
+// refusedError reports that the owner refused a request's stages.
 type refusedError struct {
-	after   time.Duration
-	expects expectation
+	retryAfter time.Duration
+	forecast   requestForecast
 }
 
 // Error implements error.
 func (e *refusedError) Error() string {
-	if s := e.expects.standing; !s.Within {
-		return fmt.Sprintf("over its customer's share, back in %v", e.after)
+	if s := e.forecast.standing; !s.Within {
+		return fmt.Sprintf("over its customer's share, back in %v", e.retryAfter)
 	}
-	return fmt.Sprintf("stages refused, back in %v", e.after)
+	return fmt.Sprintf("stages refused, back in %v", e.retryAfter)
 }
 
-// failedError says that the stages of a request could not be done.
+// failedError reports that the stages of a request failed.
 type failedError struct {
-	why   string
-	after time.Duration
+	reason     string
+	retryAfter time.Duration
 }
 
 // Error implements error.
-func (e *failedError) Error() string { return "stages failed: " + e.why }
+func (e *failedError) Error() string { return "stages failed: " + e.reason }
 
 var errOwnerLost = errors.New("the owner is not heard of any more")
 
-// stageJob is a request at its owner. first tells the owner that the results
-// are read; end must be called when the request ends.
+// stageJob is a request's job at its cell's owner. reportFirstEvent tells the
+// owner that the results have been read; end must be called when the request ends.
 type stageJob struct {
-	handles []string
-	engine  string // replica that should run it; "" when the owner knows none
-	fetch   string
-	region  string    // whose replicas do its work
-	paced   bool      // the owner has counted the request against what the engine takes
-	ended   int       // replicas that had ended under the request when its engine was chosen
-	beside  int       // suspects at the engine then
-	results *stageJob // that has the results, where the engine was chosen anew; nil: this one
-	placed  *stageJob // that has the engine then
-	expects expectation
-	news    func(*pb.StagesNews)
-	end     func()
+	handles            []string
+	engine             string // ID of the chosen replica; "" if the owner has none
+	fetchFrom          string
+	region             string    // region whose replicas run the stages
+	hasSendGrant       bool      // the owner has taken a send grant of the engine for the request
+	replicaEnds        int       // replicas that had ended during the request when its engine was chosen
+	concurrentSuspects int       // other suspects at the engine at that time
+	resultsJob         *stageJob // job that holds the results if the engine was chosen again; nil: this one
+	engineJob          *stageJob // job that holds the engine in that case
+	forecast           requestForecast
+	notifyOwner        func(*pb.StagesNews)
+	end                func()
 }
 
-// expectation is what an owner reckons that a request takes: its stages, then
-// its engine to the first event.
-type expectation struct {
-	stages, engine time.Duration
-	reads, moves   uint32 // tokens of its prompt that the engine reads, and fetches
-	standing       shares.Standing
+// requestForecast is an owner's estimate of a request's times: of its stages, then
+// of its engine until the first event.
+type requestForecast struct {
+	stages, engine                time.Duration
+	prefillTokens, transferTokens uint32 // tokens of the prompt that the engine computes, and that it fetches from a cache
+	standing                      shares.Standing
 }
 
-func expectationOf(r *pb.StagesReply) expectation {
-	return expectation{
-		stages: time.Duration(r.ExpectedUs) * time.Microsecond,
-		engine: time.Duration(r.EngineUs) * time.Microsecond,
-		reads:  r.Reads, moves: r.Moves,
+func forecastOf(r *pb.StagesReply) requestForecast {
+	return requestForecast{
+		stages:        time.Duration(r.ExpectedUs) * time.Microsecond,
+		engine:        time.Duration(r.EngineUs) * time.Microsecond,
+		prefillTokens: r.Reads, transferTokens: r.Moves,
 		standing: standingOf(r.Standing),
 	}
 }
 
-// at returns the job with its results, and the engine that was chosen in another.
-func (j *stageJob) at(placed *stageJob) *stageJob {
+// withEngineOf returns a job with j's results and with the engine of another job.
+func (j *stageJob) withEngineOf(engineJob *stageJob) *stageJob {
 	return &stageJob{
-		results: j, placed: placed,
-		handles: j.handles, engine: placed.engine, fetch: placed.fetch, paced: placed.paced, region: j.region, beside: placed.beside, expects: j.expects,
-		news: func(m *pb.StagesNews) {
-			j.news(m)
-			placed.news(m)
+		resultsJob: j, engineJob: engineJob,
+		handles: j.handles, engine: engineJob.engine, fetchFrom: engineJob.fetchFrom, hasSendGrant: engineJob.hasSendGrant, region: j.region, concurrentSuspects: engineJob.concurrentSuspects, forecast: j.forecast,
+		notifyOwner: func(m *pb.StagesNews) {
+			j.notifyOwner(m)
+			engineJob.notifyOwner(m)
 		},
 		end: func() {
-			placed.end()
+			engineJob.end()
 			j.end()
 		},
 	}
 }
 
-// unplaced gives up the job's engine and returns what is left of it: its results,
-// nil where it has none.
-func (j *stageJob) unplaced() *stageJob {
+// releaseEngine releases the job's engine and returns the job that holds its
+// results, nil if it has none.
+func (j *stageJob) releaseEngine() *stageJob {
 	switch {
-	case j.placed != nil:
-		j.placed.end()
-		return j.results
+	case j.engineJob != nil:
+		j.engineJob.end()
+		return j.resultsJob
 	case len(j.handles) == 0:
 		j.end()
 		return nil
@@ -117,104 +117,105 @@
 	return j
 }
 
-func (j *stageJob) first() { j.news(&pb.StagesNews{First: true}) }
+func (j *stageJob) reportFirstEvent() { j.notifyOwner(&pb.StagesNews{First: true}) }
 
-// stageWork is what the owner of one region's cell is asked.
-type stageWork struct {
-	ask       *pb.StagesAsk
-	region    string                 // of the cell
-	homes     func() regions.Allowed // as of now
-	began     time.Duration          // when the request came
-	objective time.Duration          // from then
-	deadline  time.Duration          // the same
-	asked     func(owner string)
+// stagesRequest is a request to the owner of one region's cell.
+type stagesRequest struct {
+	ask            *pb.StagesAsk
+	region         string                 // region of the cell
+	allowedRegions func() regions.Allowed // regions that may serve the request, by the configuration in force
+	arrivedAt      time.Duration          // arrival of the request
+	objective      time.Duration          // since the arrival
+	deadline       time.Duration          // since the arrival
+	onAsk          func(owner string)
 }
 
-// runStages has the stages of a request run by the owner of its cell, or by
-// the next in line when that one is lost.
-func (n *Node) runStages(ctx context.Context, w *stageWork) (*stageJob, error) {
+// runStages has the stages of a request run by the owner of its cell, or by the
+// next instance in rank order when that owner is lost.
+func (n *Node) runStages(ctx context.Context, w *stagesRequest) (*stageJob, error) {
 	ask := w.ask
-	n.awaitView(ctx, int(ask.Cell), w.region)
+	n.awaitOwnerView(ctx, int(ask.Cell), w.region)
 	var err error
 	tried := make(map[string]bool)
-	for range mostOwners {
-		to, ok := n.nextOwner(w, tried)
+	for range maxOwnersAsked {
+		owner, ok := n.nextOwner(w, tried)
 		if !ok {
 			break
 		}
-		tried[to.Name] = true
-		w.asked(to.Name)
-		spent := n.now() - w.began
-		ask.ObjectiveUs = (w.objective - spent).Microseconds()
-		ask.DeadlineUs = (w.deadline - spent).Microseconds()
+		tried[owner.Name] = true
+		w.onAsk(owner.Name)
+		elapsed := n.now() - w.arrivedAt
+		ask.ObjectiveUs = (w.objective - elapsed).Microseconds()
+		ask.DeadlineUs = (w.deadline - elapsed).Microseconds()
 		var job *stageJob
-		if job, err = n.askOwner(ctx, to, w); err == nil {
+		if job, err = n.askOwner(ctx, owner, w); err == nil {
 			job.region = w.region
 			return job, nil
 		}
 		var refused *refusedError
 		var failed *failedError
-		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errNarrowed) || errors.Is(err, errCondemned) || ctx.Err() != nil {
+		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errRegionDisallowed) || errors.Is(err, errCondemned) || ctx.Err() != nil {
 			return nil, err
 		}
-		event.NodeOwnerLost.Log(n.log, "owner", to.Name, "request", ask.RequestId, "error", err)
+		event.NodeOwnerLost.Log(n.log, "owner", owner.Name, "request", ask.RequestId, "error", err)
 		n.gossipMu.Lock()
-		n.members.MarkUnreachable(n.now(), to.Name)
+		n.members.MarkUnreachable(n.now(), owner.Name)
 		n.gossipMu.Unlock()
-		ask.Again = true // its pieces were admitted once
+		ask.Again = true // its items were admitted before
 	}
 	return nil, errors.Join(errOwnerLost, err)
 }
 
-// awaitView waits, right after the start, until it is heard who owns a cell:
-// those that choose by a view of some of the others make many owners at once.
-func (n *Node) awaitView(ctx context.Context, cell int, region string) {
-	for n.now() < meetFor && !n.clear(cell, region) && ctx.Err() == nil {
-		process.Pause(ctx, meetLook)
+// awaitOwnerView waits, right after the process's start, until the owner of a cell
+// is known: instances that decide by a partial view would elect many owners.
+func (n *Node) awaitOwnerView(ctx context.Context, cell int, region string) {
+	for n.now() < startupViewTimeout && !n.canDecideOwner(cell, region) && ctx.Err() == nil {
+		process.Pause(ctx, startupViewInterval)
 	}
 }
 
-// clear reports whether it is heard who owns a cell, or may.
-func (n *Node) clear(cell int, region string) bool {
+// canDecideOwner reports whether the view of the members suffices to decide who
+// owns a cell.
+func (n *Node) canDecideOwner(cell int, region string) bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
 	return ownership.CanDecide(n.members.Alive(now), cell, region, n.members.Settled(now))
 }
 
-// nextOwner returns the next instance in line that may own a cell. An owner
-// keeps what it is told of a request and its prompt, so it is in a region that
-// may; where none is, this instance, whom the client chose, owns the cell.
-func (n *Node) nextOwner(w *stageWork, tried map[string]bool) (gossip.Instance, bool) {
-	homes := w.homes()
+// nextOwner returns the next instance in rank order that may own a cell. An owner
+// stores data of a request and its prompt, so it must be in an allowed region. If
+// no instance is, this one owns the cell, as the client has chosen it.
+func (n *Node) nextOwner(w *stagesRequest, tried map[string]bool) (gossip.Instance, bool) {
+	allowed := w.allowedRegions()
 	for _, i := range ownership.Rank(n.alive(), int(w.ask.Cell), w.region) {
-		if !tried[i.Name] && homes.Allows(i.Region) {
+		if !tried[i.Name] && allowed.Allows(i.Region) {
 			return i, true
 		}
 	}
 	self := n.settings.Name
-	if homes.IsRestricted() && !tried[self] {
+	if allowed.IsRestricted() && !tried[self] {
 		return gossip.Instance{Name: self}, true
 	}
 	return gossip.Instance{}, false
 }
 
-// askOwner runs a job at one owner: this instance itself, or over a link.
-func (n *Node) askOwner(ctx context.Context, to gossip.Instance, w *stageWork) (*stageJob, error) {
-	if to.Name == n.settings.Name {
-		return n.askSelf(ctx, w)
+// askOwner runs a job at one owner: locally, or over a link.
+func (n *Node) askOwner(ctx context.Context, owner gossip.Instance, w *stagesRequest) (*stageJob, error) {
+	if owner.Name == n.settings.Name {
+		return n.askLocalOwner(ctx, w)
 	}
-	if to.Region != n.home {
+	if owner.Region != n.home {
 		n.counters.farBytes.stages.Inc(int64(proto.Size(w.ask)))
 	}
-	stream, err := n.links.Open(to.PeerAddress, frame.Stages, w.ask)
+	stream, err := n.links.Open(owner.PeerAddress, frame.Stages, w.ask)
 	if err != nil {
 		return nil, err
 	}
-	replies := make(chan *pb.StagesReply, mostReplies)
+	replies := make(chan *pb.StagesReply, maxOwnerReplies)
 	go func() {
 		defer close(replies)
-		for range mostReplies {
+		for range maxOwnerReplies {
 			r := &pb.StagesReply{}
 			if frame.Read(stream, r) != nil {
 				return
@@ -223,29 +224,29 @@
 		}
 	}()
 	end := sync.OnceFunc(func() { _ = stream.Close() })
-	job := &stageJob{end: end, news: func(m *pb.StagesNews) { _ = frame.Write(stream, frame.Stages, m) }}
-	return n.await(ctx, to, w, replies, job)
+	job := &stageJob{end: end, notifyOwner: func(m *pb.StagesNews) { _ = frame.Write(stream, frame.Stages, m) }}
+	return n.awaitResults(ctx, owner, w, replies, job)
 }
 
-func (n *Node) askSelf(ctx context.Context, w *stageWork) (*stageJob, error) {
-	news := make(chan *pb.StagesNews, 1)
-	replies := make(chan *pb.StagesReply, mostReplies)
-	job := &stageJob{end: sync.OnceFunc(func() { close(news) }), news: func(m *pb.StagesNews) { news <- m }}
-	ask := proto.CloneOf(w.ask) // the next owner is asked by another one while this one may still read it
-	go n.owner.cell(int(ask.Cell)).run(ask, news, func(r *pb.StagesReply) error {
+func (n *Node) askLocalOwner(ctx context.Context, w *stagesRequest) (*stageJob, error) {
+	updates := make(chan *pb.StagesNews, 1)
+	replies := make(chan *pb.StagesReply, maxOwnerReplies)
+	job := &stageJob{end: sync.OnceFunc(func() { close(updates) }), notifyOwner: func(m *pb.StagesNews) { updates <- m }}
+	ask := proto.CloneOf(w.ask) // the local owner may still read it while runStages changes it for the next owner
+	go n.owner.cell(int(ask.Cell)).run(ask, updates, func(r *pb.StagesReply) error {
 		replies <- r
 		return nil
 	})
-	return n.await(ctx, gossip.Instance{}, w, replies, job)
+	return n.awaitResults(ctx, gossip.Instance{}, w, replies, job)
 }
 
-// await waits for the verdict and the results of a job, while its owner is
-// heard of and the cell's region may serve the request.
-func (n *Node) await(ctx context.Context, owner gossip.Instance, w *stageWork, replies <-chan *pb.StagesReply, job *stageJob) (*stageJob, error) {
-	verdict := time.NewTimer(verdictFor)
-	defer verdict.Stop()
-	look := time.NewTicker(watchOwner)
-	defer look.Stop()
+// awaitResults waits for the admission and the results of a job, while its owner
+// is alive and the cell's region may serve the request.
+func (n *Node) awaitResults(ctx context.Context, owner gossip.Instance, w *stagesRequest, replies <-chan *pb.StagesReply, job *stageJob) (*stageJob, error) {
+	admission := time.NewTimer(admissionTimeout)
+	defer admission.Stop()
+	ownerCheck := time.NewTicker(ownerCheckInterval)
+	defer ownerCheck.Stop()
 	admitted := false
 	for {
 		select {
@@ -259,32 +260,32 @@
 				return nil, errOwnerLost
 			case r.Refused:
 				job.end()
-				return nil, &refusedError{after: time.Duration(r.RetryAfterUs) * time.Microsecond, expects: expectationOf(r)}
+				return nil, &refusedError{retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond, forecast: forecastOf(r)}
 			case r.Failed != "":
 				job.end()
 				if r.Failed == whyCondemned {
 					return nil, errCondemned
 				}
-				return nil, &failedError{why: r.Failed, after: time.Duration(r.RetryAfterUs) * time.Microsecond}
+				return nil, &failedError{reason: r.Failed, retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
 			case r.Admitted:
 				admitted = true
-				job.expects = expectationOf(r)
+				job.forecast = forecastOf(r)
 			default:
-				job.handles, job.engine, job.fetch, job.beside = r.Handles, n.lifeOf(r.Engine), r.Fetch, int(r.Beside)
-				job.paced = r.Paced
+				job.handles, job.engine, job.fetchFrom, job.concurrentSuspects = r.Handles, n.lifeOf(r.Engine), r.Fetch, int(r.Beside)
+				job.hasSendGrant = r.Paced
 				return job, nil
 			}
-		case <-verdict.C:
-			if !admitted && owner.Name != "" { // nobody comes after this instance itself
+		case <-admission.C:
+			if !admitted && owner.Name != "" { // the local owner has no successor
 				job.end()
 				return nil, errOwnerLost
 			}
-		case <-look.C:
-			if !w.homes().Allows(w.region) {
+		case <-ownerCheck.C:
+			if !w.allowedRegions().Allows(w.region) {
 				job.end()
-				return nil, errNarrowed
+				return nil, errRegionDisallowed
 			}
-			if owner.Name != "" && !n.heardOf(owner) {
+			if owner.Name != "" && !n.isInstanceAlive(owner) {
 				job.end()
 				return nil, errOwnerLost
 			}
@@ -292,8 +293,8 @@
 	}
 }
 
-// heardOf reports whether that life of an instance is still heard of.
-func (n *Node) heardOf(i gossip.Instance) bool {
+// isInstanceAlive reports whether that incarnation of an instance is alive.
+func (n *Node) isInstanceAlive(i gossip.Instance) bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	return n.members.IsAlive(n.now(), i.Name, i.Incarnation)
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -178,8 +178,8 @@
 func (n *Node) regionStates(w *world, alive []gossip.Instance) map[string]RegionState {
 	out := make(map[string]RegionState)
 	for _, region := range w.places.Names() {
-		r := RegionState{Cells: w.cells(region), Trip: n.trip(region).String()}
-		r.Replicas = w.parts.takes[region]
+		r := RegionState{Cells: w.cellCount(region), Trip: n.roundTripTo(region).String()}
+		r.Replicas = w.parts.available[region]
 		for _, i := range alive {
 			if i.Region == region {
 				r.Instances++
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -244,10 +244,10 @@
 	_, rests := s.book.BackoffUntil(n.now(), life)
 	s.mu.Unlock()
 	if rests { // for longer than its results last, or anew
-		n.logAside("free results", life, errStated)
+		n.logSideCallFailure("free results", life, errStated)
 		return
 	}
-	n.sendFree(*f)
+	n.sendFreeResults(*f)
 }
 
 var errStated = errors.New("the replica rests or leaves, as it says")
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -8,89 +8,89 @@
 	"time"
 )
 
-// streamState is what the client has of a stream, over all attempts.
+// streamState is what the client has received of a stream, over all attempts.
 type streamState struct {
-	headSent  bool
-	lastEvent string // id of the last whole event
+	headersSent bool
+	lastEventID string // ID of the last complete event that has one
 }
 
-// passStream passes events on as they come, each whole.
-func (a *attempt) passStream(watch *time.Timer) error {
+// forwardStream forwards events as they arrive, each one complete.
+func (a *attempt) forwardStream(timer *time.Timer) error {
 	control := http.NewResponseController(a.w)
-	events := newEventReader(a.x)
-	last := time.Duration(0) // 0: no event yet
+	events := newEventReader(a.exchange)
+	lastEventAt := time.Duration(0) // 0: no event yet
 	for {
 		e, err := events.next()
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			return a.broken(errCutOff)
+			return a.abortReasonOr(errStreamBroken)
 		}
-		if a.mayMoveOn() {
-			watch.Reset(max(gapTimes*a.route.GapObjective, leastGap))
+		if a.canResumeElsewhere() {
+			timer.Reset(max(eventGapFactor*a.route.GapObjective, minEventGapTimeout))
 		} else {
-			watch.Stop()
+			timer.Stop()
 		}
-		first := last == 0
-		if !first {
-			a.gap = max(a.gap, a.node.now()-last)
+		isFirst := lastEventAt == 0
+		if !isFirst {
+			a.maxEventGap = max(a.maxEventGap, a.node.now()-lastEventAt)
 		}
-		last = a.node.now()
-		if first {
-			a.began = last
+		lastEventAt = a.node.now()
+		if isFirst {
+			a.answerBegan = lastEventAt
 		}
-		if !a.stream.headSent {
-			a.stream.headSent = true
-			a.first = a.since()
-			a.copyHead()
-			a.node.counters.status(a.x.Header.StatusCode()).Inc(1)
-			a.w.WriteHeader(a.x.Header.StatusCode())
+		if !a.stream.headersSent {
+			a.stream.headersSent = true
+			a.timeToFirstEvent = a.elapsed()
+			a.copyHeaders()
+			a.node.counters.status(a.exchange.Header.StatusCode()).Inc(1)
+			a.w.WriteHeader(a.exchange.Header.StatusCode())
 		}
-		if first && a.job != nil {
-			a.job.first()
+		if isFirst && a.job != nil {
+			a.job.reportFirstEvent()
 		}
 		if e.id != "" {
-			a.stream.lastEvent = e.id
+			a.stream.lastEventID = e.id
 		}
-		_ = control.SetWriteDeadline(time.Now().Add(clientWrite))
-		a.countAnswer(len(e.bytes))
+		_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+		a.countRemoteBytes(len(e.bytes))
 		if _, err := a.w.Write(e.bytes); err != nil {
-			return errLeft
+			return errClientGone
 		}
 		if err := control.Flush(); err != nil {
-			return errLeft
+			return errClientGone
 		}
 	}
-	watch.Stop()
+	timer.Stop()
 	_ = control.SetWriteDeadline(time.Time{})
-	if !a.stream.headSent { // a stream without events
-		a.stream.headSent = true
-		a.copyHead()
-		a.w.WriteHeader(a.x.Header.StatusCode())
+	if !a.stream.headersSent { // a stream without events
+		a.stream.headersSent = true
+		a.copyHeaders()
+		a.w.WriteHeader(a.exchange.Header.StatusCode())
 	}
 	return nil
 }
 
-func (a *attempt) mayMoveOn() bool {
+func (a *attempt) canResumeElsewhere() bool {
 	return a.route.Resumable && len(a.tried) < a.route.MaxAttempts
 }
 
-// streamEvent is one event of a stream with the blank line that ends it.
+// streamEvent is one event of a stream, including the blank line that ends it.
 type streamEvent struct {
 	bytes []byte
 	id    string
 }
 
-// eventReader cuts a stream into whole events.
+// eventReader splits a stream into complete events.
 type eventReader struct{ r *bufio.Reader }
 
 func newEventReader(r io.Reader) *eventReader { return &eventReader{r: bufio.NewReader(r)} }
 
 var idField = []byte("id:")
 
-// next returns the next whole event; io.EOF after the last one of a whole
-// stream, another error when the stream broke off.
+// next returns the next complete event, io.EOF after the last one of a complete
+// stream, and another error if the stream broke off.
 func (e *eventReader) next() (streamEvent, error) {
 	var ev streamEvent
 	for {
@@ -98,7 +98,7 @@
 		ev.bytes = append(ev.bytes, line...)
 		if err != nil {
 			if err == io.EOF && len(ev.bytes) > 0 {
-				return ev, errCutOff // an event without its end
+				return ev, errStreamBroken // incomplete event
 			}
 			return ev, err
 		}
--- a/cmd/node/stream_test.go
+++ b/cmd/node/stream_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Events are passed on byte for byte, whole, and nothing after a break looks whole.
+// Events are forwarded byte for byte and complete, and a stream that breaks off is
+// not taken for a complete one.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2\nda"))
@@ -18,7 +19,7 @@
 			if err != nil {
 				rest := data[len(passed):]
 				if err == io.EOF && len(rest) > 0 {
-					t.Errorf("%q ends as whole before %q", data, rest)
+					t.Errorf("%q ends as complete before %q", data, rest)
 				}
 				break
 			}
@@ -28,7 +29,7 @@
 			}
 		}
 		if !bytes.HasPrefix(data, passed) {
-			t.Errorf("%q is passed on as %q", data, passed)
+			t.Errorf("%q is forwarded as %q", data, passed)
 		}
 	})
 }
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -23,7 +23,7 @@
 	lifeByName map[string]string            // of replicas that say when they were born
 	moves      map[string]*move             // by service: roll-outs
 	parting    sync.Once
-	parts      parts // of pools and engines; made when they are asked for
+	parts      cellPartition // of pools and engines; made when they are asked for
 	places     *regions.Map
 }
 
@@ -132,7 +132,7 @@
 	cold := n.replicas.newlyCold(now, w.all)
 	n.world.Store(w)
 	return func() {
-		n.logUnplaced(w.all)
+		n.logHallsWithoutRegion(w.all)
 		for _, r := range changed.gone {
 			n.gone(r.ID)
 		}
@@ -162,7 +162,7 @@
 		}
 		r.Region = n.places.RegionOf(r.Hall)
 		r.HallDrained = n.emptied.IsDrained(r.Hall)
-		r.WarmingUntil = n.coldUntil(w.config, &row)
+		r.WarmingUntil = n.warmingUntil(w.config, &row)
 		w.all = append(w.all, r)
 		if r.StartMillis != 0 {
 			w.lifeByName[r.Name] = r.ID
