--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -63,7 +63,7 @@
 		return errUnreached
 	}
 	defer n.rollouts.enter(&r, !s.movable())() // before it is asked whether the replica may get it
-	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
+	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errUnreached
 	}
@@ -163,7 +163,7 @@
 	}
 	n.judgeMu.Unlock()
 	if a.head.Stranger || a.closesAtRefusal() {
-		n.sawLeaving(a.replica.ID, "answer")
+		n.recordDrainSign(a.replica.ID, "answer")
 	}
 	if way == ending.Refused || way == ending.MissingInputs {
 		a.record.NotRun(a.token)
@@ -177,13 +177,13 @@
 	case ending.RequestCleared:
 		n.answeredWhole(a.fingerprint)
 	case ending.RequestBlamed:
-		n.endedUnfinished(a.replica.ID, a.sent, a.fingerprint)
+		n.recordAbandonedRequest(a.replica.ID, a.sent, a.fingerprint)
 	case ending.RequestProbe:
-		a.look = n.brokeOff(&a.replica, a.sent, a.fingerprint)
+		a.look = n.recordBrokenAnswers(&a.replica, a.sent, a.fingerprint)
 	}
 	a.tellRollout(way, suspended, took)
 	if says.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
-		n.awaitLook(ctx, a.look) // else there is nothing to wait for: it has its end at once
+		n.awaitLivenessProbe(ctx, a.look) // else there is nothing to wait for: it has its end at once
 	}
 }
 
@@ -347,7 +347,7 @@
 }
 
 func (a *attempt) hasOthers() bool {
-	for _, r := range permitted(a.homes(), a.node.world.Load().services[a.service.Name]) {
+	for _, r := range permitted(a.homes(), a.node.world.Load().eligibleByService[a.service.Name]) {
 		if !a.tried[r.ID] && !a.avoid[r.ID] {
 			return true
 		}
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -30,7 +30,7 @@
 			Service: fmt.Sprint("s", i%17), Address: fmt.Sprintf("10.1.64.%d:8080", i%250), Hall: fmt.Sprint("hall-", i%9), Version: "v1", Slots: 8,
 		})
 	}
-	n.replicas.log.Replace(rows, 100)
+	n.replicas.changeLog.Replace(rows, 100)
 	n.publish()
 	return n
 }
@@ -39,7 +39,7 @@
 func heartbeatOf(m gossip.Message) *pb.Heartbeat {
 	h := &pb.Heartbeat{}
 	for _, i := range m.Entries {
-		h.News = append(h.News, newsOf(i))
+		h.News = append(h.News, encodeInstance(i))
 	}
 	for _, beat := range m.Heartbeats {
 		h.Keys = append(h.Keys, beat.Key)
@@ -78,7 +78,7 @@
 			for b.Loop() {
 				at++
 				value := replicaEntry(b, &catalog.Replica{Service: "s1", Address: "10.1.64.1:8080", Hall: "hall-1", Version: "v1", Slots: int(at%7 + 1)})
-				n.replicas.log.ApplyUpdate(changes.Update{Revision: at, LastChange: at, Entries: []changes.Entry{{ID: "i-00000001", Value: value, Revision: at}}})
+				n.replicas.changeLog.ApplyUpdate(changes.Update{Revision: at, LastChange: at, Entries: []changes.Entry{{ID: "i-00000001", Value: value, Revision: at}}})
 				n.publish()
 			}
 		})
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -23,8 +23,8 @@
 
 // besideNode returns a node that knows one replica, in its second life.
 func besideNode(t *testing.T) *Node {
-	n := knowing(t, 0)
-	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
+	n := newNodeWithReplicas(t, 0)
+	n.replicas.changeLog.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 7,
 	})}, 101)
 	n.publish()
@@ -35,12 +35,12 @@
 func TestANameIsTakenForTheListedLife(t *testing.T) {
 	is := is.New(t)
 	n := besideNode(t)
-	is.Equal(len(n.world.Load().services["llm"]), 1)
+	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
 	sender := &pb.InstanceNews{Name: "old", Incarnation: 1, Count: 1}
-	n.takeHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Sick: []*pb.SickReplica{{Id: "e1", LeftMs: 900}}})
-	is.True(n.pausedReplicas()["e1@7"])
-	n.takeHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1"}})
-	is.Equal(len(n.world.Load().services["llm"]), 0)
+	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Sick: []*pb.SickReplica{{Id: "e1", LeftMs: 900}}})
+	is.True(n.ejectedReplicas()["e1@7"])
+	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1"}})
+	is.Equal(len(n.world.Load().eligibleByService["llm"]), 0)
 }
 
 // One of this build tells names for others, beside lives. The life that is listed
@@ -48,11 +48,11 @@
 func TestANameToldForOthersIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	n := besideNode(t)
-	sender := &pb.InstanceNews{Name: "new", Incarnation: 1, Count: 1, Level: thisLevel}
-	n.takeHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1@6", "e1"}, LeavingStated: 1,
+	sender := &pb.InstanceNews{Name: "new", Incarnation: 1, Count: 1, Level: buildLevel}
+	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1@6", "e1"}, LeavingStated: 1,
 		Sick: []*pb.SickReplica{{Id: "e1@6", LeftMs: 900}, {Id: "e1", LeftMs: 900}}})
-	is.Equal(len(n.world.Load().services["llm"]), 1)
-	is.Equal(len(n.pausedReplicas()), 0)
+	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
+	is.Equal(len(n.ejectedReplicas()), 0)
 }
 
 // What a replica states holds for as long as its life is listed, however long it
@@ -63,20 +63,20 @@
 	m := &ages{}
 	n.clock = clock.From(m)
 	n.takeLeaving("e1@7", "its own")
-	n.sawLeaving("e2", "peer")
+	n.recordDrainSign("e2", "peer")
 	for range 100 {
 		m.day += time.Minute
-		n.leavingNews()
+		n.drainUpdates()
 		n.sweepStatements()
 		is.True(!n.replicaTakes("e1@7"))
 	}
 	is.True(n.replicaTakes("e2"))
-	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
+	n.replicas.changeLog.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 8,
 	})}, 102)
 	n.publish()
 	is.True(n.replicaTakes("e1@8"))
-	is.Equal(len(n.world.Load().services["llm"]), 1)
+	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
 }
 
 // ages is a source of a clock that a test moves.
@@ -90,16 +90,16 @@
 func TestAsksAndAnswersNameReplicasInBothWays(t *testing.T) {
 	is := is.New(t)
 	n := besideNode(t)
-	is.Equal(n.lifeOf("e1"), "e1@7")
-	is.Equal(n.lifeOf("e1@7"), "e1@7")
-	is.Equal(n.lifeOf("e1@6"), "e1@6") // another life
-	is.Equal(n.lifeOf("e9"), "e9")     // not listed
-	old := requestOf(&pb.StagesAsk{Avoid: []string{"e1"}}, n.lifeOf)
+	is.Equal(n.incarnationOf("e1"), "e1@7")
+	is.Equal(n.incarnationOf("e1@7"), "e1@7")
+	is.Equal(n.incarnationOf("e1@6"), "e1@6") // another life
+	is.Equal(n.incarnationOf("e9"), "e9")     // not listed
+	old := requestOf(&pb.StagesAsk{Avoid: []string{"e1"}}, n.incarnationOf)
 	is.True(old.Avoid["e1@7"])
-	is.Equal(n.spoken("e1@7", &pb.StagesAsk{}), "e1")                         // of before lives
-	is.Equal(n.spoken("e1@7", &pb.StagesAsk{Fingerprint: 5}), "e1@7")         // of cd1a42e's build or later
-	is.Equal(n.spoken("gone@3", &pb.StagesAsk{}), "gone@3")                   // not listed any more
-	is.Equal(n.spokenAll([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while not all know lives
+	is.Equal(n.replicaIDFor("e1@7", &pb.StagesAsk{}), "e1")                             // of before lives
+	is.Equal(n.replicaIDFor("e1@7", &pb.StagesAsk{Fingerprint: 5}), "e1@7")             // of cd1a42e's build or later
+	is.Equal(n.replicaIDFor("gone@3", &pb.StagesAsk{}), "gone@3")                       // not listed any more
+	is.Equal(n.announcedReplicaIDs([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while not all know lives
 }
 
 // While an instance is alive that tells no level, what it can't read is told twice;
@@ -108,12 +108,12 @@
 	is := is.New(t)
 	n := besideNode(t)
 	n.takeLeaving("e1@7", "its own")
-	leaving, said := n.leavingNews()
+	leaving, said := n.drainUpdates()
 	is.Equal(leaving, []string{"e1@7", "e1"})
 	is.Equal(said, 1)
-	n.level.heard(0, []uint32{thisLevel})
-	n.level.heard(time.Hour, []uint32{thisLevel})
-	leaving, _ = n.leavingNews()
+	n.level.observe(0, []uint32{buildLevel})
+	n.level.observe(time.Hour, []uint32{buildLevel})
+	leaving, _ = n.drainUpdates()
 	is.Equal(leaving, []string{"e1@7"})
 }
 
@@ -145,7 +145,7 @@
 	is := is.New(t)
 	n := besideNode(t)
 	at := fmt.Sprintf("127.0.0.1:%d", freePort(t))
-	server, err := link.Listen(at, n.serveLink, &n.traffic)
+	server, err := link.Listen(at, n.servePeer, &n.traffic)
 	is.NoErr(err)
 	defer server.Stop()
 	err = n.links.Call(at, frame.Kind(200), &pb.TrialAsk{}, &pb.TrialReply{}, time.Second)
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -128,7 +128,7 @@
 		event.NodeCallLost.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
 	}
 	if fate == pipeline.WrongReplica {
-		n.sawLeaving(a.Replica, "stranger")
+		n.recordDrainSign(a.Replica, "stranger")
 	}
 	c.do(func(now time.Duration) []pipeline.Action {
 		if until, rests := n.statements.restsTo(now, a.Replica); rests {
@@ -143,8 +143,8 @@
 func (c *cell) whyBroken(ctx context.Context, a pipeline.Call, sent time.Duration) pipeline.Outcome {
 	n := c.owner.node
 	asked := c.fingerprintsOf(a)
-	look := n.brokeOff(&catalog.Replica{ID: a.Replica, Service: a.Service, Address: a.Address}, sent, slices.Collect(maps.Values(asked))...)
-	if !n.awaitLook(ctx, look) {
+	look := n.recordBrokenAnswers(&catalog.Replica{ID: a.Replica, Service: a.Service, Address: a.Address}, sent, slices.Collect(maps.Values(asked))...)
+	if !n.awaitLivenessProbe(ctx, look) {
 		return pipeline.Broken
 	}
 	for request, f := range asked {
@@ -218,7 +218,7 @@
 	c.ready.Do(func() {
 		c.refresh()
 		n := c.owner.node
-		c.knowSpeeds(n.knownSpeeds())
+		c.seedSpeeds(n.combinedSpeeds())
 		w := n.world.Load()
 		if w.config == nil {
 			return
--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -24,7 +24,7 @@
 // coldUntil returns until when a replica is to be taken for cold: by its own
 // word, or because its hall was taken back a moment ago. It may have turned cold
 // just before, and says so up to a heartbeat later. It needs followMu.
-func (n *Node) coldUntil(c *catalog.Configuration, row *replicaRow) time.Duration {
+func (n *Node) coldUntil(c *catalog.Configuration, row *replicaRecord) time.Duration {
 	if c == nil {
 		return 0
 	}
@@ -32,7 +32,7 @@
 	if s == nil || s.WarmUp == nil {
 		return 0
 	}
-	until := row.coldUntil
+	until := row.warmingUntil
 	if at, ok := n.emptied.ReturnedAt(row.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.Duration)
 	}
@@ -68,7 +68,7 @@
 		return true
 	}
 	now := n.now()
-	for _, r := range n.world.Load().services[s.Name] {
+	for _, r := range n.world.Load().eligibleByService[s.Name] {
 		if r.ID == id {
 			return r.WarmingUntil <= now || n.allowsCold(now, s, id, n.taking(), true)
 		}
@@ -79,7 +79,7 @@
 // taking returns the names of the instances that take requests.
 func (n *Node) taking() []string {
 	var out []string
-	for _, i := range n.alive() {
+	for _, i := range n.liveInstances() {
 		if !i.Leaving {
 			out = append(out, i.Name)
 		}
--- a/cmd/node/config_test.go
+++ b/cmd/node/config_test.go
@@ -26,8 +26,8 @@
 				if broken[i] {
 					text = text[:len(text)/2]
 				}
-				n.offer([]byte(text), from)
-				now := n.version()
+				n.offerConfiguration([]byte(text), from)
+				now := n.configVersion()
 				if now < last || !broken[i] && now < uint64(versions[i]) {
 					t.Errorf("%s offers %d, in force %d then %d", from, versions[i], last, now)
 				}
@@ -47,8 +47,8 @@
 func TestAnOlderConfigurationIsNotTaken(t *testing.T) {
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
-	n.offer([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
-	n.offer([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
-	is.Equal(n.version(), uint64(7))
+	n.offerConfiguration([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
+	n.offerConfiguration([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
+	is.Equal(n.configVersion(), uint64(7))
 	is.Equal(n.members.Self().ConfigVersion, uint64(7))
 }
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -14,9 +14,9 @@
 	"quinceroad/platform"
 )
 
-// addressesFor is the life of an answer for addresses: some clients keep it
-// three times as long, and a stopping instance must outlast that.
-const addressesFor = 1500 * time.Millisecond
+// maxAddressTTL is the lifetime of a resolved list of addresses. Some clients keep it
+// three times as long, and a stopping instance must go on serving for that time.
+const maxAddressTTL = 1500 * time.Millisecond
 
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.PathResolve {
@@ -24,20 +24,20 @@
 		return
 	}
 	question := platform.ParseQuestion(r.URL.Query())
-	c := client{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerOf(r)}
+	c := addressClient{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerHost(r)}
 	if config := n.world.Load().config; config != nil {
-		c.homes = regions.Intersect(config.AllowedRegions(question.Host))
+		c.allowedRegions = regions.Intersect(config.AllowedRegions(question.Host))
 	}
 	answer := platform.Addresses{
-		Addresses: addresses(n.alive(), c),
-		Life:      min(addressesFor, n.settings.AddressesFor).Seconds(),
+		Addresses: selectAddresses(n.liveInstances(), c),
+		Life:      min(maxAddressTTL, n.settings.AddressesFor).Seconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// callerOf names who asks, always the same way.
-func callerOf(r *http.Request) string {
+// callerHost returns the host of the caller, which identifies it across requests.
+func callerHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -45,31 +45,32 @@
 	return host
 }
 
-// client is who asks for addresses.
-type client struct {
-	hall   string
-	region string // "" where nobody can place it
-	name   string
-	homes  regions.Allowed // that may serve some of what it asks for
+// addressClient is a client that resolves addresses.
+type addressClient struct {
+	hall           string
+	region         string // "" if its hall has no known region
+	name           string
+	allowedRegions regions.Allowed // regions that may serve some of its requests
 }
 
-// addresses returns where a client may go: instances that are heard of and do
-// not leave, those of its hall first. An answer holds so many at most; which
-// ones of a larger fleet differs from caller to caller, so that all get their
-// part, and stays the same for one, which gives up its connections to others.
+// selectAddresses returns the instances that a client may use: live instances that are
+// not leaving, those of its hall first. An answer has a maximum length. Which instances
+// of a larger fleet it holds differs between callers, so that all instances get their
+// share. It stays the same for one caller, because callers close their connections to
+// instances that their answer does not hold.
 //
-// Clients choose among the answer's addresses by chance, so those of other
-// regions are left out while the client's own has enough instances: each request
-// that goes to another crosses twice, and its body with it.
-func addresses(alive []gossip.Instance, c client) []string {
-	var lists [3][]gossip.Instance // of the hall, of the region, of others
-	taking, places := 0, make(map[string]bool)
+// Clients choose randomly among the addresses of an answer. Instances of other regions
+// are therefore left out while the client's own region has enough: a request that goes
+// to another region crosses between them twice, with its body.
+func selectAddresses(alive []gossip.Instance, c addressClient) []string {
+	var lists [3][]gossip.Instance // of the hall, of the region, of other regions
+	available, instanceRegions := 0, make(map[string]bool)
 	for _, i := range alive {
 		if i.Leaving {
 			continue
 		}
-		taking++
-		places[i.Region] = true
+		available++
+		instanceRegions[i.Region] = true
 		switch {
 		case i.Hall == c.hall:
 			lists[0] = append(lists[0], i)
@@ -79,8 +80,8 @@
 			lists[2] = append(lists[2], i)
 		}
 	}
-	lists[2] = homesFirst(lists[2], c.homes)
-	if home := len(lists[0]) + len(lists[1]); c.region != "" && home >= leastHome && home*len(places)*shortShare >= taking {
+	lists[2] = allowedInstances(lists[2], c.allowedRegions)
+	if local := len(lists[0]) + len(lists[1]); c.region != "" && local >= minLocalInstances && local*len(instanceRegions)*maxRegionShortfall >= available {
 		lists[2] = nil
 	}
 	var out []string
@@ -98,24 +99,25 @@
 	return out
 }
 
-// homesFirst returns the instances of regions that may serve, or all where none may.
-func homesFirst(far []gossip.Instance, homes regions.Allowed) []gossip.Instance {
+// allowedInstances returns the instances of regions that may serve the client, or all
+// instances if there are none.
+func allowedInstances(remote []gossip.Instance, allowed regions.Allowed) []gossip.Instance {
 	var out []gossip.Instance
-	for _, i := range far {
-		if homes.Allows(i.Region) {
+	for _, i := range remote {
+		if allowed.Allows(i.Region) {
 			out = append(out, i)
 		}
 	}
 	if len(out) == 0 {
-		return far
+		return remote
 	}
 	return out
 }
 
-// A region's clients are told its own instances alone while there are at least
-// so many, and at least this part of what regions have on average: with fewer,
-// these would take on thrice their usual load. Both chosen.
+// A region's clients get only the addresses of its own instances while it has at least
+// minLocalInstances of them and at least 1/maxRegionShortfall of the regions' average:
+// with fewer, these would get three times their usual load.
 const (
-	leastHome  = 3
-	shortShare = 3
+	minLocalInstances  = 3
+	maxRegionShortfall = 3
 )
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -27,9 +27,9 @@
 		}
 		event.NodeHallReturned.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
 	}
-	n.tell()
+	n.sendHeartbeats()
 	if from == fromStore {
-		n.tellHall()
+		n.announceToHall()
 	}
 }
 
@@ -61,9 +61,9 @@
 func (n *Node) replicaTakes(id string) bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	if _, leaving := n.replicas.signs[id]; leaving || n.statements.hasLeft(id) {
+	if _, leaving := n.replicas.drainSigns[id]; leaving || n.statements.hasLeft(id) {
 		return false
 	}
-	row, known := n.replicas.lives[id]
+	row, known := n.replicas.byIncarnation[id]
 	return !known || row.replica.AcceptsWork() && !n.emptied.IsDrained(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
 }
--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -13,221 +13,224 @@
 )
 
 const (
-	gather     = 250 * time.Millisecond // after a change of the replicas, for others that come with it
-	retryFirst = 100 * time.Millisecond // after a failed call, doubled each time
-	retryMost  = 1 * time.Second        // an outage's end is seen within the 2 s in which a configuration must be in force
-	emptyWait  = 250 * time.Millisecond // before a topic that nobody has written is read again
-	roleLook   = 100 * time.Millisecond // between looks whether this instance is to read
-	askEach    = 300 * time.Millisecond // between reads of a topic of which nothing is known: 75 times a usual answer
-	mostAsks   = 5                      // of these under way, of one topic; the first ends with its time-out then
+	replicaChangeDelay  = 250 * time.Millisecond // after a change of the replicas, so that changes that follow shortly are applied together
+	minStoreRetryDelay  = 100 * time.Millisecond // after a failed call; doubles with each failure
+	maxStoreRetryDelay  = 1 * time.Second        // the end of an outage is noticed within the 2 s in which a configuration must be in force
+	unwrittenTopicDelay = 250 * time.Millisecond // before a topic that was never written is read again
+	readerCheckInterval = 100 * time.Millisecond // between checks whether this instance is to be a reader
+	firstReadInterval   = 300 * time.Millisecond // between reads of a topic that is not loaded yet: 75 times the usual answer time
+	maxFirstReads       = 5                      // concurrent reads of one topic; by then the first one has timed out
 )
 
-// Bounds of one wait for changes, and what is left of a deployment's time for
-// the news when it has ended.
+// Bounds of one wait for changes, and the part of a deployment's time limit that remains
+// for the changes when the wait has ended.
 const (
-	leastWatch = 1 * time.Second // chosen: two calls a second of a reader at most, with the grace
-	mostWatch  = 8 * time.Second // as before bounds were read from the settings
-	newsFor    = 1 * time.Second // for the next call, its pause before, and what peers need to hear of it: 0.6 s in plays
+	minWatchTime          = 1 * time.Second // limits a reader to two calls a second, including the grace
+	maxWatchTime          = 8 * time.Second // upper bound whatever the settings allow
+	changePropagationTime = 1 * time.Second // covers the next call, the pause before it and the propagation to peers: 0.6 s in simulations
 )
 
-// watchFor returns how long a wait for changes may last. A connection may fall
-// silent for good while the store answers on others, and nothing tells it from
-// one on which there is no news. So a wait ends early enough for what it has
-// missed to be in force when the deployment wants it.
-func watchFor(s *platform.Settings) time.Duration {
-	wanted := s.ContactFor + min(s.ApplyFor, s.DrainFor, s.EmptyFor)
-	return min(max(wanted-platform.WatchGrace-newsFor, leastWatch), mostWatch)
+// watchTimeFor returns how long a wait for changes may last. A connection may hang for
+// good while the store answers on others, which looks the same as a connection without
+// changes. A wait therefore ends early enough for the changes that it missed to be in
+// force within the deployment's time limits.
+func watchTimeFor(s *platform.Settings) time.Duration {
+	allowed := s.ContactFor + min(s.ApplyFor, s.DrainFor, s.EmptyFor)
+	return min(max(allowed-platform.WatchGrace-changePropagationTime, minWatchTime), maxWatchTime)
 }
 
-// notLost is when a topic was lost that is not.
-const notLost = time.Duration(-1)
-
-// errMissed says that a call was given up: the store has been silent since it began.
-var errMissed = errors.New("the store missed the call")
-
-// follow keeps a topic of the store: it reads it whole once, and then waits for
-// its changes while this instance is one of those that read for others.
-type follow struct {
-	node    *Node
-	back    func() <-chan struct{} // closed when the store answers again after a silence
-	name    string
-	known   func() bool                                       // the topic was read, or learnt from a peer
-	resumes bool                                              // what a peer told goes on with its changes
-	read    func() (take func(), err error)                   // reads the whole topic; take takes it in
-	changes func(wait time.Duration) (take func(), err error) // asks for changes, and waits so long for the first
+// noOutage is the start of an outage when there is none.
+const noOutage = time.Duration(-1)
+
+// errCallAbandoned means that a call was abandoned because the store was unresponsive
+// after the call began, and will not answer it.
+var errCallAbandoned = errors.New("the store was unresponsive and will not answer the call")
+
+// topicFollower follows a topic of the store: it reads the whole topic once, and then
+// watches for changes while this instance is a reader.
+type topicFollower struct {
+	node              *Node
+	storeRecovery     func() <-chan struct{} // closed when the store answers again after it was unresponsive
+	name              string
+	isKnown           func() bool                                        // reports whether the topic was read, or received from a peer
+	continuesFromPeer bool                                               // a topic received from a peer needs no full read before its changes
+	read              func() (apply func(), err error)                   // reads the whole topic; apply applies the result
+	watch             func(wait time.Duration) (apply func(), err error) // asks for changes, and waits up to this long for the first one
 }
 
-func (f *follow) run(ctx context.Context) {
+func (f *topicFollower) run(ctx context.Context) {
 	n := f.node
-	wait := retryFirst
-	lost := notLost
-	whole := !f.resumes // the next call reads the whole topic
-	heard := false      // the store has answered this reader, and has not failed it since
+	retryDelay := minStoreRetryDelay
+	outageStart := noOutage
+	readWhole := !f.continuesFromPeer // the next call reads the whole topic
+	answered := false                 // the last call of this reader was answered
 	for ctx.Err() == nil {
 		switch {
-		case f.known() && !n.reads.Load():
-			heard = false
-			process.Pause(ctx, roleLook)
+		case f.isKnown() && !n.reads.Load():
+			answered = false
+			process.Pause(ctx, readerCheckInterval)
 			continue
-		case !f.known() && n.leavesFirstRead():
+		case !f.isKnown() && n.defersFirstRead():
 			process.Pause(ctx, meetLook)
 			continue
 		}
-		began := n.now()
-		err := f.step(whole, heard)
-		waited := n.now() - began
-		heard = err == nil
+		startedAt := n.now()
+		err := f.nextCall(readWhole, answered)
+		waited := n.now() - startedAt
+		answered = err == nil
 		switch {
 		case err == nil:
-			whole = false
-			wait = retryFirst
-			if lost != notLost {
-				event.NodeStoreBack.Log(n.log, "topic", f.name, "after", n.now()-lost)
-				lost = notLost
-				n.sees(true)
+			readWhole = false
+			retryDelay = minStoreRetryDelay
+			if outageStart != noOutage {
+				event.NodeStoreBack.Log(n.log, "topic", f.name, "after", n.now()-outageStart)
+				outageStart = noOutage
+				n.setStoreReachable(true)
 			}
 			continue
-		case errors.Is(err, errMissed):
+		case errors.Is(err, errCallAbandoned):
 			n.counters.givenUp.Inc(1)
 			event.NodeStoreGivenUp.Log(n.log, "topic", f.name, "waited", waited)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
-			whole = true
+			readWhole = true
 			continue
-		case errors.Is(err, platform.ErrNoKey): // nothing was ever written
-			process.Pause(ctx, emptyWait)
+		case errors.Is(err, platform.ErrNoKey): // the topic was never written
+			process.Pause(ctx, unwrittenTopicDelay)
 			continue
 		}
-		if lost == notLost {
-			lost = n.now()
+		if outageStart == noOutage {
+			outageStart = n.now()
 			event.NodeStoreLost.Log(n.log, "topic", f.name, "waited", waited, "error", err)
 			n.storeFailed.Store(true)
-			n.sees(false)
+			n.setStoreReachable(false)
 		}
-		process.Pause(ctx, wait)
-		wait = min(2*wait, retryMost)
+		process.Pause(ctx, retryDelay)
+		retryDelay = min(2*retryDelay, maxStoreRetryDelay)
 	}
 }
 
-// step makes the topic's next call. It waits for changes only at a store that
-// has just answered: one that is silent never answers what it is asked
-// meanwhile, and who has only begun to read can't know.
-func (f *follow) step(whole, heard bool) error {
+// nextCall makes the next call for the topic. It waits for changes only if the store has
+// answered the previous call: an unresponsive store never answers the calls that it
+// missed, and an instance that has just become a reader does not know the store's state.
+func (f *topicFollower) nextCall(readWhole, answered bool) error {
 	switch {
-	case !f.known():
-		return f.learn()
-	case whole:
-		return f.await(f.read)
-	case heard:
-		return f.await(func() (func(), error) { return f.changes(watchFor(f.node.settings)) })
+	case !f.isKnown():
+		return f.firstRead()
+	case readWhole:
+		return f.applyCall(f.read)
+	case answered:
+		return f.applyCall(func() (func(), error) { return f.watch(watchTimeFor(f.node.settings)) })
 	}
-	return f.await(func() (func(), error) { return f.changes(0) })
+	return f.applyCall(func() (func(), error) { return f.watch(0) })
 }
 
-// answer is what became of a call to the store; take takes its news in.
-type answer struct {
-	take func()
-	err  error
+// storeResult is the result of a call to the store; apply applies the data.
+type storeResult struct {
+	apply func()
+	err   error
 }
 
-func ask(call func() (func(), error), to chan<- answer) {
-	take, err := call()
-	to <- answer{take, err}
+func deliverResult(call func() (func(), error), results chan<- storeResult) {
+	apply, err := call()
+	results <- storeResult{apply, err}
 }
 
-// await makes a call and takes its news in, unless the store was silent
-// meanwhile and answers again: it won't answer what it missed.
-func (f *follow) await(call func() (func(), error)) error {
-	back := f.back()
-	answers := make(chan answer, 1)
-	go ask(call, answers)
+// applyCall makes a call and applies its result. It abandons the call if the store was
+// unresponsive meanwhile and answers again, because the store does not answer calls that
+// it missed.
+func (f *topicFollower) applyCall(call func() (func(), error)) error {
+	recovered := f.storeRecovery()
+	results := make(chan storeResult, 1)
+	go deliverResult(call, results)
 	select {
-	case a := <-answers:
-		if a.err == nil {
-			a.take()
+	case r := <-results:
+		if r.err == nil {
+			r.apply()
 		}
-		return a.err
-	case <-back:
-		return errMissed
+		return r.err
+	case <-recovered:
+		return errCallAbandoned
 	}
 }
 
-// learn reads a topic of which nothing is known. It asks again while earlier
-// calls wait: a store that was away never answers those that it missed, and
-// nothing can be served until it has.
-func (f *follow) learn() error {
-	answers := make(chan answer, mostAsks)
-	again := time.NewTicker(askEach)
-	defer again.Stop()
-	asked, ended := 1, 0
-	go ask(f.read, answers)
+// firstRead reads a topic that is not loaded yet. It repeats the read while earlier
+// calls are pending: a store that was unavailable never answers the calls that it
+// missed, and nothing can be served until the topic is loaded.
+func (f *topicFollower) firstRead() error {
+	results := make(chan storeResult, maxFirstReads)
+	ticker := time.NewTicker(firstReadInterval)
+	defer ticker.Stop()
+	started, finished := 1, 0
+	go deliverResult(f.read, results)
 	for {
 		select {
-		case a := <-answers:
-			ended++
-			if a.err == nil {
-				a.take() // the first one; later ones may be older
+		case r := <-results:
+			finished++
+			if r.err == nil {
+				r.apply() // only the first one; later ones may be older
 				return nil
 			}
-			if ended == asked {
-				return a.err
+			if finished == started {
+				return r.err
 			}
-		case <-again.C:
-			if f.known() { // a peer told it
+		case <-ticker.C:
+			if f.isKnown() { // received from a peer meanwhile
 				return nil
 			}
-			if asked < mostAsks {
-				asked++
-				go ask(f.read, answers)
+			if started < maxFirstReads {
+				started++
+				go deliverResult(f.read, results)
 			}
 		}
 	}
 }
 
-// sees notes whether the store is reached; who does not reach it reads for
-// others last.
-func (n *Node) sees(store bool) {
+// setStoreReachable records whether the store is reachable. Instances that can't reach
+// it are the last to become readers.
+func (n *Node) setStoreReachable(reachable bool) {
 	n.gossipMu.Lock()
-	n.members.SetStoreUnreachable(!store)
+	n.members.SetStoreUnreachable(!reachable)
 	n.gossipMu.Unlock()
 }
 
-// blind reports whether this instance last failed to reach the store.
-func (n *Node) blind() bool {
+// storeUnreachable reports whether this instance failed to reach the store at its last
+// attempt.
+func (n *Node) storeUnreachable() bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	return n.members.Self().StoreUnreachable
 }
 
-// leavesFirstRead reports whether this instance, which has just started and
-// knows nothing, waits for the news of those that read for others.
-func (n *Node) leavesFirstRead() bool {
-	n.takeRole(n.alive())
-	start := readers.Startup{Age: n.now(), KnowsPeers: n.met(), IsReader: n.reads.Load(), Jitter: n.spread}
-	return !start.ShouldRead()
+// defersFirstRead reports whether this instance, which has just started and has no data,
+// waits for updates from the readers instead of reading the store.
+func (n *Node) defersFirstRead() bool {
+	n.updateReaderRole(n.liveInstances())
+	startup := readers.Startup{Age: n.now(), KnowsPeers: n.knowsPeers(), IsReader: n.reads.Load(), Jitter: n.spread}
+	return !startup.ShouldRead()
 }
 
-// met reports whether this instance knows who else there is, as far as can be
-// told: nobody new was heard of for a moment, or nobody at all for a while.
-func (n *Node) met() bool {
+// knowsPeers reports whether this instance has probably discovered its peers: no new one
+// has appeared for a moment, or none at all for a while.
+func (n *Node) knowsPeers() bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
-	return now >= meetFor || n.members.Settled(now) || now >= aloneFor && len(n.members.Alive(now)) == 1
+	return now >= meetFor || n.members.Settled(now) || now >= discoveryTimeout && len(n.members.Alive(now)) == 1
 }
 
-// takeRole finds out whether this instance is one of those that follow the
-// store, once it has met the others.
-func (n *Node) takeRole(alive []gossip.Instance) {
-	if !n.met() {
+// updateReaderRole decides whether this instance is a reader of the store, once it has
+// discovered its peers.
+func (n *Node) updateReaderRole(alive []gossip.Instance) {
+	if !n.knowsPeers() {
 		return
 	}
-	reads := readers.IsReader(n.settings.Name, alive)
-	if n.reads.Swap(reads) == reads {
+	isReader := readers.IsReader(n.settings.Name, alive)
+	if n.reads.Swap(isReader) == isReader {
 		return
 	}
 	n.gossipMu.Lock()
-	n.members.SetReader(reads)
+	n.members.SetReader(isReader)
 	n.gossipMu.Unlock()
-	event.NodeReads.Log(n.log, "reads", reads)
+	event.NodeReads.Log(n.log, "reads", isReader)
 }
--- a/cmd/node/follow_test.go
+++ b/cmd/node/follow_test.go
@@ -8,42 +8,42 @@
 	"github.com/matryer/is"
 )
 
-// After a start of all while the store was silent, all served 1.5 s later than
-// the store did: each waited for the end of a call that nobody would answer.
-func TestATopicIsAskedForAgainWhileACallWaits(t *testing.T) {
+// When all instances started while the store was unresponsive, each waited for the end
+// of a call that was never answered, and served 1.5 s later than the store.
+func TestTopicReadIsRepeatedWhileACallHangs(t *testing.T) {
 	is := is.New(t)
-	silent := make(chan struct{})
-	defer close(silent)
-	var calls, taken atomic.Int64
-	f := &follow{known: func() bool { return false }}
+	hang := make(chan struct{})
+	defer close(hang)
+	var calls, applied atomic.Int64
+	f := &topicFollower{isKnown: func() bool { return false }}
 	f.read = func() (func(), error) {
 		if calls.Add(1) == 1 {
-			<-silent
+			<-hang
 		}
-		return func() { taken.Add(1) }, nil
+		return func() { applied.Add(1) }, nil
 	}
-	is.NoErr(f.learn())
+	is.NoErr(f.firstRead())
 	is.Equal(calls.Load(), int64(2))
-	is.Equal(taken.Load(), int64(1))
+	is.Equal(applied.Load(), int64(1))
 }
 
-func TestWhatAPeerToldNeedsNoAnswer(t *testing.T) {
+func TestTopicLearnedFromPeerNeedsNoStoreAnswer(t *testing.T) {
 	is := is.New(t)
-	silent := make(chan struct{})
-	defer close(silent)
-	var told atomic.Bool
-	f := &follow{known: told.Load}
+	hang := make(chan struct{})
+	defer close(hang)
+	var learned atomic.Bool
+	f := &topicFollower{isKnown: learned.Load}
 	f.read = func() (func(), error) {
-		told.Store(true)
-		<-silent
-		return nil, errors.New("silent")
+		learned.Store(true)
+		<-hang
+		return nil, errors.New("the store did not answer")
 	}
-	is.NoErr(f.learn())
+	is.NoErr(f.firstRead())
 }
 
-func TestAFailedReadIsTold(t *testing.T) {
+func TestFailedReadReturnsItsError(t *testing.T) {
 	is := is.New(t)
-	broken := errors.New("turned away")
-	f := &follow{known: func() bool { return false }, read: func() (func(), error) { return nil, broken }}
-	is.Equal(f.learn(), broken)
+	failure := errors.New("refused")
+	f := &topicFollower{isKnown: func() bool { return false }, read: func() (func(), error) { return nil, failure }}
+	is.Equal(f.firstRead(), failure)
 }
--- a/cmd/node/front_test.go
+++ b/cmd/node/front_test.go
@@ -27,9 +27,9 @@
 	told := make(map[string]int)
 	for c := range callers {
 		caller := fmt.Sprint("10.0.0.", c)
-		got := addresses(alive, client{hall: "a", name: caller})
+		got := selectAddresses(alive, addressClient{hall: "a", name: caller})
 		is.Equal(len(got), platform.MaxAddresses)
-		is.Equal(got, addresses(alive, client{hall: "a", name: caller}))
+		is.Equal(got, selectAddresses(alive, addressClient{hall: "a", name: caller}))
 		for _, a := range got {
 			is.Equal(a[:1], "a")
 			told[a]++
@@ -42,9 +42,9 @@
 		}
 	}
 	few := alive[:20]
-	is.Equal(len(addresses(few, client{hall: "a", name: "x"})), 18)
-	is.True(slices.Equal(addresses(few, client{hall: "a", name: "x"}), addresses(few, client{hall: "a", name: "y"}))) // all fit
-	mixed := addresses(append(slices.Clone(few), alive[100:]...), client{hall: "c", name: "x"})
+	is.Equal(len(selectAddresses(few, addressClient{hall: "a", name: "x"})), 18)
+	is.True(slices.Equal(selectAddresses(few, addressClient{hall: "a", name: "x"}), selectAddresses(few, addressClient{hall: "a", name: "y"}))) // all fit
+	mixed := selectAddresses(append(slices.Clone(few), alive[100:]...), addressClient{hall: "c", name: "x"})
 	is.Equal(len(mixed), platform.MaxAddresses)
 }
 
@@ -59,17 +59,17 @@
 			alive = append(alive, gossip.Instance{Name: name, ClientAddress: name, Region: region, Hall: fmt.Sprint(region, i%2)})
 		}
 	}
-	c := client{hall: "n0", region: "n", name: "x"}
-	got := addresses(alive, c)
+	c := addressClient{hall: "n0", region: "n", name: "x"}
+	got := selectAddresses(alive, c)
 	is.Equal(len(got), 15)
 	is.Equal(got[:3], []string{"n00", "n02", "n04"}) // of its hall
 	for i := range alive[3:15] {
 		alive[3+i].Leaving = true
 	}
-	is.Equal(len(addresses(alive, c)), 33) // three for a region's clients are too few
-	is.Equal(len(addresses(alive[15:], c)), 30)
-	is.Equal(len(addresses(alive[15:], client{hall: "s0", region: "s", name: "x"})), 15)
-	is.Equal(len(addresses(alive[15:], client{hall: "q", name: "x"})), 30) // whom nobody can place
+	is.Equal(len(selectAddresses(alive, c)), 33) // three for a region's clients are too few
+	is.Equal(len(selectAddresses(alive[15:], c)), 30)
+	is.Equal(len(selectAddresses(alive[15:], addressClient{hall: "s0", region: "s", name: "x"})), 15)
+	is.Equal(len(selectAddresses(alive[15:], addressClient{hall: "q", name: "x"})), 30) // whom nobody can place
 }
 
 // HOME: clients of a host whose routes are bound to regions are not sent through
@@ -77,10 +77,10 @@
 func TestFarAddressesAreThoseOfHomes(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "n", ClientAddress: "n", Region: "n"}, {Name: "s", ClientAddress: "s", Region: "s"}, {Name: "w", ClientAddress: "w", Region: "w"}}
-	c := client{region: "n", name: "x", hall: "n0", homes: regions.Intersect([]string{"s"})}
-	is.Equal(addresses(alive, c), []string{"n", "s"})
-	c.homes = regions.Allowed{} // one of the host's routes may be served anywhere
-	is.Equal(len(addresses(alive, c)), 3)
-	c.homes = regions.Intersect([]string{"s"})
-	is.Equal(addresses(alive[2:], c), []string{"w"}) // rather there than nowhere
+	c := addressClient{region: "n", name: "x", hall: "n0", allowedRegions: regions.Intersect([]string{"s"})}
+	is.Equal(selectAddresses(alive, c), []string{"n", "s"})
+	c.allowedRegions = regions.Allowed{} // one of the host's routes may be served anywhere
+	is.Equal(len(selectAddresses(alive, c)), 3)
+	c.allowedRegions = regions.Intersect([]string{"s"})
+	is.Equal(selectAddresses(alive[2:], c), []string{"w"}) // rather there than nowhere
 }
--- a/cmd/node/homes_test.go
+++ b/cmd/node/homes_test.go
@@ -19,7 +19,7 @@
 		c.Index()
 		return c
 	}
-	before, after := &world{config: route(true)}, &world{config: route(false)}
+	before, after := &snapshot{config: route(true)}, &snapshot{config: route(false)}
 	n := &Node{}
 	n.world.Store(after)
 	s := &serving{node: n, world: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -11,127 +11,129 @@
 	"quinceroad/state/catalog"
 )
 
-// thisLevel is what this build understands.
-const thisLevel = level.Current
+// buildLevel is the feature level of this build.
+const buildLevel = level.Current
 
-// fleetLevel is what all instances understand, and what single ones were found
-// not to.
+// fleetLevel tracks the feature level that all instances support, and the features that
+// single instances were found to lack.
 type fleetLevel struct {
-	mu      sync.Mutex
-	fleet   level.Tracker
-	noTurns map[string]uint64 // by name of instances: the life that ended a question for a turn
+	mu            sync.Mutex
+	tracker       level.Tracker
+	noTrialLeases map[string]uint64 // by instance name: the incarnation that ended the stream when it was asked for a trial lease
 }
 
-// heard takes in the levels of all that are alive, and reports whether another one
-// is in force now.
-func (l *fleetLevel) heard(now time.Duration, all []uint32) bool {
+// observe updates the tracker with the levels of all live instances, and reports whether
+// the level in force has changed.
+func (l *fleetLevel) observe(now time.Duration, all []uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fleet.Observe(now, all)
+	return l.tracker.Observe(now, all)
 }
 
 func (l *fleetLevel) inForce() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fleet.InForce()
+	return l.tracker.InForce()
 }
 
-// knowsNoTurns reports whether an instance's build is known to know no turns of
-// suspects: such a one is asked once in its life.
-func (l *fleetLevel) knowsNoTurns(i gossip.Instance) bool {
+// lacksTrialLeases reports whether an instance's build is known not to support trial
+// leases for suspect requests. Such an instance is asked once per incarnation.
+func (l *fleetLevel) lacksTrialLeases(i gossip.Instance) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	life, ok := l.noTurns[i.Name]
-	return ok && life == i.Incarnation
+	incarnation, ok := l.noTrialLeases[i.Name]
+	return ok && incarnation == i.Incarnation
 }
 
-func (l *fleetLevel) learnNoTurns(i gossip.Instance) {
+func (l *fleetLevel) recordNoTrialLeases(i gossip.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.noTurns == nil {
-		l.noTurns = make(map[string]uint64)
+	if l.noTrialLeases == nil {
+		l.noTrialLeases = make(map[string]uint64)
 	}
-	l.noTurns[i.Name] = i.Incarnation
+	l.noTrialLeases[i.Name] = i.Incarnation
 }
 
-// noteLevel takes in which levels those that are alive tell.
-func (n *Node) noteLevel(alive []gossip.Instance) {
+// updateFleetLevel updates the fleet's level with those that the live instances
+// announce.
+func (n *Node) updateFleetLevel(alive []gossip.Instance) {
 	levels := make([]uint32, 0, len(alive))
-	least := alive[0]
+	lowest := alive[0]
 	for _, i := range alive {
 		levels = append(levels, i.Level)
-		if i.Level < least.Level {
-			least = i
+		if i.Level < lowest.Level {
+			lowest = i
 		}
 	}
-	was := n.level.inForce()
-	if !n.level.heard(n.now(), levels) {
+	previous := n.level.inForce()
+	if !n.level.observe(n.now(), levels) {
 		return
 	}
-	moved := event.NodeLevelRises
-	if n.level.inForce() < was {
-		moved = event.NodeLevelFalls
+	changed := event.NodeLevelRises
+	if n.level.inForce() < previous {
+		changed = event.NodeLevelFalls
 	}
-	moved.Log(n.log, "level", n.level.inForce(), "was", was, "of", thisLevel, "least", least.Name)
+	changed.Log(n.log, "level", n.level.inForce(), "was", previous, "of", buildLevel, "least", lowest.Name)
 }
 
-// lifeOf returns the life of a replica that a peer names. Builds before lives name
-// it by its name, which stands for the life that is listed.
-func (n *Node) lifeOf(id string) string {
-	if life, ok := n.world.Load().lifeByName[id]; ok {
-		return life
+// incarnationOf returns the incarnation of a replica that a peer refers to. Builds
+// without incarnations use the replica's name, which stands for the listed incarnation.
+func (n *Node) incarnationOf(id string) string {
+	if incarnation, ok := n.world.Load().incarnationByName[id]; ok {
+		return incarnation
 	}
 	return id
 }
 
-// lifeToldBy returns the life of a replica that a heartbeat names; false for a
-// name that is told for others: builds that know lives tell them beside it, and
-// the life that is listed here may be the next one.
-func (n *Node) lifeToldBy(h *pb.Heartbeat, id string) (string, bool) {
-	life, isName := n.world.Load().lifeByName[id]
+// incarnationInHeartbeat returns the incarnation of a replica that a heartbeat refers
+// to, or false for a name that is meant for older builds: builds that know incarnations
+// send these as well, and the incarnation listed here may already be the next one.
+func (n *Node) incarnationInHeartbeat(h *pb.Heartbeat, id string) (string, bool) {
+	incarnation, isName := n.world.Load().incarnationByName[id]
 	switch {
 	case !isName:
 		return id, true
 	case len(h.News) > 0 && h.News[0].Level >= level.ReplicaIncarnations:
 		return "", false
 	}
-	return life, true
+	return incarnation, true
 }
 
-// knowsLives reports whether an ask names replicas by their lives: each build
-// since these were named sends a fingerprint.
-func knowsLives(ask *pb.StagesAsk) bool { return ask.Fingerprint != 0 }
+// usesIncarnations reports whether a task refers to replicas by their incarnations. All
+// builds that do so send a fingerprint.
+func usesIncarnations(task *pb.StagesAsk) bool { return task.Fingerprint != 0 }
 
-// nameOf returns a listed replica's name by its life, "" where both are the same.
-func (w *world) nameOf(life string) string {
-	name := catalog.ReplicaName(life)
-	if w.lifeByName[name] != life {
+// replicaNameOf returns the name of a listed replica by its incarnation, or "" if both
+// are the same.
+func (w *snapshot) replicaNameOf(incarnation string) string {
+	name := catalog.ReplicaName(incarnation)
+	if w.incarnationByName[name] != incarnation {
 		return ""
 	}
 	return name
 }
 
-// spoken names a replica to who asked, in the words of the ask.
-func (n *Node) spoken(life string, ask *pb.StagesAsk) string {
-	if knowsLives(ask) {
-		return life
+// replicaIDFor returns the ID of a replica in the form that the sender of a task uses.
+func (n *Node) replicaIDFor(incarnation string, task *pb.StagesAsk) string {
+	if usesIncarnations(task) {
+		return incarnation
 	}
-	if name := n.world.Load().nameOf(life); name != "" {
+	if name := n.world.Load().replicaNameOf(incarnation); name != "" {
 		return name
 	}
-	return life
+	return incarnation
 }
 
-// spokenAll names replicas to anybody: by their names too, after all of them, while
-// somebody may know these alone.
-func (n *Node) spokenAll(lives []string) []string {
+// announcedReplicaIDs returns the IDs that identify replicas to all instances: the
+// incarnations, followed by the replica names while some instance may know only these.
+func (n *Node) announcedReplicaIDs(incarnations []string) []string {
 	w := n.world.Load()
-	if len(lives) == 0 || len(w.lifeByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
-		return lives
+	if len(incarnations) == 0 || len(w.incarnationByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
+		return incarnations
 	}
-	out := lives
-	for _, life := range lives {
-		if name := w.nameOf(life); name != "" {
+	out := incarnations
+	for _, incarnation := range incarnations {
+		if name := w.replicaNameOf(incarnation); name != "" {
 			out = append(out, name)
 		}
 	}
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -53,7 +53,7 @@
 		event.NodeReplicaUnlimited.Log(n.log, "replica", w.Incarnation, "by", by)
 	}
 	if by == itsOwn {
-		n.tell()
+		n.sendHeartbeats()
 	}
 }
 
@@ -61,8 +61,8 @@
 const itsOwn = "its own"
 
 // replicaOf returns a listed replica by its life.
-func (w *world) replicaOf(life string) (catalog.Replica, bool) {
-	for _, r := range w.all {
+func (w *snapshot) replicaOf(life string) (catalog.Replica, bool) {
+	for _, r := range w.replicas {
 		if r.ID == life {
 			return r, true
 		}
@@ -129,7 +129,7 @@
 	if !ok || keeper.Name == n.settings.Name {
 		return
 	}
-	n.introduce([]string{keeper.HeartbeatAddress})
+	n.announceSelf([]string{keeper.HeartbeatAddress})
 }
 
 // sweepLimits takes in what time and views have changed of limits.
@@ -141,8 +141,8 @@
 		return
 	}
 	w, now := n.world.Load(), n.now()
-	listed := make(map[string]catalog.Replica, len(w.all))
-	for _, r := range w.all {
+	listed := make(map[string]catalog.Replica, len(w.replicas))
+	for _, r := range w.replicas {
 		listed[r.ID] = r
 	}
 	var lives []string
@@ -167,7 +167,7 @@
 
 // limitedStates tells, for the dump, what replicas state that they take and who
 // gives their turns.
-func (n *Node) limitedStates(w *world) map[string]string {
+func (n *Node) limitedStates(w *snapshot) map[string]string {
 	var limited map[string]float64
 	n.statements.withPaces(func(b *pace.Tracker) { limited = b.Limits() })
 	who := n.keepers()
--- a/cmd/node/lives.go
+++ b/cmd/node/lives.go
@@ -54,7 +54,7 @@
 func (n *Node) livesOver(replicas []catalog.Replica) {
 	for _, r := range replicas {
 		n.counters.livesOver.Inc(1)
-		n.lifeOver(r.ID)
+		n.recordReplicaRestart(r.ID)
 		n.clients.Drop(r.Address)
 		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.running.over(r.ID))
 	}
--- a/cmd/node/look.go
+++ b/cmd/node/look.go
@@ -13,66 +13,67 @@
 )
 
 const (
-	lookFor   = connectFor             // that a replica's port may take to answer a look
-	lookWait  = 150 * time.Millisecond // that a request waits for it before it may go on elsewhere: a port that refuses does so in a way there and back
-	lookLasts = 10 * time.Millisecond  // that a connection must stay open to show that its replica runs: one that is ending may still take it, as its port closes a moment after its connections
-	mostLooks = 3                      // connections of one look, of which none stayed open: the replica runs, and takes no more
-	lookHolds = 300 * time.Millisecond // that a look stands for all answers that break off there: a replica that ends is not back sooner
+	livenessProbeTimeout = connectFor             // for a replica's port to answer a probe
+	livenessProbeWait    = 150 * time.Millisecond // how long a request waits for the probe before it may be retried elsewhere; a port that refuses does so within a round trip
+	minConnectionTime    = 10 * time.Millisecond  // how long a connection must stay open to show that its replica runs: a replica that is ending closes its port shortly after its connections, and may still accept one
+	maxProbeConnections  = 3                      // per probe; if none stays open, the replica runs but serves no more connections
+	livenessProbeTTL     = 300 * time.Millisecond // one probe covers all answers of an incarnation that break off within this time: a replica that ends is not back sooner
 )
 
-// look is a question whether a replica has ended.
-type look struct {
-	life  string
-	done  chan struct{} // closed when it is known
-	began time.Duration
+// livenessProbe checks whether a replica's incarnation has ended.
+type livenessProbe struct {
+	incarnation string
+	done        chan struct{} // closed when the probe has ended
+	startedAt   time.Duration
 }
 
-// brokeOff takes in that answers to requests broke off at a replica, to which
-// they were sent so long after the process began, and has it looked at.
-func (n *Node) brokeOff(r *catalog.Replica, sent time.Duration, requests ...quarantine.Fingerprint) *look {
-	life := n.quarantine.lifeAt(r.ID, sent)
+// recordBrokenAnswers records that the answers to requests sent to a replica at sentAt
+// have broken off, and probes the replica.
+func (n *Node) recordBrokenAnswers(r *catalog.Replica, sentAt time.Duration, requests ...quarantine.Fingerprint) *livenessProbe {
+	incarnation := n.quarantine.incarnationAt(r.ID, sentAt)
 	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
 		for _, f := range requests {
-			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(life))...)
+			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(incarnation))...)
 		}
 		return changes
 	})
-	return n.look(r, life)
+	return n.probeLiveness(r, incarnation)
 }
 
-// awaitLook waits a little to hear whether a replica has ended, and reports that:
-// until then another try would only be a guess.
-func (n *Node) awaitLook(ctx context.Context, l *look) (ended bool) {
-	wait := time.NewTimer(lookWait)
-	defer wait.Stop()
+// awaitLivenessProbe waits up to livenessProbeWait for a probe, and reports whether the
+// replica has ended. Before that is known, a retry would be a guess.
+func (n *Node) awaitLivenessProbe(ctx context.Context, p *livenessProbe) (ended bool) {
+	timer := time.NewTimer(livenessProbeWait)
+	defer timer.Stop()
 	select {
-	case <-l.done:
-	case <-wait.C:
+	case <-p.done:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return n.quarantine.hasEnded(l.life)
+	return n.quarantine.hasEnded(p.incarnation)
 }
 
-// endedUnfinished takes in that this instance, or its client, ended a request
-// before its answer was whole. If the replica ends within seconds, the request
-// may be to blame: who sends one and leaves at once must not go unnoticed.
-func (n *Node) endedUnfinished(replica string, sent time.Duration, f quarantine.Fingerprint) {
-	life := quarantine.IncarnationOf(n.quarantine.lifeAt(replica, sent))
+// recordAbandonedRequest records that this instance or the client ended a request before
+// its answer was complete. If the replica ends within seconds, the request may be the
+// cause: a client that sends such a request and disconnects at once must not go
+// unnoticed.
+func (n *Node) recordAbandonedRequest(replica string, sentAt time.Duration, f quarantine.Fingerprint) {
+	incarnation := quarantine.IncarnationOf(n.quarantine.incarnationAt(replica, sentAt))
 	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordBroken(now, f, life)
+		return b.RecordBroken(now, f, incarnation)
 	})
 }
 
-// lifeEnds counts the ends of a replica that this instance has seen before the
-// list told of its next life.
-type lifeEnds struct {
+// incarnationEnds counts the ends of a replica that this instance has seen since the
+// last listed incarnation.
+type incarnationEnds struct {
 	count int
 	last  time.Duration
 }
 
-// lifeAt names the life that a replica was in at a time: the listed one, or one
-// after it that the list has not told of yet.
-func (q *quarantined) lifeAt(listed string, at time.Duration) string {
+// incarnationAt returns the incarnation that a replica had at a time: the listed one, or
+// a later one that is not listed yet.
+func (q *quarantined) incarnationAt(listed string, at time.Duration) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
@@ -80,108 +81,109 @@
 		return listed
 	}
 	if at > e.last {
-		return laterLife(listed, e.count)
+		return laterIncarnation(listed, e.count)
 	}
-	return laterLife(listed, e.count-1)
+	return laterIncarnation(listed, e.count-1)
 }
 
-func laterLife(listed string, after int) string {
-	if after == 0 {
+func laterIncarnation(listed string, restarts int) string {
+	if restarts == 0 {
 		return listed
 	}
-	return listed + "+" + strconv.Itoa(after)
+	return listed + "+" + strconv.Itoa(restarts)
 }
 
-func (q *quarantined) hasEnded(life string) bool {
+func (q *quarantined) hasEnded(incarnation string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.HasEnded(quarantine.IncarnationOf(life))
+	return q.book.HasEnded(quarantine.IncarnationOf(incarnation))
 }
 
-// sawEnd counts the end of a life, unless it is known.
-func (q *quarantined) sawEnd(now time.Duration, listed, life string) {
+// recordIncarnationEnd counts the end of an incarnation unless it is already counted.
+func (q *quarantined) recordIncarnationEnd(now time.Duration, listed, incarnation string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
 	if e == nil {
-		e = &lifeEnds{}
+		e = &incarnationEnds{}
 		q.ends[listed] = e
 	}
-	if laterLife(listed, e.count) == life {
+	if laterIncarnation(listed, e.count) == incarnation {
 		e.count++
 		e.last = now
 	}
 }
 
-// look asks whether a life of a replica has ended, unless that has just been asked.
-func (n *Node) look(r *catalog.Replica, life string) *look {
+// probeLiveness starts a probe of an incarnation, or returns the recent one.
+func (n *Node) probeLiveness(r *catalog.Replica, incarnation string) *livenessProbe {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.looks[life]
-	if l != nil && n.now()-l.began < lookHolds {
-		return l
+	p := q.looks[incarnation]
+	if p != nil && n.now()-p.startedAt < livenessProbeTTL {
+		return p
 	}
-	l = &look{life: life, done: make(chan struct{}), began: n.now()}
-	q.looks[life] = l
-	go n.lookAt(*r, l)
-	return l
+	p = &livenessProbe{incarnation: incarnation, done: make(chan struct{}), startedAt: n.now()}
+	q.looks[incarnation] = p
+	go n.runLivenessProbe(*r, p)
+	return p
 }
 
-// lookAt finds out whether a life has ended: the replica's port refuses, while
-// one whose link is cut is silent, and one that only closed connections takes another.
-func (n *Node) lookAt(r catalog.Replica, l *look) {
-	defer close(l.done)
-	life := l.life
+// runLivenessProbe determines whether an incarnation has ended. The port of an ended
+// replica refuses connections, a replica behind a broken link does not respond, and one
+// that has only closed connections accepts a new one.
+func (n *Node) runLivenessProbe(r catalog.Replica, p *livenessProbe) {
+	defer close(p.done)
+	incarnation := p.incarnation
 	n.counters.looks.Inc(1)
-	err := n.lookOnce(r.Address)
-	for tries := 1; errors.Is(err, errNotLasting) && tries < mostLooks; tries++ {
-		err = n.lookOnce(r.Address)
+	err := n.probeConnection(r.Address)
+	for attempts := 1; errors.Is(err, errConnectionEnded) && attempts < maxProbeConnections; attempts++ {
+		err = n.probeConnection(r.Address)
 	}
 	switch {
-	case err == nil, errors.Is(err, errNotLasting):
+	case err == nil, errors.Is(err, errConnectionEnded):
 		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
-			b.RecordConnection(quarantine.IncarnationOf(life))
+			b.RecordConnection(quarantine.IncarnationOf(incarnation))
 			return nil
 		})
 	case errors.Is(err, syscall.ECONNREFUSED):
-		event.NodeReplicaEnded.Log(n.log, "replica", life, "service", r.Service, "sign", "its port refuses")
-		n.quarantine.sawEnd(n.now(), r.ID, life)
+		event.NodeReplicaEnded.Log(n.log, "replica", incarnation, "service", r.Service, "sign", "its port refuses")
+		n.quarantine.recordIncarnationEnd(n.now(), r.ID, incarnation)
 		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-			return b.RecordEnd(now, quarantine.IncarnationOf(life))
+			return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 		})
 	}
 }
 
-// errNotLasting says that a replica took a connection and ended it at once.
-var errNotLasting = errors.New("the connection was ended at once")
+// errConnectionEnded means that a replica accepted a connection and closed it at once.
+var errConnectionEnded = errors.New("the connection was closed at once")
 
-// lookOnce opens a connection to a replica and sees whether it lasts.
-func (n *Node) lookOnce(address string) error {
-	conn, err := n.clients.Dial(address, lookFor)
+// probeConnection opens a connection to a replica and checks that it stays open.
+func (n *Node) probeConnection(address string) error {
+	conn, err := n.clients.Dial(address, livenessProbeTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	if !conn.Lasts(lookLasts) {
-		return errNotLasting
+	if !conn.Lasts(minConnectionTime) {
+		return errConnectionEnded
 	}
 	return nil
 }
 
-// lifeOver takes in that a replica has begun another life.
-func (n *Node) lifeOver(listed string) {
-	life := n.quarantine.lifeAt(listed, n.now())
+// recordReplicaRestart records that a replica runs a new incarnation.
+func (n *Node) recordReplicaRestart(listed string) {
+	incarnation := n.quarantine.incarnationAt(listed, n.now())
 	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordEnd(now, quarantine.IncarnationOf(life))
+		return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 	})
 }
 
-// gone takes in that a replica is no longer listed, although nobody had heard
-// that it would leave.
-func (n *Node) gone(listed string) {
-	life := n.quarantine.lifeAt(listed, n.now())
+// recordReplicaRemoval records that a replica is no longer listed although no drain was
+// announced.
+func (n *Node) recordReplicaRemoval(listed string) {
+	incarnation := n.quarantine.incarnationAt(listed, n.now())
 	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordRemoval(now, quarantine.IncarnationOf(life))
+		return b.RecordRemoval(now, quarantine.IncarnationOf(incarnation))
 	})
 }
--- a/cmd/node/look_test.go
+++ b/cmd/node/look_test.go
@@ -10,11 +10,11 @@
 	"quinceroad/state/catalog"
 )
 
-// A replica that is ending may take one more connection before its port is
-// closed; it was taken for running, and its end was not counted.
-func TestALookAtAReplicaThatIsEnding(t *testing.T) {
+// A replica that is ending may accept one more connection before its port is closed. It
+// was considered running, and its end was not counted.
+func TestLivenessProbeOfAnEndingReplica(t *testing.T) {
 	is := is.New(t)
-	n := nodeOfTwo()
+	n := newTwoReplicaNode()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() {
@@ -22,23 +22,23 @@
 		if err != nil {
 			return
 		}
-		_ = ln.Close() // before the connection ends, or the next one may be taken
+		_ = ln.Close() // before the connection ends, or the next one may be accepted
 		_ = conn.Close()
 	}()
 	r := &catalog.Replica{ID: "r", Address: ln.Addr().String()}
-	<-n.brokeOff(r, n.now(), 7).done
+	<-n.recordBrokenAnswers(r, n.now(), 7).done
 	is.True(n.quarantine.hasEnded("r"))
 	is.Equal(n.verdict(7), quarantine.Suspect)
 }
 
-// One that runs keeps the connection, and has not ended.
-func TestALookAtAReplicaThatRuns(t *testing.T) {
+// A running replica keeps the connection open and is not counted as ended.
+func TestLivenessProbeOfARunningReplica(t *testing.T) {
 	is := is.New(t)
-	n := nodeOfTwo()
+	n := newTwoReplicaNode()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer ln.Close()
-	<-n.brokeOff(&catalog.Replica{ID: "r", Address: ln.Addr().String()}, n.now(), 7).done
+	<-n.recordBrokenAnswers(&catalog.Replica{ID: "r", Address: ln.Addr().String()}, n.now(), 7).done
 	is.True(!n.quarantine.hasEnded("r"))
 	is.Equal(n.verdict(7), quarantine.Unsuspected)
 }
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -15,59 +15,61 @@
 	"quinceroad/transport/datagram"
 )
 
-const beatEach = 200 * time.Millisecond // five rounds reach 390 instances in a second: docs/CAPACITY.md
+const heartbeatInterval = 200 * time.Millisecond // five rounds reach 390 instances within a second: docs/CAPACITY.md
 
-// beat tells others of this instance and what it knows, some times a second.
-func (n *Node) beat(ctx context.Context) {
-	heard := make(map[string]gossip.Instance)
-	process.Every(ctx, beatEach, func() {
-		alive := n.alive()
-		n.logHeard(heard, alive)
+// runHeartbeats updates this instance's view of the others and sends it as heartbeats,
+// several times a second.
+func (n *Node) runHeartbeats(ctx context.Context) {
+	logged := make(map[string]gossip.Instance)
+	process.Every(ctx, heartbeatInterval, func() {
+		alive := n.liveInstances()
+		n.logMembership(logged, alive)
 		n.noteFar(alive)
-		n.noteLevel(alive)
-		n.takeRole(alive)
-		n.noteSpeeds()
-		n.tell()
+		n.updateFleetLevel(alive)
+		n.updateReaderRole(alive)
+		n.recordLocalSpeeds()
+		n.sendHeartbeats()
 		n.gossipMu.Lock()
-		seeds := n.members.SeedsDue(n.now())
+		seedsDue := n.members.SeedsDue(n.now())
 		n.gossipMu.Unlock()
-		if seeds {
-			n.tellSeeds()
+		if seedsDue {
+			n.announceToSeeds()
 		}
 	})
 }
 
-// logHeard logs what changed of who is heard of since the last look, and keeps it.
-func (n *Node) logHeard(heard map[string]gossip.Instance, alive []gossip.Instance) {
-	now := make(map[string]bool, len(alive))
+// logMembership logs the instances that have joined, restarted or left since the last
+// call. logged holds the instances that were logged as live.
+func (n *Node) logMembership(logged map[string]gossip.Instance, alive []gossip.Instance) {
+	live := make(map[string]bool, len(alive))
 	for _, i := range alive {
-		now[i.Name] = true
-		if old, ok := heard[i.Name]; !ok || old.Incarnation != i.Incarnation {
+		live[i.Name] = true
+		if old, ok := logged[i.Name]; !ok || old.Incarnation != i.Incarnation {
 			event.NodeHears.Log(n.log, "name", i.Name, "hall", i.Hall, "incarnation", i.Incarnation)
 		}
-		heard[i.Name] = i
+		logged[i.Name] = i
 	}
-	for name, i := range heard {
-		if !now[name] {
+	for name, i := range logged {
+		if !live[name] {
 			event.NodeMisses.Log(n.log, "name", name, "hall", i.Hall, "incarnation", i.Incarnation, "leaving", i.Leaving)
-			delete(heard, name)
+			delete(logged, name)
 		}
 	}
 }
 
-// tell sends one round of heartbeats.
-func (n *Node) tell() {
+// sendHeartbeats sends one round of heartbeats.
+func (n *Node) sendHeartbeats() {
 	if n.socket == nil {
 		return
 	}
 	n.gossipMu.Lock()
 	to, m := n.members.Round(n.now(), newRandom())
 	n.gossipMu.Unlock()
-	n.send(to, m, n.speedsToTell(false), n.quarantineNews())
+	n.sendHeartbeatTo(to, m, n.speedUpdates(false), n.quarantineNews())
 }
 
-// tellHall tells every instance of the own hall what this one knows.
-func (n *Node) tellHall() {
+// announceToHall sends the full view to all instances of this instance's hall.
+func (n *Node) announceToHall() {
 	if n.socket == nil {
 		return
 	}
@@ -81,11 +83,12 @@
 		}
 	}
 	n.gossipMu.Unlock()
-	n.send(to, m, nil, nil)
+	n.sendHeartbeatTo(to, m, nil, nil)
 }
 
-// tellSeeds tells the instances that the settings name; they may be gone.
-func (n *Node) tellSeeds() {
+// announceToSeeds announces this instance to the seeds of the settings, which may no
+// longer exist.
+func (n *Node) announceToSeeds() {
 	var to []string
 	for _, seed := range *n.seeds.Load() {
 		host, _, err := net.SplitHostPort(seed)
@@ -93,28 +96,28 @@
 			to = append(to, net.JoinHostPort(host, strconv.Itoa(n.settings.DatagramPort)))
 		}
 	}
-	n.introduce(to)
+	n.announceSelf(to)
 }
 
-// introduce tells others of this instance.
-func (n *Node) introduce(to []string) {
+// announceSelf announces this instance to the given addresses.
+func (n *Node) announceSelf(to []string) {
 	n.gossipMu.Lock()
 	self := n.members.Self()
 	n.gossipMu.Unlock()
-	n.send(to, gossip.Message{Entries: []gossip.Instance{self}}, nil, nil)
+	n.sendHeartbeatTo(to, gossip.Message{Entries: []gossip.Instance{self}}, nil, nil)
 }
 
-func (n *Node) send(to []string, m gossip.Message, speeds []*pb.EngineSpeed, cases []*pb.QuarantineCase) {
+func (n *Node) sendHeartbeatTo(to []string, m gossip.Message, speeds []*pb.EngineSpeed, cases []*pb.QuarantineCase) {
 	if len(to) == 0 {
 		return
 	}
-	leaving, said := n.leavingNews()
+	draining, declared := n.drainUpdates()
 	h := &pb.Heartbeat{
-		Leaving: leaving, LeavingStated: uint32(said), Sick: n.sick(), Changed: n.listChanged(), Evacuations: n.emptiedNews(),
+		Leaving: draining, LeavingStated: uint32(declared), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.emptiedNews(),
 		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
 	}
 	for _, i := range m.Entries {
-		h.News = append(h.News, newsOf(i))
+		h.News = append(h.News, encodeInstance(i))
 	}
 	for _, b := range m.Heartbeats {
 		h.Keys = append(h.Keys, b.Key)
@@ -133,30 +136,30 @@
 	}
 }
 
-// mostSickTold bounds a heartbeat.
-const mostSickTold = 16
+// maxEjectionsPerHeartbeat bounds the size of a heartbeat.
+const maxEjectionsPerHeartbeat = 16
 
-func (n *Node) sick() []*pb.SickReplica {
+func (n *Node) ejectionUpdates() []*pb.SickReplica {
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	var out []*pb.SickReplica
-	for id, left := range n.judge.LocallyEjected(n.now()) {
-		for _, word := range n.spokenAll([]string{id}) {
-			if len(out) < mostSickTold {
-				out = append(out, &pb.SickReplica{Id: word, LeftMs: uint32(left.Milliseconds())})
+	for id, remaining := range n.judge.LocallyEjected(n.now()) {
+		for _, wireID := range n.announcedReplicaIDs([]string{id}) {
+			if len(out) < maxEjectionsPerHeartbeat {
+				out = append(out, &pb.SickReplica{Id: wireID, LeftMs: uint32(remaining.Milliseconds())})
 			}
 		}
 	}
 	return out
 }
 
-// pausedReplicas returns the replicas that this instance and its peers leave alone.
-func (n *Node) pausedReplicas() map[string]bool {
+// ejectedReplicas returns the replicas that are ejected by this instance or its peers.
+func (n *Node) ejectedReplicas() map[string]bool {
 	w, now := n.world.Load(), n.now()
 	out := make(map[string]bool)
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if n.judge.IsEjected(now, r.ID) {
 			out[r.ID] = true
 		}
@@ -164,85 +167,85 @@
 	return out
 }
 
-// hear takes in others' heartbeats.
-func (n *Node) hear(ctx context.Context) {
+// receiveHeartbeats handles the heartbeats of other instances.
+func (n *Node) receiveHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		h, err := n.socket.Receive()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			process.Pause(ctx, beatEach)
+			process.Pause(ctx, heartbeatInterval)
 			continue
 		}
-		n.takeHeartbeat(h)
+		n.handleHeartbeat(h)
 	}
 }
 
-func (n *Node) takeHeartbeat(h *pb.Heartbeat) {
+func (n *Node) handleHeartbeat(h *pb.Heartbeat) {
 	now := n.now()
-	n.tellOutlived(h)
+	n.sendNewerIncarnation(h)
 	n.gossipMu.Lock()
-	var fresh []string
+	var newPeers []string
 	before := n.members.Self().Incarnation
-	for i, news := range h.News {
-		isNew := n.members.Merge(now, instanceOf(news))
-		if isNew && (i == 0 || news.Region == n.home) { // one of another region learns from those whom it tells
-			fresh = append(fresh, news.Datagram)
+	for i, entry := range h.News {
+		isNew := n.members.Merge(now, decodeInstance(entry))
+		if isNew && (i == 0 || entry.Region == n.home) { // instances of other regions learn from those that they contact
+			newPeers = append(newPeers, entry.Datagram)
 		}
 	}
 	for i := range min(len(h.Keys), len(h.Counts)) {
 		n.members.MergeHeartbeat(now, gossip.Heartbeat{Key: h.Keys[i], Count: h.Counts[i]})
 	}
-	var known gossip.Message
-	if len(fresh) > 0 {
-		known = n.members.BuildMessage(now)
+	var fullView gossip.Message
+	if len(newPeers) > 0 {
+		fullView = n.members.BuildMessage(now)
 	}
 	after := n.members.Self().Incarnation
 	n.gossipMu.Unlock()
 	if after != before {
 		event.NodeOutlives.Log(n.log, "was", before, "incarnation", after, "from", senderOf(h))
-		n.tell()
+		n.sendHeartbeats()
 	}
-	if len(fresh) > 0 {
-		n.send(fresh, known, n.speedsToTell(true), n.allOfQuarantine()) // who has just started learns of the others at once
+	if len(newPeers) > 0 {
+		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.allOfQuarantine()) // a starting instance discovers the others at once
 	}
 	n.takeEmptied(senderOf(h), h.Evacuations)
 	n.takeRollouts(h)
 	n.catchUp(now, h)
 	for i, id := range h.Leaving {
-		life, ok := n.lifeToldBy(h, id)
+		incarnation, ok := n.incarnationInHeartbeat(h, id)
 		switch {
 		case !ok:
 		case i < int(h.LeavingStated):
-			n.takeLeaving(life, senderOf(h))
+			n.takeLeaving(incarnation, senderOf(h))
 		default:
-			n.sawLeaving(life, "peer")
+			n.recordDrainSign(incarnation, "peer")
 		}
 	}
-	n.takeHearsay(now, h)
-	n.takeSpeeds(h.Speeds)
+	n.recordRemoteEjections(now, h)
+	n.mergeSpeeds(h.Speeds)
 	n.takeQuarantine(h.Quarantine)
 	n.takeLimits(senderOf(h), h.Limits)
 }
 
-// tellOutlived tells the sender of a heartbeat what is known of its last life, if
-// that counts as the later one.
-func (n *Node) tellOutlived(h *pb.Heartbeat) {
+// sendNewerIncarnation replies to a heartbeat with the sender's last known incarnation
+// if that counts as newer than the one it announces.
+func (n *Node) sendNewerIncarnation(h *pb.Heartbeat) {
 	if len(h.News) == 0 {
 		return
 	}
-	sender := instanceOf(h.News[0])
+	sender := decodeInstance(h.News[0])
 	n.gossipMu.Lock()
-	last, ok := n.members.NewerEntry(&sender)
+	newer, ok := n.members.NewerEntry(&sender)
 	self := n.members.Self()
 	n.gossipMu.Unlock()
 	if ok {
-		n.send([]string{sender.HeartbeatAddress}, gossip.Message{Entries: []gossip.Instance{self, last}}, nil, nil)
+		n.sendHeartbeatTo([]string{sender.HeartbeatAddress}, gossip.Message{Entries: []gossip.Instance{self, newer}}, nil, nil)
 	}
 }
 
-// senderOf names who sent a heartbeat.
+// senderOf returns the name of the instance that sent a heartbeat.
 func senderOf(h *pb.Heartbeat) string {
 	if len(h.News) == 0 {
 		return ""
@@ -250,28 +253,28 @@
 	return h.News[0].Name
 }
 
-// takeHearsay takes in which replicas a peer leaves alone.
-func (n *Node) takeHearsay(now time.Duration, h *pb.Heartbeat) {
-	var fresh []string
+// recordRemoteEjections records the replicas that a peer has ejected.
+func (n *Node) recordRemoteEjections(now time.Duration, h *pb.Heartbeat) {
+	var newlyEjected []string
 	n.judgeMu.Lock()
 	for _, s := range h.Sick {
-		id, ok := n.lifeToldBy(h, s.Id)
+		id, ok := n.incarnationInHeartbeat(h, s.Id)
 		if !ok {
 			continue
 		}
-		before := n.judge.IsEjected(now, id)
+		wasEjected := n.judge.IsEjected(now, id)
 		n.judge.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
-		if !before && n.judge.IsEjected(now, id) {
-			fresh = append(fresh, id)
+		if !wasEjected && n.judge.IsEjected(now, id) {
+			newlyEjected = append(newlyEjected, id)
 		}
 	}
 	n.judgeMu.Unlock()
-	for _, id := range fresh {
+	for _, id := range newlyEjected {
 		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", "hearsay", "by", h.News[0].Name)
 	}
 }
 
-func newsOf(i gossip.Instance) *pb.InstanceNews {
+func encodeInstance(i gossip.Instance) *pb.InstanceNews {
 	return &pb.InstanceNews{
 		Name: i.Name, Hall: i.Hall, Incarnation: i.Incarnation, Count: i.HeartbeatCount, Leaving: i.Leaving,
 		Front: i.ClientAddress, Link: i.PeerAddress, Datagram: i.HeartbeatAddress, Configured: i.ConfigVersion, Owns: i.OwnedCells, Share: i.CPUShare,
@@ -279,7 +282,7 @@
 	}
 }
 
-func instanceOf(p *pb.InstanceNews) gossip.Instance {
+func decodeInstance(p *pb.InstanceNews) gossip.Instance {
 	return gossip.Instance{
 		Name: p.Name, Hall: p.Hall, Incarnation: p.Incarnation, HeartbeatCount: p.Count, Leaving: p.Leaving,
 		ClientAddress: p.Front, PeerAddress: p.Link, HeartbeatAddress: p.Datagram, ConfigVersion: p.Configured, OwnedCells: p.Owns, CPUShare: p.Share,
@@ -287,22 +290,22 @@
 	}
 }
 
-// alive returns the instances heard of lately.
-func (n *Node) alive() []gossip.Instance {
+// liveInstances returns the instances that are considered alive.
+func (n *Node) liveInstances() []gossip.Instance {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	return n.members.Alive(n.now())
 }
 
-// size returns the number of instances heard of lately.
-func (n *Node) size() int {
+// liveInstanceCount returns the number of instances that are considered alive.
+func (n *Node) liveInstanceCount() int {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	return n.members.AliveCount(n.now())
 }
 
-// serveLink answers peers.
-func (n *Node) serveLink(k frame.Kind, first []byte, stream net.Conn) {
+// servePeer answers the requests of peers.
+func (n *Node) servePeer(k frame.Kind, first []byte, stream net.Conn) {
 	switch k {
 	case frame.PullConfig:
 		_ = frame.Write(stream, frame.Reply, n.answerPull())
@@ -316,7 +319,7 @@
 		_ = frame.Write(stream, frame.Reply, n.answerPace(first, stream.RemoteAddr().String()))
 	case frame.Stages:
 		n.owner.serve(first, stream)
-	default: // of a later build, which knows this from a fault
+	default: // frame of a later build, which treats a refusal differently from a failure
 		_ = frame.Refuse(stream)
 	}
 }
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -53,7 +53,7 @@
 	unplaced sync.Map                        // halls that a log line has said to be of no region
 	farHosts atomic.Pointer[map[string]bool] // of instances in other regions; nil: none is known
 
-	world atomic.Pointer[world] // what requests are served from; never changed once set
+	world atomic.Pointer[snapshot] // what requests are served from; never changed once set
 
 	followMu  sync.Mutex // guards what is followed, before it becomes a world
 	config    *catalog.Configuration
@@ -64,15 +64,15 @@
 	spread      float64     // 0 to 1, by its name: for what not all instances should do at the same moment
 	reads       atomic.Bool // this instance follows the store for others
 	storeFailed atomic.Bool // a call to the store has failed since the start
-	pulse       *pulse
+	pulse       *storeMonitor
 	configPull  pull
 	listPull    pull
-	telling     telling
+	telling     updateServer
 
 	gossipMu sync.Mutex
 	members  *gossip.View
 
-	speeds speeds // has a lock of its own
+	speeds engineSpeeds // has a lock of its own
 
 	cold     *coldness // has a lock of its own, which is taken last
 	rollouts *rollouts // the same
@@ -128,7 +128,7 @@
 		running:    newRunning(),
 		quarantine: newQuarantined(spreadOf(s.Name)),
 		statements: newStatements(),
-		pulse:      newPulse(),
+		pulse:      newStoreMonitor(),
 		spread:     spreadOf(s.Name),
 		judge:      health.New(health.DefaultOptions()),
 		loads:      balancer.NewTable(),
@@ -153,8 +153,8 @@
 		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
 	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
-	n.clock.OnWake(n.woke)
-	n.world.Store(&world{places: n.places, services: make(map[string][]catalog.Replica)})
+	n.clock.OnWake(n.handleResume)
+	n.world.Store(&snapshot{regions: n.places, eligibleByService: make(map[string][]catalog.Replica)})
 	return n
 }
 
@@ -171,7 +171,7 @@
 		return trace.Wrap(err)
 	}
 	n.socket = socket
-	if n.peers, err = link.Listen(n.settings.Link, n.serveLink, &n.traffic); err != nil {
+	if n.peers, err = link.Listen(n.settings.Link, n.servePeer, &n.traffic); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := n.listen(); err != nil {
@@ -184,7 +184,7 @@
 	n.cancel = cancel
 	n.group, ctx = errgroup.WithContext(ctx)
 	loops := []func(context.Context){
-		n.followIntent, n.followReplicas, n.register, n.feelPulse, n.beat, n.hear, n.owner.tick, n.housekeeping, n.followRollouts, n.followStatements,
+		n.followIntent, n.followReplicas, n.keepRegistered, n.monitorStore, n.runHeartbeats, n.receiveHeartbeats, n.owner.tick, n.housekeeping, n.followRollouts, n.followStatements,
 	}
 	for _, loop := range loops {
 		n.group.Go(func() error {
@@ -206,7 +206,7 @@
 	}
 	n.seeds.Store(&s.Seeds)
 	event.NodeReloaded.Log(n.log, "seeds", len(s.Seeds))
-	n.tellSeeds()
+	n.announceToSeeds()
 }
 
 // Stop is a planned stop: the instance leaves the answers for addresses, takes
@@ -220,7 +220,7 @@
 	n.gossipMu.Lock()
 	n.members.SetLeaving()
 	n.gossipMu.Unlock()
-	n.tell()
+	n.sendHeartbeats()
 	time.Sleep(n.stopPlan.TakesUntil)
 	for n.inFlight.Load() > 0 && n.now()-start < n.stopPlan.End {
 		time.Sleep(stopPoll)
@@ -255,9 +255,9 @@
 func (n *Node) housekeeping(ctx context.Context) {
 	process.Every(ctx, housekeepingEach, func() {
 		w := n.world.Load()
-		known := make(map[string]bool, len(w.all))
-		addresses := make(map[string]bool, len(w.all))
-		for _, r := range w.all {
+		known := make(map[string]bool, len(w.replicas))
+		addresses := make(map[string]bool, len(w.replicas))
+		for _, r := range w.replicas {
 			known[r.ID] = true
 			addresses[r.Address] = true
 		}
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -52,7 +52,7 @@
 // news of its stream; it ends when news is closed.
 func (c *cell) run(ask *pb.StagesAsk, news <-chan *pb.StagesNews, send func(*pb.StagesReply) error) {
 	c.prepare()
-	r := &ownedRequest{cell: c, ask: ask, began: c.owner.node.now(), request: requestOf(ask, c.owner.node.lifeOf)}
+	r := &ownedRequest{cell: c, ask: ask, began: c.owner.node.now(), request: requestOf(ask, c.owner.node.incarnationOf)}
 	defer r.end()
 	ready, ok := r.stages(news, send)
 	if !ok || !r.awaitTurn(news, send) {
@@ -175,7 +175,7 @@
 	c, n := r.cell, r.cell.owner.node
 	reply := &pb.StagesReply{Handles: ready.Handles}
 	r.request.RemoteCache = r.heardFar()
-	sick := n.pausedReplicas()
+	sick := n.ejectedReplicas()
 	w := n.world.Load()
 	now := n.now()
 	c.mu.Lock()
@@ -197,7 +197,7 @@
 	if choice.FetchFrom != "" && choice.FetchFrom == r.request.RemoteCache.Address {
 		n.counters.farMoves.Inc(1)
 	}
-	reply.Engine, reply.Fetch, reply.Beside = n.spoken(choice.Replica.ID, r.ask), choice.FetchFrom, uint32(choice.ConcurrentSuspects)
+	reply.Engine, reply.Fetch, reply.Beside = n.replicaIDFor(choice.Replica.ID, r.ask), choice.FetchFrom, uint32(choice.ConcurrentSuspects)
 	return reply
 }
 
@@ -265,7 +265,7 @@
 		r.Parts = append(r.Parts, catalog.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
 	}
 	for _, id := range ask.Avoid {
-		if !knowsLives(ask) {
+		if !usesIncarnations(ask) {
 			id = lifeOf(id)
 		}
 		r.Avoid[id] = true
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -105,7 +105,7 @@
 	n.members.SetOwnedCells(cells)
 	n.gossipMu.Unlock()
 	if changed {
-		n.tell()
+		n.sendHeartbeats()
 	}
 }
 
--- a/cmd/node/owner_test.go
+++ b/cmd/node/owner_test.go
@@ -12,13 +12,13 @@
 
 func TestCellsPartLargePoolsAndEachReplicaOnce(t *testing.T) {
 	is := is.New(t)
-	w := &world{
-		config: &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}}},
-		places: regions.New(nil),
+	w := &snapshot{
+		config:  &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}}},
+		regions: regions.New(nil),
 	}
 	for i := range 100 {
 		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", HallDrained: i%2 == 0} // the cells stay as they are
-		w.all = append(w.all, r)
+		w.replicas = append(w.replicas, r)
 	}
 	is.Equal(w.cells(""), 4)
 	seen := make(map[string]int)
@@ -37,24 +37,24 @@
 // another region, and none are lost that nobody can place.
 func TestCellsAreCutWithinRegions(t *testing.T) {
 	is := is.New(t)
-	w := &world{
-		config: &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}, "llm": {Engine: &catalog.Engine{}}}},
-		places: regions.New(map[string]string{"a": "n", "b": "s"}),
+	w := &snapshot{
+		config:  &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}, "llm": {Engine: &catalog.Engine{}}}},
+		regions: regions.New(map[string]string{"a": "n", "b": "s"}),
 	}
 	for i := range 200 {
 		r := catalog.Replica{ID: strconv.Itoa(i), Service: "read", Hall: []string{"a", "a", "b", "x"}[i%4]}
 		if i%8 == 0 {
 			r.Service = "llm"
 		}
-		r.Region = w.places.RegionOf(r.Hall)
-		w.all = append(w.all, r)
+		r.Region = w.regions.RegionOf(r.Hall)
+		w.replicas = append(w.replicas, r)
 	}
 	is.Equal(w.cells("n"), 3) // 75 of the pool
 	is.Equal(w.cells("s"), 2)
 	seen := make(map[string]bool)
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		for local := range w.cells(region) {
-			share := w.share(w.places.CellNumber(region, local))
+			share := w.share(w.regions.CellNumber(region, local))
 			is.True(len(share) <= cellReplicas+9) // of the pool, and a third of 25 engines
 			for _, r := range share {
 				is.Equal(r.Region, region)
@@ -63,5 +63,5 @@
 			}
 		}
 	}
-	is.Equal(len(seen), len(w.all))
+	is.Equal(len(seen), len(w.replicas))
 }
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -53,13 +53,13 @@
 // keepers finds who gives replicas' turns by one view.
 type keepers struct {
 	node   *Node
-	world  *world
+	world  *snapshot
 	alive  []gossip.Instance
 	owners map[int][]gossip.Instance // by cell: the first in line; none where nobody is
 }
 
 func (n *Node) keepers() *keepers {
-	return &keepers{node: n, world: n.world.Load(), alive: n.alive(), owners: make(map[int][]gossip.Instance)}
+	return &keepers{node: n, world: n.world.Load(), alive: n.liveInstances(), owners: make(map[int][]gossip.Instance)}
 }
 
 // of returns who gives a replica's turns; false where nobody does.
@@ -132,7 +132,7 @@
 // service's replicas.
 func (n *Node) promise(service string, rest *restError) time.Duration {
 	perSecond := 0.0
-	replicas, instances := n.world.Load().services[service], n.size()
+	replicas, instances := n.world.Load().eligibleByService[service], n.liveInstanceCount()
 	s := n.statements
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 
 // takeAlone has a turn of this instance's own part of a limit.
 func (n *Node) takeAlone(life string) bool {
-	instances, now, ok := n.size(), n.now(), false
+	instances, now, ok := n.liveInstanceCount(), n.now(), false
 	n.statements.withPaces(func(b *pace.Tracker) {
 		if ok = b.TryLocalGrant(now, life, instances); !ok {
 			b.RecordDenial(life, now+keeperLost)
--- a/cmd/node/parts.go
+++ b/cmd/node/parts.go
@@ -23,25 +23,25 @@
 }
 
 // part cuts the replicas of pools and engines into cells.
-func (w *world) part() {
+func (w *snapshot) part() {
 	w.parts = parts{counts: make(map[string]int), cells: make(map[int][]catalog.Replica), takes: make(map[string]map[string]int), cellOf: make(map[string]int)}
 	if w.config == nil {
 		return
 	}
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		w.parts.takes[region] = make(map[string]int)
 	}
-	for service, list := range w.services {
+	for service, list := range w.eligibleByService {
 		for _, r := range list {
 			w.parts.takes[r.Region][service]++
 		}
 	}
 	pooled := make(map[string]map[string]int)   // by region and service: those that a cell's size is counted by
 	ids := make(map[string]map[string][]string) // the same: replicas of pools and engines
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		pooled[region], ids[region] = make(map[string]int), make(map[string][]string)
 	}
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		s := w.config.Services[r.Service]
 		if s == nil || s.Pool == nil && s.Engine == nil {
 			continue
@@ -62,9 +62,9 @@
 			maps.Copy(cellOf, cells.Assign(list, w.parts.counts[region]))
 		}
 	}
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if local, ok := cellOf[r.ID]; ok {
-			cell := w.places.CellNumber(r.Region, local)
+			cell := w.regions.CellNumber(r.Region, local)
 			w.parts.cells[cell] = append(w.parts.cells[cell], r)
 			w.parts.cellOf[r.ID] = cell
 		}
@@ -72,15 +72,15 @@
 }
 
 // cells returns into how many cells a region's pools are cut.
-func (w *world) cells(region string) int {
-	w.parting.Do(w.part)
+func (w *snapshot) cells(region string) int {
+	w.partsOnce.Do(w.part)
 	return max(w.parts.counts[region], 1)
 }
 
 // serves reports whether a region has replicas of all that a request of a
 // route needs.
-func (w *world) serves(region string, route *catalog.Route, service string) bool {
-	w.parting.Do(w.part)
+func (w *snapshot) serves(region string, route *catalog.Route, service string) bool {
+	w.partsOnce.Do(w.part)
 	takes := w.parts.takes[region]
 	for _, st := range route.Stages {
 		if takes[st.Service] == 0 {
@@ -91,9 +91,9 @@
 }
 
 // holds reports whether a region has replicas of pools or engines.
-func (w *world) holds(region string) bool {
+func (w *snapshot) holds(region string) bool {
 	for local := range w.cells(region) {
-		if len(w.parts.cells[w.places.CellNumber(region, local)]) > 0 {
+		if len(w.parts.cells[w.regions.CellNumber(region, local)]) > 0 {
 			return true
 		}
 	}
@@ -101,25 +101,25 @@
 }
 
 // share returns the replicas of pools and engines that belong to a cell.
-func (w *world) share(cell int) []catalog.Replica {
-	region, local := w.places.RegionOfCell(cell)
-	known := w.places.CellNumber(region, local%w.cells(region)) // who asks may know of more cells
+func (w *snapshot) share(cell int) []catalog.Replica {
+	region, local := w.regions.RegionOfCell(cell)
+	known := w.regions.CellNumber(region, local%w.cells(region)) // who asks may know of more cells
 	return w.parts.cells[known]
 }
 
 // cellHolding returns the cell to which a replica of a pool or engine belongs.
-func (w *world) cellHolding(life string) (cell int, ok bool) {
-	w.parting.Do(w.part)
+func (w *snapshot) cellHolding(life string) (cell int, ok bool) {
+	w.partsOnce.Do(w.part)
 	cell, ok = w.parts.cellOf[life]
 	return cell, ok
 }
 
 // cellOf returns the cell of a region that a request belongs to: those that
 // share a prompt meet.
-func (w *world) cellOf(r *exchange.Request, region string) int {
+func (w *snapshot) cellOf(r *exchange.Request, region string) int {
 	key := r.ID
 	if shared := r.Shared(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
-	return w.places.CellNumber(region, int(platform.Hash(key)%uint64(w.cells(region))))
+	return w.regions.CellNumber(region, int(platform.Hash(key)%uint64(w.cells(region))))
 }
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -19,12 +19,12 @@
 	"quinceroad/transport/datagram"
 )
 
-// An ask that ended its owner would be sent to the next one, and end three: as
-// a request does that crashes the replicas which run it. Whatever a peer of
-// another version or with a fault of its own sends, this process goes on.
-func TestNoMessageOfAPeerEndsAnInstance(t *testing.T) {
+// A task that crashes its owner would be sent to the next one, and crash up to three,
+// like a request that crashes the replicas that run it. No message of a peer with
+// another version or a bug may crash this process.
+func TestNoPeerMessageCrashesAnInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := nodeOfTwo()
+		n := newTwoReplicaNode()
 		socket, err := datagram.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -35,20 +35,20 @@
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				h := &pb.Heartbeat{}
-				fill(t, h.ProtoReflect(), 3)
-				if len(h.News) > 0 { // or it is passed over as it is received
-					n.takeHeartbeat(h)
+				fillRandom(t, h.ProtoReflect(), 3)
+				if len(h.News) > 0 { // heartbeats without entries are dropped on receipt
+					n.handleHeartbeat(h)
 				}
 			case 1:
-				n.sendTo(t, frame.Stages, &pb.StagesAsk{})
+				n.receiveRandom(t, frame.Stages, &pb.StagesAsk{})
 			case 2:
-				n.sendTo(t, frame.Trial, &pb.TrialAsk{})
+				n.receiveRandom(t, frame.Trial, &pb.TrialAsk{})
 			case 3:
-				n.sendTo(t, frame.Kept, &pb.KeptAsk{})
+				n.receiveRandom(t, frame.Kept, &pb.KeptAsk{})
 			case 4:
-				n.sendTo(t, frame.PullReplicas, &pb.PullReplicas{})
+				n.receiveRandom(t, frame.PullReplicas, &pb.PullReplicas{})
 			case 5:
-				n.serveLink(frame.Kind(rapid.IntRange(0, 40).Draw(t, "frame")), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes"), closedConn())
+				n.servePeer(frame.Kind(rapid.IntRange(0, 40).Draw(t, "frame")), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes"), newClosedConn())
 			}
 		}
 		n.owner.refresh()
@@ -59,51 +59,51 @@
 	})
 }
 
-// nodeOfTwo returns a process that is not started and serves from two engines
-// and two replicas of a pool, which nobody can reach.
-func nodeOfTwo() *Node {
+// newTwoReplicaNode returns a node that is not started, with two engines and two
+// replicas of a pool, which are unreachable.
+func newTwoReplicaNode() *Node {
 	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", DatagramPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
 	config := &catalog.Configuration{Version: 1, Services: map[string]*catalog.Service{
 		"pool": {Name: "pool", Pool: &catalog.Pool{Slots: 1, MaxBatch: 4, BatchTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemory: 1000, ResultTTL: time.Second}},
 		"llm":  {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}},
 	}}
 	config.Index()
-	w := &world{config: config, listed: true, places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int)}
+	w := &snapshot{config: config, replicasLoaded: true, regions: n.places, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int)}
 	for _, id := range []string{"pool-1", "pool-2", "llm-1", "llm-2"} {
 		r := catalog.Replica{ID: id, Service: id[:len(id)-2], Hall: "h1", Address: "127.0.0.1:1", Slots: 4}
-		w.services[r.Service] = append(w.services[r.Service], r)
-		w.all = append(w.all, r)
+		w.eligibleByService[r.Service] = append(w.eligibleByService[r.Service], r)
+		w.replicas = append(w.replicas, r)
 	}
 	n.world.Store(w)
 	return n
 }
 
-// sendTo gives the node a message of random fields as the first of a stream that
-// its peer closes at once.
-func (n *Node) sendTo(t *rapid.T, k frame.Kind, m proto.Message) {
-	fill(t, m.ProtoReflect(), 3)
+// receiveRandom serves a message of random fields as the first of a stream that the peer
+// closes at once.
+func (n *Node) receiveRandom(t *rapid.T, k frame.Kind, m proto.Message) {
+	fillRandom(t, m.ProtoReflect(), 3)
 	first, err := proto.Marshal(m)
 	if err != nil {
-		t.Fatal(err) // all that is filled in can be written
+		t.Fatal(err) // all filled fields can be encoded
 	}
-	n.serveLink(k, first, closedConn())
+	n.servePeer(k, first, newClosedConn())
 }
 
-// closedConn is a stream whose other end is closed: reads end, writes fail.
-func closedConn() net.Conn {
-	near, far := net.Pipe()
-	_ = far.Close()
-	return near
+// newClosedConn returns a stream whose other end is closed: reads end and writes fail.
+func newClosedConn() net.Conn {
+	local, remote := net.Pipe()
+	_ = remote.Close()
+	return local
 }
 
-// The values that fields are filled from: those that tests know, and bounds.
+// Field values: those that the tests use, and extremes.
 var (
-	someStrings = []string{"", "pool", "llm", "n1", "h1", "pool-1", "llm-1", "127.0.0.1:1", "a\x00b"}
-	someNumbers = []uint64{0, 1, 2, 7, math.MaxInt32, math.MaxUint32, math.MaxInt64, math.MaxUint64}
+	sampleStrings = []string{"", "pool", "llm", "n1", "h1", "pool-1", "llm-1", "127.0.0.1:1", "a\x00b"}
+	sampleNumbers = []uint64{0, 1, 2, 7, math.MaxInt32, math.MaxUint32, math.MaxInt64, math.MaxUint64}
 )
 
-// fill gives a message random fields, nested ones down to a depth.
-func fill(t *rapid.T, m protoreflect.Message, depth int) {
+// fillRandom sets random fields of a message, nested ones up to a depth.
+func fillRandom(t *rapid.T, m protoreflect.Message, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
@@ -118,32 +118,32 @@
 				if f.Message() != nil {
 					entry := list.NewElement()
 					if depth > 0 {
-						fill(t, entry.Message(), depth-1)
+						fillRandom(t, entry.Message(), depth-1)
 					}
 					list.Append(entry)
 					continue
 				}
-				list.Append(valueOf(t, f))
+				list.Append(randomValue(t, f))
 			}
 		case f.Message() != nil:
 			if depth > 0 {
-				fill(t, m.Mutable(f).Message(), depth-1)
+				fillRandom(t, m.Mutable(f).Message(), depth-1)
 			}
 		default:
-			m.Set(f, valueOf(t, f))
+			m.Set(f, randomValue(t, f))
 		}
 	}
 }
 
-func valueOf(t *rapid.T, f protoreflect.FieldDescriptor) protoreflect.Value {
-	number := rapid.SampledFrom(someNumbers).Draw(t, "number")
+func randomValue(t *rapid.T, f protoreflect.FieldDescriptor) protoreflect.Value {
+	number := rapid.SampledFrom(sampleNumbers).Draw(t, "number")
 	switch f.Kind() {
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(number%2 == 1)
 	case protoreflect.StringKind:
-		return protoreflect.ValueOfString(rapid.SampledFrom(someStrings).Draw(t, "text"))
+		return protoreflect.ValueOfString(rapid.SampledFrom(sampleStrings).Draw(t, "text"))
 	case protoreflect.BytesKind:
-		return protoreflect.ValueOfBytes([]byte(rapid.SampledFrom(someStrings).Draw(t, "bytes")))
+		return protoreflect.ValueOfBytes([]byte(rapid.SampledFrom(sampleStrings).Draw(t, "bytes")))
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(math.Float64frombits(number))
 	case protoreflect.FloatKind:
@@ -161,23 +161,23 @@
 	}
 }
 
-// An ask for four billion pieces took all memory of its owner.
-func TestAnAskBeyondBoundsIsPassedOver(t *testing.T) {
+// A task of four billion items exhausted the memory of its owner.
+func TestOutOfBoundsTaskIsRejected(t *testing.T) {
 	is := is.New(t)
-	stage := func(pieces uint32, bytes int64, after ...uint32) *pb.StagesAsk {
-		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: pieces, Bytes: bytes, After: after}}}
+	task := func(items uint32, bytes int64, after ...uint32) *pb.StagesAsk {
+		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: items, Bytes: bytes, After: after}}}
 	}
-	is.NoErr(checkAsk(stage(platform.MostPieces, 1<<20)))
-	for _, ask := range []*pb.StagesAsk{
-		stage(math.MaxUint32, 1),
-		stage(1, -1),
-		stage(1, 1, 0),
+	is.NoErr(checkAsk(task(platform.MostPieces, 1<<20)))
+	for _, task := range []*pb.StagesAsk{
+		task(math.MaxUint32, 1),
+		task(1, -1),
+		task(1, 1, 0),
 		{Stages: make([]*pb.StageWork, mostStages+1)},
 		{Parts: make([]*pb.PromptPart, platform.MostParts+1)},
 		{Parts: []*pb.PromptPart{{Tokens: math.MaxUint32}}},
 		{TokensOut: math.MaxUint32},
 		{SlackUs: math.MinInt64},
 	} {
-		is.True(checkAsk(ask) != nil)
+		is.True(checkAsk(task) != nil)
 	}
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -71,7 +71,7 @@
 		ask.Avoid = append(ask.Avoid, id)
 	}
 	ask.Avoid = append(ask.Avoid, s.node.restingReplicas(s.service.Name)...)
-	ask.Avoid = s.node.spokenAll(ask.Avoid)
+	ask.Avoid = s.node.announcedReplicaIDs(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
 		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.Pieces[i]), Bytes: st.ResultBytes}
@@ -102,8 +102,8 @@
 	n := s.node
 	world := n.world.Load() // replicas may have left since the request came
 	now := n.now()
-	listed := permitted(s.homes(), world.services[s.service.Name])
-	if len(listed) == 0 && len(world.services[s.service.Name]) > 0 {
+	listed := permitted(s.homes(), world.eligibleByService[s.service.Name])
+	if len(listed) == 0 && len(world.eligibleByService[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoRegion
 	}
 	newer, older := s.sides(world, listed)
@@ -151,15 +151,15 @@
 
 // none says why there is no replica for the request; rest is why those that might
 // take it don't.
-func (s *serving) none(w *world, able []catalog.Replica, rest error) error {
-	switch listed := len(w.services[s.service.Name]); {
+func (s *serving) none(w *snapshot, able []catalog.Replica, rest error) error {
+	switch listed := len(w.eligibleByService[s.service.Name]); {
 	case rest != nil:
 		return rest
 	case listed == 0 && s.allLeave(w) != nil:
 		return errLeaving
 	case listed > 0 && len(able) == 0:
 		return errCold
-	case listed == 0 && w.sizes[s.service.Name] > 0:
+	case listed == 0 && w.serviceSizes[s.service.Name] > 0:
 		return errEmptied
 	}
 	return errUnreached
@@ -185,7 +185,7 @@
 	if s.job == nil || s.job.engine == "" || s.tried[s.job.engine] || s.avoid[s.job.engine] {
 		return catalog.Replica{}, false
 	}
-	for _, r := range s.node.world.Load().services[s.service.Name] {
+	for _, r := range s.node.world.Load().eligibleByService[s.service.Name] {
 		if r.ID == s.job.engine {
 			return r, s.mayUseChoice()
 		}
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -31,7 +31,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "call of pieces", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
-	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
+	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
 	status, head, data, err := n.call(ctx, ownCall{address: c.Address, replica: c.Name, from: stater{life: c.Replica, service: c.Service}, work: true, method: fasthttp.MethodPost, path: path, body: body})
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -93,11 +93,11 @@
 func (s *serving) inTurn() []string {
 	n, w, homes := s.node, s.node.world.Load(), s.homes()
 	manned := make(map[string]bool)
-	for _, i := range n.alive() {
+	for _, i := range n.liveInstances() {
 		manned[i.Region] = true
 	}
 	var all []regions.Candidate
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		if homes.Allows(region) && (region != "" || n.home == "" || w.holds("")) {
 			all = append(all, regions.Candidate{Region: region, HasReplicas: w.serves(region, s.route, s.service.Name), HasInstances: manned[region]})
 		}
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -61,11 +61,11 @@
 // catchUp asks the sender of a heartbeat for what it knows more of.
 func (n *Node) catchUp(now time.Duration, h *pb.Heartbeat) {
 	from := h.News[0]
-	if have := n.version(); from.Configured > have && n.configPull.due(now, n.patience(from, have > 0)) {
+	if have := n.configVersion(); from.Configured > have && n.configPull.due(now, n.patience(from, have > 0)) {
 		go n.pullConfig(from.Link, have)
 	}
 	n.followMu.Lock()
-	behind, have := n.replicas.log.IsBehind(h.Changed), n.replicas.log.Revision()
+	behind, have := n.replicas.changeLog.IsBehind(h.Changed), n.replicas.changeLog.Revision()
 	n.followMu.Unlock()
 	if behind && n.listPull.due(now, n.patience(from, have > 0)) {
 		go n.pullReplicas(from.Link, have)
@@ -111,7 +111,7 @@
 		event.NodeConfigBroken.Log(n.log, "from", addr, "error", err)
 		return
 	}
-	n.offer(text, "peer")
+	n.offerConfiguration(text, "peer")
 }
 
 // countPull counts what a peer of another region has told.
@@ -144,7 +144,7 @@
 		return &pb.Config{}
 	}
 	packed := raw.forPeers()
-	if !n.telling.may(n.now(), len(packed), n.settings.LinkBytes) {
+	if !n.telling.allow(n.now(), len(packed), n.settings.LinkBytes) {
 		n.counters.toldBusy.Inc(1)
 		return &pb.Config{Busy: true}
 	}
@@ -173,12 +173,12 @@
 		told.Entries = append(told.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Deleted: e.Gone})
 	}
 	n.followMu.Lock()
-	n.replicas.log.ApplyUpdate(told)
+	n.replicas.changeLog.ApplyUpdate(told)
 	n.followMu.Unlock()
 	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.Revision)
 	n.publish()
 	if have == 0 {
-		n.tell() // others may have started with this one
+		n.sendHeartbeats() // others may have started with this one
 	}
 }
 
@@ -190,14 +190,14 @@
 		return &pb.ReplicaChanges{}
 	}
 	n.followMu.Lock()
-	changed := n.replicas.log.LastChange()
+	changed := n.replicas.changeLog.LastChange()
 	n.followMu.Unlock()
-	answer, size := n.telling.made(ask.Have, changed)
+	answer, size := n.telling.cached(ask.Have, changed)
 	if answer == nil {
 		answer, size = n.makeAnswer(ask.Have)
-		n.telling.keep(ask.Have, changed, answer, size)
+		n.telling.store(ask.Have, changed, answer, size)
 	}
-	if !n.telling.may(n.now(), size, n.settings.LinkBytes) {
+	if !n.telling.allow(n.now(), size, n.settings.LinkBytes) {
 		n.counters.toldBusy.Inc(1)
 		return &pb.ReplicaChanges{Busy: true}
 	}
@@ -208,14 +208,14 @@
 // size in bytes; a long answer is compressed.
 func (n *Node) makeAnswer(have uint64) (*pb.ReplicaChanges, int) {
 	n.followMu.Lock()
-	a := n.replicas.log.UpdateSince(have)
+	a := n.replicas.changeLog.UpdateSince(have)
 	n.followMu.Unlock()
 	out := &pb.ReplicaChanges{Whole: a.Full, Gapped: a.HasGap, At: a.Revision, Changed: a.LastChange}
 	for _, e := range a.Entries {
 		out.Entries = append(out.Entries, &pb.ReplicaEntry{Id: e.ID, Value: e.Value, Revision: e.Revision, Gone: e.Deleted})
 	}
 	size := proto.Size(out)
-	if size < packFrom {
+	if size < compressFrom {
 		return out, size
 	}
 	text, err := proto.Marshal(out)
--- a/cmd/node/pulse.go
+++ b/cmd/node/pulse.go
@@ -10,78 +10,80 @@
 )
 
 const (
-	// pulseEach is how often a reader asks whether the store answers: a watch
-	// that the store missed is given up so long after its return, within the time
-	// in which the settings want a configuration in force.
-	pulseEach = 1500 * time.Millisecond
-	pulseFor  = 700 * time.Millisecond // that an answer may take
+	// storeProbeInterval is the interval between a reader's probes of the store. A watch
+	// that the store missed is abandoned at most this long after the store is back, within
+	// the time in which the settings require a configuration to be in force.
+	storeProbeInterval = 1500 * time.Millisecond
+	storeProbeTimeout  = 700 * time.Millisecond
 )
 
-// pulse knows whether the store has been silent. A store that was away never
-// answers the calls that it missed, and a watch would wait for its whole time.
-type pulse struct {
-	mu       sync.Mutex
-	silent   bool
-	returned chan struct{} // closed when it answers again
+// storeMonitor tracks whether the store is responsive. A store that was unavailable
+// never answers the calls that it missed, so a watch would wait until its timeout.
+type storeMonitor struct {
+	mu           sync.Mutex
+	unresponsive bool
+	recovered    chan struct{} // closed when the store answers again
 }
 
-func newPulse() *pulse { return &pulse{returned: make(chan struct{})} }
+func newStoreMonitor() *storeMonitor { return &storeMonitor{recovered: make(chan struct{})} }
 
-// back returns what is closed when the store answers again after a silence.
-func (p *pulse) back() <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.returned
+// recovery returns a channel that is closed when the store answers again after it was
+// unresponsive.
+func (m *storeMonitor) recovery() <-chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.recovered
 }
 
-// note takes in whether the store has just answered, and reports whether that
-// is news.
-func (p *pulse) note(answered bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	news := p.silent == answered
-	if news && answered {
-		close(p.returned)
-		p.returned = make(chan struct{})
+// record records the result of a probe, and reports whether it differs from the previous
+// one.
+func (m *storeMonitor) record(answered bool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	changed := m.unresponsive == answered
+	if changed && answered {
+		close(m.recovered)
+		m.recovered = make(chan struct{})
 	}
-	p.silent = !answered
-	return news
+	m.unresponsive = !answered
+	return changed
 }
 
-// missed has all that waits for the store given up, as after a silence.
-func (p *pulse) missed() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	close(p.returned)
-	p.returned = make(chan struct{})
+// abandonCalls makes all pending calls to the store end, as after an unresponsive
+// period.
+func (m *storeMonitor) abandonCalls() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	close(m.recovered)
+	m.recovered = make(chan struct{})
 }
 
-// isSilent reports whether the last question had no answer.
-func (p *pulse) isSilent() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.silent
+// isUnresponsive reports whether the last probe was not answered.
+func (m *storeMonitor) isUnresponsive() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.unresponsive
 }
 
-// feelPulse asks the store now and then while this instance reads it for others,
-// and tells the others whether it answers: a wait for changes shows a silence
-// only at its end. Who did not reach the store goes on asking until it does, as
-// it would else be passed over as a reader for good.
-func (n *Node) feelPulse(ctx context.Context) {
-	var since time.Duration // when the silence began
-	process.Every(ctx, pulseEach, func() {
-		if !n.reads.Load() && !n.blind() {
+// monitorStore probes the store regularly while this instance is a reader, and announces
+// the result to the other instances: a wait for changes reveals an unresponsive store
+// only at its end. An instance that could not reach the store goes on probing until it
+// can, because it would otherwise never be selected as a reader again.
+func (n *Node) monitorStore(ctx context.Context) {
+	var silentSince time.Duration // start of the unresponsive period
+	process.Every(ctx, storeProbeInterval, func() {
+		if !n.reads.Load() && !n.storeUnreachable() {
 			return
 		}
-		err := n.store.Answers(pulseFor)
-		n.sees(err == nil)
-		switch news := n.pulse.note(err == nil); {
-		case news && err != nil:
-			since = n.now()
+		err := n.store.Answers(storeProbeTimeout)
+		n.setStoreReachable(err == nil)
+		switch changed := n.pulse.record(err == nil); {
+		case changed && err != nil:
+			silentSince = n.now()
 			n.counters.silences.Inc(1)
 			event.NodeStoreSilent.Log(n.log, "error", err)
-		case news:
-			event.NodeStoreAnswers.Log(n.log, "after", n.now()-since)
+		case changed:
+			event.NodeStoreAnswers.Log(n.log, "after", n.now()-silentSince)
 		}
 	})
 }
--- a/cmd/node/pulse_test.go
+++ b/cmd/node/pulse_test.go
@@ -7,53 +7,53 @@
 	"github.com/matryer/is"
 )
 
-// A reader's watch that the store had missed in an outage waited 8.7 s in all,
-// past the time in which a configuration must be in force.
-func TestACallThatTheStoreMissedIsGivenUpWhenItIsBack(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // a call that waits for good fails the test at once
+// A reader's watch that the store had missed in an outage lasted 8.7 s in total, longer
+// than the time in which a configuration must be in force.
+func TestLostStoreCallIsAbandonedOnRecovery(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { // a call that blocks forever fails the test at once
 		is := is.New(t)
-		p := newPulse()
-		missed := make(chan struct{})
-		defer close(missed)
-		f := &follow{back: p.back}
-		began := make(chan struct{})
+		p := newStoreMonitor()
+		hang := make(chan struct{})
+		defer close(hang)
+		f := &topicFollower{storeRecovery: p.recovery}
+		started := make(chan struct{})
 		ended := make(chan error)
 		go func() {
-			ended <- f.await(func() (func(), error) {
-				close(began)
-				<-missed
+			ended <- f.applyCall(func() (func(), error) {
+				close(started)
+				<-hang
 				return nil, nil
 			})
 		}()
-		<-began
-		p.note(true) // it answers as before
+		<-started
+		p.record(true) // responsive as before
 		synctest.Wait()
 		select {
 		case err := <-ended:
-			t.Fatalf("given up without a silence: %v", err)
+			t.Fatalf("abandoned although the store was responsive: %v", err)
 		default:
 		}
-		p.note(false)
-		p.note(true)
-		is.Equal(<-ended, errMissed)
+		p.record(false)
+		p.record(true)
+		is.Equal(<-ended, errCallAbandoned)
 	})
 }
 
-func TestAnAnswerIsTakenIn(t *testing.T) {
+func TestStoreAnswerIsApplied(t *testing.T) {
 	is := is.New(t)
-	taken := false
-	f := &follow{back: newPulse().back}
-	is.NoErr(f.await(func() (func(), error) { return func() { taken = true }, nil }))
-	is.True(taken)
+	applied := false
+	f := &topicFollower{storeRecovery: newStoreMonitor().recovery}
+	is.NoErr(f.applyCall(func() (func(), error) { return func() { applied = true }, nil }))
+	is.True(applied)
 }
 
-// Silences and returns are logged once each, not with every question.
-func TestOnlyAChangeOfTheStoresSilenceIsNews(t *testing.T) {
+// An unresponsive store and its recovery are logged once each, not with every probe.
+func TestStoreMonitorReportsOnlyChanges(t *testing.T) {
 	is := is.New(t)
-	p := newPulse()
-	var news []bool
+	p := newStoreMonitor()
+	var changes []bool
 	for _, answered := range []bool{true, false, false, true, true} {
-		news = append(news, p.note(answered))
+		changes = append(changes, p.record(answered))
 	}
-	is.Equal(news, []bool{false, true, false, true, false})
+	is.Equal(changes, []bool{false, true, false, true, false})
 }
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -24,8 +24,8 @@
 	mu     sync.Mutex
 	book   *quarantine.Tracker
 	told   time.Duration                                  // when others were last told of a change alone
-	looks  map[string]*look                               // by life
-	ends   map[string]*lifeEnds                           // by listed life
+	looks  map[string]*livenessProbe                      // by life
+	ends   map[string]*incarnationEnds                    // by listed life
 	trials map[quarantine.Fingerprint]chan struct{}       // under way, as their arbiter; closed when one ends
 	places map[string]map[quarantine.Fingerprint]struct{} // by replica: suspects that this instance runs there
 }
@@ -33,8 +33,8 @@
 func newQuarantined(spread float64) *quarantined {
 	return &quarantined{
 		book:   quarantine.New(quarantine.DefaultOptions(), int(spread*quarantineTurns)),
-		looks:  make(map[string]*look),
-		ends:   make(map[string]*lifeEnds),
+		looks:  make(map[string]*livenessProbe),
+		ends:   make(map[string]*incarnationEnds),
 		trials: make(map[quarantine.Fingerprint]chan struct{}),
 		places: make(map[string]map[quarantine.Fingerprint]struct{}),
 	}
@@ -84,7 +84,7 @@
 	}
 	q.mu.Unlock()
 	if due {
-		n.tell()
+		n.sendHeartbeats()
 	}
 }
 
@@ -175,7 +175,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for id, l := range q.looks {
-		if n.now()-l.began > lookHolds {
+		if n.now()-l.startedAt > livenessProbeTTL {
 			delete(q.looks, id)
 		}
 	}
--- a/cmd/node/quarantine_test.go
+++ b/cmd/node/quarantine_test.go
@@ -16,7 +16,7 @@
 // heartbeat no more than what is told in turn.
 func TestWhatTheQuarantineCostsAHeartbeat(t *testing.T) {
 	is := is.New(t)
-	n := nodeOfTwo()
+	n := newTwoReplicaNode()
 	size := func() int { return proto.Size(&pb.Heartbeat{Quarantine: n.quarantineNews()}) }
 	is.Equal(size(), 0)
 	for f := 1; f <= 100; f++ {
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	leaseFor      = 5 * time.Minute // of an instance's entry: longer than outages of the store, after which it is still to be found
-	renewEach     = time.Minute
-	aloneFor      = 250 * time.Millisecond // from the start, until an instance that hears of nobody asks the store
-	greetEach     = 30 * time.Millisecond  // until then, between messages to the seeds, which may start some ms later
-	registerAfter = 750 * time.Millisecond // from then on: heartbeats tell who else there is
+	registrationTTL           = 5 * time.Minute // of an instance's entry; exceeds the store's outages, so that the entry is still there afterwards
+	registrationRenewInterval = time.Minute
+	discoveryTimeout          = 250 * time.Millisecond // from the start, until an instance that has discovered no peer relies on the store
+	discoveryInterval         = 30 * time.Millisecond  // until then, between messages to the seeds, which may start some ms later
+	registrationDelay         = 750 * time.Millisecond // after discovery; by then heartbeats have announced the other instances
 )
 
-// register keeps the entry of an instance that reads in the store, from which
-// those that start later learn of it, and reads the others' once.
-func (n *Node) register(ctx context.Context) {
-	var lease uint64 // the store's number of it; 0: none is held
-	n.greet(ctx)
-	if n.size() == 1 {
-		n.logAside("instances", "store", n.meet()) // the seeds may be gone; those that read before may be back
+// keepRegistered keeps the entry of a reader in the store, from which instances that
+// start later discover it, and reads the other entries when it registers.
+func (n *Node) keepRegistered(ctx context.Context) {
+	var lease uint64 // the store's lease ID; 0 if none is held
+	n.discoverPeers(ctx)
+	if n.liveInstanceCount() == 1 {
+		n.logAside("instances", "store", n.mergeRegistered()) // the seeds may be gone; earlier readers may be back
 	}
-	process.Pause(ctx, registerAfter)
+	process.Pause(ctx, registrationDelay)
 	for ctx.Err() == nil {
 		if lease == 0 && !n.reads.Load() {
-			process.Pause(ctx, roleLook)
+			process.Pause(ctx, readerCheckInterval)
 			continue
 		}
-		err := n.renew(&lease)
+		err := n.renewRegistration(&lease)
 		if err == nil {
-			if !process.Pause(ctx, renewEach) {
+			if !process.Pause(ctx, registrationRenewInterval) {
 				return
 			}
 			continue
@@ -47,62 +47,63 @@
 		if errors.Is(err, platform.ErrNoLease) {
 			lease = 0
 		}
-		if !process.Pause(ctx, retryMost) {
+		if !process.Pause(ctx, maxStoreRetryDelay) {
 			return
 		}
 	}
 }
 
-// greet tells the seeds, and those whom the store names, of this instance until
-// somebody is heard of or aloneFor is over: where all start at once, what they
-// can serve waits for their meeting, and the seeds may be the last to start.
-// The store's entries are of earlier lives; they are no sign that one lives.
-func (n *Node) greet(ctx context.Context) {
-	registered := make(chan []string, 1)
-	go func() { registered <- n.registered() }()
-	var others []string
-	for n.now() < aloneFor && n.size() == 1 {
+// discoverPeers announces this instance to the seeds and to the instances registered in
+// the store until a peer is discovered or discoveryTimeout has passed. When all
+// instances start together, they can't serve before they have met, and the seeds may be
+// the last to start. The store's entries may stem from earlier incarnations, so they
+// don't prove that an instance is alive.
+func (n *Node) discoverPeers(ctx context.Context) {
+	addresses := make(chan []string, 1)
+	go func() { addresses <- n.registeredAddresses() }()
+	var known []string
+	for n.now() < discoveryTimeout && n.liveInstanceCount() == 1 {
 		select {
-		case others = <-registered:
+		case known = <-addresses:
 		default:
 		}
-		n.tellSeeds()
-		n.introduce(others)
-		if !process.Pause(ctx, greetEach) {
+		n.announceToSeeds()
+		n.announceSelf(known)
+		if !process.Pause(ctx, discoveryInterval) {
 			return
 		}
 	}
 }
 
-func (n *Node) renew(lease *uint64) error {
+func (n *Node) renewRegistration(lease *uint64) error {
 	if *lease != 0 {
 		return n.store.Keep(*lease)
 	}
-	got, err := n.store.Lease(leaseFor)
+	granted, err := n.store.Lease(registrationTTL)
 	if err != nil {
 		return err
 	}
 	n.gossipMu.Lock()
 	self := n.members.Self()
 	n.gossipMu.Unlock()
-	entry, err := proto.Marshal(newsOf(self))
+	entry, err := proto.Marshal(encodeInstance(self))
 	if err != nil {
 		return err
 	}
-	if err := n.store.Register(self.Name, entry, got); err != nil {
+	if err := n.store.Register(self.Name, entry, granted); err != nil {
 		return err
 	}
-	*lease = got
-	return n.meet()
+	*lease = granted
+	return n.mergeRegistered()
 }
 
-// meet learns of the instances that the store names.
-func (n *Node) meet() error {
-	entries, err := n.entries()
+// mergeRegistered adds the instances registered in the store to the view.
+func (n *Node) mergeRegistered() error {
+	entries, err := n.registeredInstances()
 	if err != nil {
 		return err
 	}
-	defer n.tell()
+	defer n.sendHeartbeats()
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	for _, i := range entries {
@@ -112,27 +113,28 @@
 	return nil
 }
 
-// entries reads the instances' entries in the store.
-func (n *Node) entries() ([]gossip.Instance, error) {
+// registeredInstances reads the instances' entries in the store.
+func (n *Node) registeredInstances() ([]gossip.Instance, error) {
 	items, err := n.store.Instances()
 	if err != nil {
 		return nil, err
 	}
 	out := make([]gossip.Instance, 0, len(items))
 	for name, data := range items {
-		news := &pb.InstanceNews{}
-		if proto.Unmarshal(data, news) != nil || !strings.EqualFold(news.Name, name) {
+		entry := &pb.InstanceNews{}
+		if proto.Unmarshal(data, entry) != nil || !strings.EqualFold(entry.Name, name) {
 			event.NodeEntryBroken.Log(n.log, "name", name)
 			continue
 		}
-		out = append(out, instanceOf(news))
+		out = append(out, decodeInstance(entry))
 	}
 	return out, nil
 }
 
-// registered returns where the others that the store names take heartbeats.
-func (n *Node) registered() []string {
-	entries, err := n.entries()
+// registeredAddresses returns the heartbeat addresses of the other instances that are
+// registered in the store.
+func (n *Node) registeredAddresses() []string {
+	entries, err := n.registeredInstances()
 	n.logAside("instances", "store", err)
 	var out []string
 	for _, i := range entries {
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -84,7 +84,7 @@
 func (s *serving) servable() error {
 	w := s.node.world.Load()
 	now := s.node.now()
-	listed := permitted(s.homes(), w.services[s.service.Name])
+	listed := permitted(s.homes(), w.eligibleByService[s.service.Name])
 	if len(listed) == 0 {
 		return s.allLeave(w)
 	}
@@ -105,9 +105,9 @@
 }
 
 // allLeave tells whether there are replicas for the request, all of which leave.
-func (s *serving) allLeave(w *world) error {
+func (s *serving) allLeave(w *snapshot) error {
 	leaves := false
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if r.Service != s.service.Name {
 			continue
 		}
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -83,12 +83,12 @@
 
 // startedAgain takes in that replicas have started again, by the world in which
 // their last life served.
-func (r *rollouts) startedAgain(now time.Duration, w *world, replicas []catalog.Replica) {
+func (r *rollouts) startedAgain(now time.Duration, w *snapshot, replicas []catalog.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range replicas {
 		x := &replicas[i]
-		if m := w.moves[x.Service]; m != nil && m.chosen[x.ID] {
+		if m := w.rolloutByService[x.Service]; m != nil && m.chosen[x.ID] {
 			r.view.RecordRestart(now, x.Service, x.Version)
 		}
 	}
@@ -159,9 +159,9 @@
 	for _, c := range changes {
 		n.logRollout(now, from, &c)
 	}
-	n.tell()
+	n.sendHeartbeats()
 	if from == fromStore || from == n.settings.Name {
-		n.tellHall()
+		n.announceToHall()
 	}
 }
 
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -91,7 +91,7 @@
 	}
 	l := a.look
 	go func() {
-		if n.awaitLook(context.Background(), l) {
+		if n.awaitLivenessProbe(context.Background(), l) {
 			out.says = ending.ReplicaCrashed.Evidence().Version
 		}
 		n.answered(out)
@@ -102,14 +102,14 @@
 func (n *Node) versionOf(id string) string {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.lives[id].replica.Version
+	return n.replicas.byIncarnation[id].replica.Version
 }
 
 // leaveResults ends a call of pieces whose results lie at its replica: in a
 // roll-out the replica is needed as long as they are kept.
 func (c *cell) leaveResults(service string, leave func()) {
 	w := c.owner.node.world.Load()
-	if w.moves[service] == nil || w.config == nil || w.config.Services[service] == nil || w.config.Services[service].Pool == nil {
+	if w.rolloutByService[service] == nil || w.config == nil || w.config.Services[service] == nil || w.config.Services[service].Pool == nil {
 		leave()
 		return
 	}
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -29,13 +29,13 @@
 
 // part puts the roll-outs into a world that is being made: what each service's
 // version gets, and which replicas get nothing.
-func (r *rollouts) part(now time.Duration, w *world) {
+func (r *rollouts) part(now time.Duration, w *snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.Empty() {
 		return
 	}
-	w.moves = make(map[string]*move)
+	w.rolloutByService = make(map[string]*move)
 	clear(r.others)
 	clear(r.moved)
 	for _, s := range r.view.Active() {
@@ -44,7 +44,7 @@
 		}
 		m := &move{order: s.Revision, target: s.Target, share: s.Share(now, r.canary), newer: make(map[string]bool)}
 		var ready []string
-		for _, x := range w.all {
+		for _, x := range w.replicas {
 			switch {
 			case x.Service != s.Service:
 			case x.Version == s.Target:
@@ -58,18 +58,18 @@
 			}
 		}
 		m.chosen = s.SelectReplicas(now, r.canary, ready)
-		w.moves[s.Service] = m
+		w.rolloutByService[s.Service] = m
 		r.moved[s.Service] = m.share >= 1
 	}
-	for i := range w.all {
-		x := &w.all[i]
+	for i := range w.replicas {
+		x := &w.replicas[i]
 		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.others[x.Service], r.moved[x.Service]) || r.poolHeld(w, x)
 	}
 }
 
 // poolHeld reports whether a pool's scheduler is to pass over a new replica for now.
-func (r *rollouts) poolHeld(w *world, x *catalog.Replica) bool {
-	m := w.moves[x.Service]
+func (r *rollouts) poolHeld(w *snapshot, x *catalog.Replica) bool {
+	m := w.rolloutByService[x.Service]
 	if m == nil || m.older == 0 || m.share >= 1 || !m.newer[x.ID] || w.config == nil {
 		return false
 	}
@@ -161,8 +161,8 @@
 
 // sides parts replicas of the request's service in a roll-out: the new ones that
 // it may go to, and the old ones.
-func (s *serving) sides(w *world, all []catalog.Replica) (newer, older []catalog.Replica) {
-	m := w.moves[s.service.Name]
+func (s *serving) sides(w *snapshot, all []catalog.Replica) (newer, older []catalog.Replica) {
+	m := w.rolloutByService[s.service.Name]
 	if m == nil {
 		return nil, all
 	}
@@ -180,8 +180,8 @@
 
 // mayNewer reports whether the request may go to its service's new version. One
 // that comes again goes to an old replica, where there is one.
-func (s *serving) mayNewer(w *world) bool {
-	m := w.moves[s.service.Name]
+func (s *serving) mayNewer(w *snapshot) bool {
+	m := w.rolloutByService[s.service.Name]
 	if m == nil {
 		return false
 	}
@@ -192,8 +192,8 @@
 }
 
 // aside returns the engines of a service that a request is kept from by a roll-out.
-func (w *world) aside(service string, newer bool) []string {
-	m := w.moves[service]
+func (w *snapshot) aside(service string, newer bool) []string {
+	m := w.rolloutByService[service]
 	if m == nil || m.older == 0 {
 		return nil
 	}
@@ -201,7 +201,7 @@
 		return slices.Collect(maps.Keys(m.newer))
 	}
 	var out []string
-	for _, r := range w.services[service] {
+	for _, r := range w.eligibleByService[service] {
 		if !m.chosen[r.ID] {
 			out = append(out, r.ID)
 		}
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -42,11 +42,11 @@
 			n.logShares(standing, shares)
 		}
 		look++
-		alive := n.alive()
+		alive := n.liveInstances()
 		for i := range led {
 			s := &led[i]
 			ranked := rankJudges(s.Service, alive)
-			if look%int(beatEach/lookEach) == 0 && s.Phase < rollout.Rejected {
+			if look%int(heartbeatInterval/lookEach) == 0 && s.Phase < rollout.Rejected {
 				n.reportTo(s, ranked)
 			}
 			n.lead(s, ranked)
@@ -65,7 +65,7 @@
 func (n *Node) sharesChange(standing []rollout.OrderState, shares map[string]rolloutShare) bool {
 	now, w := n.now(), n.world.Load()
 	for i := range standing {
-		m := w.moves[standing[i].Service]
+		m := w.rolloutByService[standing[i].Service]
 		if standing[i].IsFinished(now) {
 			if m != nil {
 				return true
@@ -85,7 +85,7 @@
 func (n *Node) logShares(standing []rollout.OrderState, shares map[string]rolloutShare) {
 	w := n.world.Load()
 	for i := range standing {
-		m := w.moves[standing[i].Service]
+		m := w.rolloutByService[standing[i].Service]
 		if m == nil {
 			continue
 		}
@@ -109,7 +109,7 @@
 	defer r.mu.Unlock()
 	changed := false
 	for _, s := range standing {
-		service, m := w.config.Services[s.Service], w.moves[s.Service]
+		service, m := w.config.Services[s.Service], w.rolloutByService[s.Service]
 		if service == nil || service.Pool == nil || m == nil {
 			continue
 		}
@@ -132,7 +132,7 @@
 // reportTo tells those who judge an order what this instance has seen of it.
 func (n *Node) reportTo(s *rollout.OrderState, ranked []gossip.Instance) {
 	n.gossipMu.Lock()
-	self := newsOf(n.members.Self())
+	self := encodeInstance(n.members.Self())
 	n.gossipMu.Unlock()
 	n.rollouts.mu.Lock()
 	parts := reportNews(s.Revision, n.rollouts.report(s))
@@ -205,10 +205,10 @@
 func (n *Node) rolloutFacts(now time.Duration, s *rollout.OrderState) *rollout.Inputs {
 	w := n.world.Load()
 	r := n.rollouts
-	alive := n.alive()
+	alive := n.liveInstances()
 	f := &rollout.Inputs{Order: *s, Slack: r.slack}
 	f.Configured = w.config != nil && w.config.Services[s.Service] != nil
-	for _, x := range w.all {
+	for _, x := range w.replicas {
 		switch {
 		case x.Service != s.Service || x.Draining || x.HallDrained:
 		case x.Version != s.Target:
@@ -273,7 +273,7 @@
 	o.status, o.calling = status, false
 	o.due, o.pause = n.now(), 0
 	if err != nil {
-		o.wait = min(max(2*o.wait, retryFirst), retryMost)
+		o.wait = min(max(2*o.wait, minStoreRetryDelay), maxStoreRetryDelay)
 		o.pause = o.wait
 		return
 	}
--- a/cmd/node/rollout_test.go
+++ b/cmd/node/rollout_test.go
@@ -14,10 +14,10 @@
 	"quinceroad/state/catalog"
 )
 
-func worldOf(versions ...string) *world {
-	w := &world{}
+func worldOf(versions ...string) *snapshot {
+	w := &snapshot{}
 	for i, v := range versions {
-		w.all = append(w.all, catalog.Replica{ID: fmt.Sprint("r", i), Service: "s", Version: v})
+		w.replicas = append(w.replicas, catalog.Replica{ID: fmt.Sprint("r", i), Service: "s", Version: v})
 	}
 	return w
 }
@@ -33,12 +33,12 @@
 		r.view.SetPhase(3, 5, phase)
 		w := worldOf("v1", "v1", "v2")
 		r.part(4, w)
-		for _, x := range w.all {
+		for _, x := range w.replicas {
 			is.Equal(x.AcceptsWork(), x.Version == "v1")
 		}
 		for range 10 {
-			is.True(r.mayNewer(w.moves["s"], "a", 1))
-			is.True(r.maySend(w.moves["s"], "a", "r0", 1))
+			is.True(r.mayNewer(w.rolloutByService["s"], "a", 1))
+			is.True(r.maySend(w.rolloutByService["s"], "a", "r0", 1))
 		}
 	}
 }
@@ -50,11 +50,11 @@
 	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	r.view.SetPhase(1, 3, rollout.Canary)
 	w := worldOf("v1", "v2", "v2")
-	w.all[0].HallDrained = true
+	w.replicas[0].HallDrained = true
 	r.part(4, w)
 	sent := 0
 	for range 100 {
-		if r.maySend(w.moves["s"], "a", "r1", 1) {
+		if r.maySend(w.rolloutByService["s"], "a", "r1", 1) {
 			sent++
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 	reports := rollout.NewReports()
 	for _, p := range reportNews(3, rep) {
-		is.True(proto.Size(p) < packFrom)
+		is.True(proto.Size(p) < compressFrom)
 		reports.Merge("n1", 1, reportOf(p))
 	}
 	rows, _, _ := reports.Sums()
@@ -85,13 +85,13 @@
 // and again: it is counted once.
 func TestAReportIsCountedOnceWhateverStartsAgain(t *testing.T) {
 	is := is.New(t)
-	n := nodeOfTwo()
+	n := newTwoReplicaNode()
 	n.rollouts.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	rep := rollout.Report{Sequence: 1, Rows: map[rollout.RowKey]*rollout.Tally{{Route: "a", Replica: "v0"}: {Failed: 1}}}
 	told := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: reportNews(3, rep)}}
 	for _, life := range []string{"v0", "v0@1", "v0@2", "v0@3"} {
 		w := *n.world.Load()
-		w.lifeByName = map[string]string{"v0": life}
+		w.incarnationByName = map[string]string{"v0": life}
 		n.world.Store(&w)
 		n.takeRollouts(told)
 	}
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -42,14 +42,14 @@
 	node        *Node
 	w           http.ResponseWriter
 	req         *exchange.Request
-	world       *world
+	world       *snapshot
 	route       *catalog.Route
 	service     *catalog.Service
 	customer    string
 	rank        int
 	record      *outcome.Record
 	end         time.Duration          // by when it must be answered, by the process's clock
-	look        *look                  // whether the replica of its last attempt has ended; nil: nobody asked
+	look        *livenessProbe         // whether the replica of its last attempt has ended; nil: nobody asked
 	trial       *trial                 // its turn, once it is a suspect
 	fingerprint quarantine.Fingerprint // of what its caller repeats when it comes again
 
@@ -136,7 +136,7 @@
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
 	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
-	if !world.listed {
+	if !world.replicasLoaded {
 		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: errNoReplicas.Error()}
 	}
 	if s.service == nil {
@@ -172,7 +172,7 @@
 // rates runs f on what is known of the request's service.
 func (s *serving) rates(f func(*serviceRates)) {
 	n := s.node
-	instances := float64(n.size())
+	instances := float64(n.liveInstanceCount())
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	r := n.rates[s.service.Name]
@@ -279,7 +279,7 @@
 		t.end()
 	default:
 		go func() {
-			s.node.awaitLook(context.Background(), l)
+			s.node.awaitLivenessProbe(context.Background(), l)
 			t.end()
 		}()
 	}
--- a/cmd/node/silence_test.go
+++ b/cmd/node/silence_test.go
@@ -16,24 +16,25 @@
 	"quinceroad/platform"
 )
 
-// The least that deployments have stated, and so the time from the end of a
-// disturbance until what was acknowledged since must be in force.
+// The lowest limits of all deployments, and the resulting time from the end of a
+// disturbance until the changes acknowledged since must be in force.
 const (
-	contactFor    = 3 * time.Second // until an instance is held to bounds again: kld-windhoek's and mfma-route's settings
+	contactFor    = 3 * time.Second // until an instance must meet its time limits again: settings of kld-windhoek and mfma-route
 	applyFor      = 2 * time.Second // until a configuration is in force: the same settings
 	inForceWithin = contactFor + applyFor
 )
 
-var errNoAnswer = errors.New("time-out")
+var errNoAnswer = errors.New("the store did not answer")
 
-// fakeStore is a store that falls silent: it never answers what it is asked
-// meanwhile. It holds a configuration and no replicas; time is the test's.
+// fakeStore is a store that can become unresponsive: it never answers calls that it
+// receives meanwhile. It holds a configuration and no replicas, and runs on the test's
+// fake clock.
 type fakeStore struct {
-	mu      sync.Mutex
-	version uint64
-	silent  bool
-	cut     bool          // what waits now has lost its connection; new calls are answered
-	changed chan struct{} // closed with every change
+	mu           sync.Mutex
+	version      uint64
+	unresponsive bool
+	stalled      bool          // connections of pending calls hang; new calls are answered
+	changed      chan struct{} // closed with every change
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{version: 1, changed: make(chan struct{})} }
@@ -46,29 +47,31 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *fakeStore) setSilent(silent bool) { s.update(func() { s.silent = silent }) }
-func (s *fakeStore) write(version uint64)  { s.update(func() { s.version = version }) }
+func (s *fakeStore) setUnresponsive(unresponsive bool) {
+	s.update(func() { s.unresponsive = unresponsive })
+}
+func (s *fakeStore) write(version uint64) { s.update(func() { s.version = version }) }
 
-// cutWaiting silences the connections of all calls that wait.
-func (s *fakeStore) cutWaiting() {
-	s.update(func() { s.cut = true })
+// stallPendingCalls makes the connections of all pending calls hang.
+func (s *fakeStore) stallPendingCalls() {
+	s.update(func() { s.stalled = true })
 	synctest.Wait()
-	s.update(func() { s.cut = false })
+	s.update(func() { s.stalled = false })
 }
 
-func (s *fakeStore) look() (version uint64, silent, cut bool, changed <-chan struct{}) {
+func (s *fakeStore) state() (version uint64, unresponsive, stalled bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.silent, s.cut, s.changed
+	return s.version, s.unresponsive, s.stalled, s.changed
 }
 
-func text(version uint64) []byte {
+func configText(version uint64) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)
 }
 
-func (s *fakeStore) Answers(within time.Duration) error {
-	if _, silent, _, _ := s.look(); silent {
-		time.Sleep(within)
+func (s *fakeStore) Answers(timeout time.Duration) error {
+	if _, unresponsive, _, _ := s.state(); unresponsive {
+		time.Sleep(timeout)
 		return errNoAnswer
 	}
 	return nil
@@ -78,32 +81,32 @@
 	if err := s.Answers(platform.CallTimeout); err != nil {
 		return platform.Intent{}, err
 	}
-	version, _, _, _ := s.look()
-	return platform.Intent{Configuration: text(version), At: version}, nil
+	version, _, _, _ := s.state()
+	return platform.Intent{Configuration: configText(version), At: version}, nil
 }
 
-// Watch is answered, when the store knows of it, with the next change or at the
-// end of the wait.
+// Watch returns the next change, or nothing at the end of the wait, unless the store has
+// missed the call.
 func (s *fakeStore) Watch(t platform.Topic, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
 	end := time.NewTimer(wait)
-	lost := time.NewTimer(max(wait+platform.WatchGrace, platform.CallTimeout))
-	version, silent, _, changed := s.look()
-	known, cut := !silent, false
+	timeout := time.NewTimer(max(wait+platform.WatchGrace, platform.CallTimeout))
+	version, unresponsive, _, changed := s.state()
+	received, stalled := !unresponsive, false
 	for {
-		if known && !silent && t == platform.TopicIntent && version > after {
-			return []platform.Item{platform.ConfigurationItem(text(version), version)}, version, nil
+		if received && !unresponsive && t == platform.TopicIntent && version > after {
+			return []platform.Item{platform.ConfigurationItem(configText(version), version)}, version, nil
 		}
 		select {
 		case <-changed:
 		case <-end.C:
-			if known && !silent {
+			if received && !unresponsive {
 				return nil, max(after, version), nil
 			}
-		case <-lost.C:
+		case <-timeout.C:
 			return nil, 0, errNoAnswer
 		}
-		version, silent, cut, changed = s.look()
-		known = known && !cut
+		version, unresponsive, stalled, changed = s.state()
+		received = received && !stalled
 	}
 }
 
@@ -125,8 +128,8 @@
 	return s.Answers(platform.CallTimeout)
 }
 
-// follower runs f beside a node that follows a fake store, in the test's time.
-func follower(t *testing.T, f func(t *testing.T, n *Node, s *fakeStore)) {
+// withFollower runs f with a node that follows a fake store, under a fake clock.
+func withFollower(t *testing.T, f func(t *testing.T, n *Node, s *fakeStore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := &platform.Settings{
@@ -138,105 +141,105 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		n.reads.Store(true)
 		var loops sync.WaitGroup
-		for _, loop := range []func(context.Context){n.followIntent, n.followReplicas, n.feelPulse} {
+		for _, loop := range []func(context.Context){n.followIntent, n.followReplicas, n.monitorStore} {
 			loops.Go(func() { loop(ctx) })
 		}
 		defer func() {
 			cancel()
 			loops.Wait()
-			time.Sleep(time.Minute) // calls that were given up end
+			time.Sleep(time.Minute) // abandoned calls end
 		}()
 		synctest.Wait()
 		f(t, n, s)
 	})
 }
 
-// inForce waits and fails the test unless the version is in force then.
-func inForce(t *testing.T, n *Node, version uint64, after time.Duration, what string) {
+// expectVersion waits, and fails the test unless the version is in force afterwards.
+func expectVersion(t *testing.T, n *Node, version uint64, after time.Duration, description string) {
 	t.Helper()
 	time.Sleep(after)
 	synctest.Wait()
-	if got := n.version(); got != version {
-		t.Errorf("%s: version %d in force, not %d", what, got, version)
+	if got := n.configVersion(); got != version {
+		t.Errorf("%s: version %d in force, not %d", description, got, version)
 	}
 }
 
-// inc1 on the landing before the last one: all watches ended in a silence, and
-// the next ones, begun in it, were missed.
-func TestAChangeAfterASilenceIsInForceInTime(t *testing.T) {
+// All watches ended while the store was unresponsive, and the store missed the calls
+// that followed them.
+func TestChangeAfterStoreSilenceAppliesInTime(t *testing.T) {
 	for silence := 500 * time.Millisecond; silence < 12*time.Second; silence += 500 * time.Millisecond {
-		follower(t, func(t *testing.T, n *Node, s *fakeStore) {
+		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 			s.write(2)
 			time.Sleep(300 * time.Millisecond)
-			s.setSilent(true)
+			s.setUnresponsive(true)
 			time.Sleep(silence)
-			s.setSilent(false)
+			s.setUnresponsive(false)
 			s.write(3)
-			inForce(t, n, 3, pulseEach+pulseFor, silence.String()) // a question is answered
+			expectVersion(t, n, 3, storeProbeInterval+storeProbeTimeout, silence.String()) // after a probe is answered
 		})
 	}
 }
 
-// Four instances took the readers' roles over 0.2 to 0.4 s before a silent
-// store's return. They had heard no silence, and waited 8.7 s for the answers to
-// what they had asked in it.
-func TestWhoBeginsToReadInASilenceIsNotLate(t *testing.T) {
-	for phase := time.Duration(0); phase < pulseEach; phase += 100 * time.Millisecond {
-		follower(t, func(t *testing.T, n *Node, s *fakeStore) {
+// Four instances became readers 0.2 to 0.4 s before an unresponsive store recovered.
+// They had not noticed that it was unresponsive, and waited 8.7 s for answers to the
+// calls that the store had missed.
+func TestNewReaderDuringStoreSilenceAppliesInTime(t *testing.T) {
+	for phase := time.Duration(0); phase < storeProbeInterval; phase += 100 * time.Millisecond {
+		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 			n.reads.Store(false)
-			time.Sleep(10*time.Second + phase) // what it had asked as a reader has ended
-			s.setSilent(true)
+			time.Sleep(10*time.Second + phase) // its calls as a reader have ended
+			s.setUnresponsive(true)
 			n.reads.Store(true)
 			time.Sleep(300 * time.Millisecond)
-			s.setSilent(false)
+			s.setUnresponsive(false)
 			s.write(2)
-			inForce(t, n, 2, platform.CallTimeout+retryMost, phase.String()) // its call ends, and it pauses
+			expectVersion(t, n, 2, platform.CallTimeout+maxStoreRetryDelay, phase.String()) // its call times out, and it pauses
 		})
 	}
 }
 
-// A connection may fall silent for good while the store answers on others.
-func TestAWatchWhoseConnectionFellSilentIsNotLate(t *testing.T) {
+// A connection may hang for good while the store answers on others.
+func TestChangeAppliesInTimeAfterWatchStalls(t *testing.T) {
 	for waited := 500 * time.Millisecond; waited < 8*time.Second; waited += 500 * time.Millisecond {
-		follower(t, func(t *testing.T, n *Node, s *fakeStore) {
+		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 			time.Sleep(waited)
-			s.cutWaiting()
+			s.stallPendingCalls()
 			s.write(2)
-			inForce(t, n, 2, inForceWithin, waited.String())
+			expectVersion(t, n, 2, inForceWithin, waited.String())
 		})
 	}
 }
 
-func TestAWaitIsBoundByWhatTheDeploymentWants(t *testing.T) {
+func TestWatchTimeFollowsSettings(t *testing.T) {
 	is := is.New(t)
 	wait := func(contact, apply, drain, empty time.Duration) time.Duration {
-		return watchFor(&platform.Settings{ContactFor: contact, ApplyFor: apply, DrainFor: drain, EmptyFor: empty})
+		return watchTimeFor(&platform.Settings{ContactFor: contact, ApplyFor: apply, DrainFor: drain, EmptyFor: empty})
 	}
 	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, 5*time.Second), 3300*time.Millisecond)
-	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas, too
-	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, time.Second), 2300*time.Millisecond)   // and an evacuation
-	is.Equal(wait(time.Minute, time.Second, time.Second, time.Second), mostWatch)
-	is.Equal(wait(0, 0, 0, 0), leastWatch)
+	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas has a limit as well
+	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, time.Second), 2300*time.Millisecond)   // so has the drain of a hall
+	is.Equal(wait(time.Minute, time.Second, time.Second, time.Second), maxWatchTime)
+	is.Equal(wait(0, 0, 0, 0), minWatchTime)
 }
 
-// A reader to whom the store is silent hands over only when it says so, and who
-// has handed over is taken for one that reaches the store only when it says that.
-func TestAReaderSaysSoonThatTheStoreIsSilentAndWhenItAnswers(t *testing.T) {
-	follower(t, func(t *testing.T, n *Node, s *fakeStore) {
+// A reader hands over an unresponsive store only once it announces that, and is
+// considered able to reach the store again only once it announces that too.
+func TestReaderAnnouncesStoreReachability(t *testing.T) {
+	withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 		is := is.New(t)
-		blind := func() bool {
+		unreachable := func() bool {
 			synctest.Wait()
-			return n.blind()
+			return n.storeUnreachable()
 		}
-		is.True(!blind())
-		s.setSilent(true)
-		time.Sleep(pulseEach + pulseFor + roleLook)
-		is.True(blind())
-		n.reads.Store(false) // another one has taken over
+		is.True(!unreachable())
+		s.setUnresponsive(true)
+		time.Sleep(storeProbeInterval + storeProbeTimeout + readerCheckInterval)
+		is.True(unreachable())
+		n.reads.Store(false) // another instance is the reader now
 		time.Sleep(time.Minute)
-		is.True(blind())
-		s.setSilent(false)
-		time.Sleep(pulseEach + roleLook)
-		is.True(!blind())
+		is.True(unreachable())
+		s.setUnresponsive(false)
+		time.Sleep(storeProbeInterval + readerCheckInterval)
+		is.True(!unreachable())
 	})
 }
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -11,13 +11,13 @@
 	"quinceroad/protocol/pb"
 )
 
-// speeds is what this instance and its peers observed of the engines' speeds.
-type speeds struct {
+// engineSpeeds holds the engine speeds that this instance and its peers have observed.
+type engineSpeeds struct {
 	mu      sync.Mutex
 	records speed.Records
 }
 
-// cellSpeed is what a cell knows of a service's engines.
+// cellSpeed is what a cell has observed of a service's engines.
 type cellSpeed struct {
 	origin  uint32
 	cell    int
@@ -25,24 +25,25 @@
 	figures speed.Figures
 }
 
-// noteSpeeds takes what the own cells observed among the records, and logs what
-// changed noticeably.
-func (n *Node) noteSpeeds() {
+// recordLocalSpeeds records the speeds that this instance's cells have observed, and
+// logs significant changes.
+func (n *Node) recordLocalSpeeds() {
 	now := n.now()
-	for _, o := range n.ownSpeeds() {
+	for _, o := range n.localSpeeds() {
 		n.speeds.mu.Lock()
-		news := n.speeds.records.RecordLocal(now, o.origin, o.service, o.figures)
+		changed := n.speeds.records.RecordLocal(now, o.origin, o.service, o.figures)
 		n.speeds.mu.Unlock()
-		if !news {
+		if !changed {
 			continue
 		}
-		n.gaugeSpeed(o.service, &o.figures)
+		n.updateSpeedGauges(o.service, &o.figures)
 		n.logSpeed(event.NodeSpeedLearned, o.cell, o.service, &o.figures)
 	}
 }
 
-// ownSpeeds returns what the own cells have observed enough of.
-func (n *Node) ownSpeeds() []cellSpeed {
+// localSpeeds returns the speeds for which this instance's cells have enough
+// observations.
+func (n *Node) localSpeeds() []cellSpeed {
 	n.gossipMu.Lock()
 	self := n.members.Self()
 	n.gossipMu.Unlock()
@@ -64,7 +65,7 @@
 		"likely_base", f.Likely.Base, "likely_per_token", f.Likely.PerToken, "per_out", f.PerOut, "longest", f.Longest, "count", f.Count)
 }
 
-func (n *Node) gaugeSpeed(service string, f *speed.Figures) {
+func (n *Node) updateSpeedGauges(service string, f *speed.Figures) {
 	set := func(name string, value time.Duration) {
 		metrics.GetOrRegisterGauge("node.engines."+service+"."+name, n.registry).Update(int64(value))
 	}
@@ -73,31 +74,31 @@
 	set("out_ns", f.PerOut)
 }
 
-// takeSpeeds takes in what a peer tells, for the own cells too that have
-// observed little.
-func (n *Node) takeSpeeds(told []*pb.EngineSpeed) {
+// mergeSpeeds merges the speeds received from a peer, and seeds those of this instance's
+// cells that have few observations.
+func (n *Node) mergeSpeeds(received []*pb.EngineSpeed) {
 	now := n.now()
-	fresh := make(map[string]speed.Figures)
+	updated := make(map[string]speed.Figures)
 	n.speeds.mu.Lock()
-	for _, p := range told {
-		if !n.speeds.records.Merge(now, recordOf(p)) {
+	for _, p := range received {
+		if !n.speeds.records.Merge(now, decodeSpeed(p)) {
 			continue
 		}
 		if f, ok := n.speeds.records.Combined(now, p.Service); ok {
-			fresh[p.Service] = f
+			updated[p.Service] = f
 		}
 	}
 	n.speeds.mu.Unlock()
-	if len(fresh) == 0 {
+	if len(updated) == 0 {
 		return
 	}
 	for _, c := range n.owner.all() {
-		c.knowSpeeds(fresh)
+		c.seedSpeeds(updated)
 	}
 }
 
-// knownSpeeds returns what peers know of the services in force.
-func (n *Node) knownSpeeds() map[string]speed.Figures {
+// combinedSpeeds returns the peers' combined speeds for the services in force.
+func (n *Node) combinedSpeeds() map[string]speed.Figures {
 	out := make(map[string]speed.Figures)
 	w, now := n.world.Load(), n.now()
 	if w.config == nil {
@@ -116,22 +117,22 @@
 	return out
 }
 
-// knowSpeeds begins with what peers know of engines.
-func (c *cell) knowSpeeds(known map[string]speed.Figures) {
+// seedSpeeds initializes a cell's engine speeds from those of peers.
+func (c *cell) seedSpeeds(speeds map[string]speed.Figures) {
 	n := c.owner.node
-	for service, f := range known {
+	for service, f := range speeds {
 		c.mu.Lock()
-		taken := c.engines.SeedSpeed(n.now(), service, f)
+		seeded := c.engines.SeedSpeed(n.now(), service, f)
 		c.mu.Unlock()
-		if taken {
+		if seeded {
 			n.logSpeed(event.NodeSpeedTold, c.number, service, &f)
 		}
 	}
 }
 
-// speedsToTell returns what one round of heartbeats tells; all: to an instance
-// that has just started.
-func (n *Node) speedsToTell(all bool) []*pb.EngineSpeed {
+// speedUpdates returns the speeds for one round of heartbeats, or all of them, for an
+// instance that has just started.
+func (n *Node) speedUpdates(all bool) []*pb.EngineSpeed {
 	n.speeds.mu.Lock()
 	defer n.speeds.mu.Unlock()
 	records := n.speeds.records.All(n.now())
@@ -140,12 +141,12 @@
 	}
 	out := make([]*pb.EngineSpeed, 0, len(records))
 	for _, r := range records {
-		out = append(out, toldOf(&r))
+		out = append(out, encodeSpeed(&r))
 	}
 	return out
 }
 
-func toldOf(r *speed.Record) *pb.EngineSpeed {
+func encodeSpeed(r *speed.Record) *pb.EngineSpeed {
 	f := &r.Figures
 	return &pb.EngineSpeed{
 		Service: r.Service, Origin: r.Origin, Count: uint32(f.Count), AgeS: uint32(r.Age.Seconds()),
@@ -155,7 +156,7 @@
 	}
 }
 
-func recordOf(p *pb.EngineSpeed) speed.Record {
+func decodeSpeed(p *pb.EngineSpeed) speed.Record {
 	return speed.Record{
 		Service: p.Service, Origin: p.Origin, Age: time.Duration(p.AgeS) * time.Second,
 		Figures: speed.Figures{
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -16,24 +16,25 @@
 	"quinceroad/state/catalog"
 )
 
-// owning returns a node whose configuration has one generating service, and its cell.
-func owning(name string) (*Node, *cell) {
+// newOwningNode returns a node whose configuration has one generating service, and its
+// cell.
+func newOwningNode(name string) (*Node, *cell) {
 	n := New(&platform.Settings{Name: name, Hall: "h", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
 	services := map[string]*catalog.Service{"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 100_000}}}
-	n.world.Store(&world{config: &catalog.Configuration{Services: services}, places: regions.New(nil)})
+	n.world.Store(&snapshot{config: &catalog.Configuration{Services: services}, regions: regions.New(nil)})
 	return n, n.owner.cell(0)
 }
 
-func (c *cell) figures() speed.Figures {
+func (c *cell) speedFigures() speed.Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engines.Speeds()["llm"].Figures()
 }
 
-// told is a heartbeat's part of what owners observed, over the wire.
-func told(t *testing.T, n *Node) []*pb.EngineSpeed {
+// announcedSpeeds returns the speeds of a node's heartbeat after encoding and decoding.
+func announcedSpeeds(t *testing.T, n *Node) []*pb.EngineSpeed {
 	t.Helper()
-	b, err := proto.Marshal(&pb.Heartbeat{Speeds: n.speedsToTell(false)})
+	b, err := proto.Marshal(&pb.Heartbeat{Speeds: n.speedUpdates(false)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,47 +45,47 @@
 	return h.Speeds
 }
 
-// A new owner, and one that had just begun, go by what the one before observed,
-// also where an instance in between told it on.
-func TestANewOwnerBeginsWithItsPeersFigures(t *testing.T) {
+// A new owner, and one that has few observations, start with the speeds that the
+// previous owner observed, also if these were relayed by another instance.
+func TestNewOwnerIsSeededWithPeerSpeeds(t *testing.T) {
 	is := is.New(t)
-	old, seen := owning("old")
-	seen.mu.Lock()
+	oldOwner, oldCell := newOwningNode("old")
+	oldCell.mu.Lock()
 	service := speed.New(speed.DefaultOptions())
-	seen.engines.Speeds()["llm"] = service
+	oldCell.engines.Speeds()["llm"] = service
 	for i := range 100 {
 		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.Replica{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
 	}
-	seen.mu.Unlock()
-	old.noteSpeeds()
-	between := New(&platform.Settings{Name: "between", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
-	between.takeSpeeds(told(t, old))
-	between.takeSpeeds(told(t, old)) // again
+	oldCell.mu.Unlock()
+	oldOwner.recordLocalSpeeds()
+	relay := New(&platform.Settings{Name: "between", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	relay.mergeSpeeds(announcedSpeeds(t, oldOwner))
+	relay.mergeSpeeds(announcedSpeeds(t, oldOwner)) // duplicate
 
-	begun, cell := owning("begun")
+	newOwner, cell := newOwningNode("begun")
 	cell.prepare()
-	begun.takeSpeeds(told(t, between))
-	is.True(cell.figures().Usual.PerToken < 10*time.Microsecond)
+	newOwner.mergeSpeeds(announcedSpeeds(t, relay))
+	is.True(cell.speedFigures().Usual.PerToken < 10*time.Microsecond)
 
-	late, _ := owning("late")
-	late.takeSpeeds(told(t, between))
-	cell = late.owner.cell(1)
+	lateOwner, _ := newOwningNode("late")
+	lateOwner.mergeSpeeds(announcedSpeeds(t, relay))
+	cell = lateOwner.owner.cell(1)
 	cell.prepare()
-	is.True(cell.figures().Usual.PerToken < 10*time.Microsecond)
-	is.True(cell.figures().Longest > 20_000)
+	is.True(cell.speedFigures().Usual.PerToken < 10*time.Microsecond)
+	is.True(cell.speedFigures().Longest > 20_000)
 }
 
-// A heartbeat stays one datagram, however many owners and services there are.
-func TestFewSpeedsAreToldAtOnce(t *testing.T) {
+// A heartbeat fits one datagram whatever the number of owners and services.
+func TestSpeedUpdatesAreBounded(t *testing.T) {
 	is := is.New(t)
-	n, _ := owning("n")
+	n, _ := newOwningNode("n")
 	f := speed.Prior(9 * time.Microsecond)
 	f.Count, f.Longest = 5000, 50_000
 	for i := range uint32(100) {
-		n.takeSpeeds([]*pb.EngineSpeed{toldOf(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Figures: f})})
+		n.mergeSpeeds([]*pb.EngineSpeed{encodeSpeed(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Figures: f})})
 	}
 	for range 50 {
-		is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedsToTell(false)}) < 200)
+		is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedUpdates(false)}) < 200)
 	}
-	is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedsToTell(true)}) < 200)
+	is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedUpdates(true)}) < 200)
 }
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -187,7 +187,7 @@
 // may; where none is, this instance, whom the client chose, owns the cell.
 func (n *Node) nextOwner(w *stageWork, tried map[string]bool) (gossip.Instance, bool) {
 	homes := w.homes()
-	for _, i := range ownership.Rank(n.alive(), int(w.ask.Cell), w.region) {
+	for _, i := range ownership.Rank(n.liveInstances(), int(w.ask.Cell), w.region) {
 		if !tried[i.Name] && homes.Allows(i.Region) {
 			return i, true
 		}
@@ -270,7 +270,7 @@
 				admitted = true
 				job.expects = expectationOf(r)
 			default:
-				job.handles, job.engine, job.fetch, job.beside = r.Handles, n.lifeOf(r.Engine), r.Fetch, int(r.Beside)
+				job.handles, job.engine, job.fetch, job.beside = r.Handles, n.incarnationOf(r.Engine), r.Fetch, int(r.Beside)
 				job.paced = r.Paced
 				return job, nil
 			}
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -101,7 +101,7 @@
 	if w.config == nil {
 		return errNoConfiguration
 	}
-	if !w.listed {
+	if !w.replicasLoaded {
 		return errNoReplicas
 	}
 	return nil
@@ -113,17 +113,17 @@
 	s := State{
 		Name:      n.settings.Name,
 		Build:     process.Build(),
-		Level:     thisLevel,
+		Level:     buildLevel,
 		Uptime:    n.now().Round(time.Millisecond).String(),
 		Stopping:  n.stopping.Load(),
 		InFlight:  n.inFlight.Load(),
 		Reads:     n.reads.Load(),
 		Wakes:     n.counters.wakes.Count(),
-		Silent:    n.pulse.isSilent(),
-		ListedAt:  n.listAt(),
-		Replicas:  make(map[string]int, len(w.services)),
+		Silent:    n.pulse.isUnresponsive(),
+		ListedAt:  n.replicasRevision(),
+		Replicas:  make(map[string]int, len(w.eligibleByService)),
 		Resting:   make(map[string]string),
-		Instances: n.alive(),
+		Instances: n.liveInstances(),
 		LinkedTo:  n.links.Len(),
 		Customers: n.customers.counts(),
 	}
@@ -134,7 +134,7 @@
 		}
 	})
 	s.Limited = n.limitedStates(w)
-	s.Leaving = append(s.Leaving, n.recentlyLeaving(mostLeavingTold)...)
+	s.Leaving = append(s.Leaving, n.recentDrainSigns(maxDrainsPerHeartbeat)...)
 	s.FleetLevel = n.level.inForce()
 	s.Waiting = level.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
@@ -142,7 +142,7 @@
 	n.followMu.Unlock()
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if r.StartMillis != 0 {
 			s.Lives++
 		}
@@ -153,11 +153,11 @@
 	if w.config != nil {
 		s.Version, s.Routes = w.config.Version, len(w.config.Routes)
 	}
-	for service, list := range w.services {
+	for service, list := range w.eligibleByService {
 		s.Replicas[service] = len(list)
 	}
 	s.Region, s.Regions = n.home, n.regionStates(w, s.Instances)
-	for id := range n.pausedReplicas() {
+	for id := range n.ejectedReplicas() {
 		s.LeftAlone = append(s.LeftAlone, id)
 	}
 	for _, c := range n.owner.all() {
@@ -175,9 +175,9 @@
 	return s
 }
 
-func (n *Node) regionStates(w *world, alive []gossip.Instance) map[string]RegionState {
+func (n *Node) regionStates(w *snapshot, alive []gossip.Instance) map[string]RegionState {
 	out := make(map[string]RegionState)
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		r := RegionState{Cells: w.cells(region), Trip: n.trip(region).String()}
 		r.Replicas = w.parts.takes[region]
 		for _, i := range alive {
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -146,7 +146,7 @@
 
 // followStatements takes in what time changes of statements.
 func (n *Node) followStatements(ctx context.Context) {
-	process.Every(ctx, beatEach, n.sweepStatements)
+	process.Every(ctx, heartbeatInterval, n.sweepStatements)
 }
 
 // sweepStatements takes in what time has changed of statements.
@@ -160,7 +160,7 @@
 	}
 	now := n.now()
 	listed := make(map[string]string) // service by life
-	for _, r := range n.world.Load().all {
+	for _, r := range n.world.Load().replicas {
 		listed[r.ID] = r.Service
 	}
 	var changes stated.Changes
@@ -199,7 +199,7 @@
 		return nil
 	}
 	var out []string
-	for _, r := range n.world.Load().services[service] {
+	for _, r := range n.world.Load().eligibleByService[service] {
 		if _, ok := resting[r.ID]; ok {
 			out = append(out, r.ID)
 		}
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -7,15 +7,15 @@
 	"quinceroad/platform"
 )
 
-// store is what a node asks of the platform's store. It stands between them so
-// that tests can let a store fall silent in their own time.
+// store is the part of the platform's store that a node uses. Tests replace it to
+// simulate an unresponsive store under a fake clock.
 type store interface {
-	Answers(within time.Duration) error
+	Answers(timeout time.Duration) error
 	Intent() (platform.Intent, error)
-	Replicas() (items map[string][]byte, at uint64, err error)
-	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Item, at uint64, err error)
+	Replicas() (items map[string][]byte, revision uint64, err error)
+	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Item, revision uint64, err error)
 	Instances() (items map[string][]byte, err error)
-	Lease(life time.Duration) (lease uint64, err error)
+	Lease(ttl time.Duration) (lease uint64, err error)
 	Keep(lease uint64) error
 	Register(name string, entry []byte, lease uint64) error
 	RolloutStatus(o rollout.Order) (rollout.Status, error)
--- a/cmd/node/telling.go
+++ b/cmd/node/telling.go
@@ -8,68 +8,69 @@
 )
 
 const (
-	packFrom    = 1400 // bytes from which an answer is compressed: what one packet holds
-	mostMade    = 64   // answers that are kept
-	tellShare   = 0.25 // of the link, for what is told to peers that are behind: the rest is the clients'
-	tellingFree = 4096 // bytes up to which an answer is never refused
+	compressFrom        = 1400 // bytes; larger updates are compressed, smaller ones fit one packet
+	maxCachedUpdates    = 64
+	updateLinkShare     = 0.25 // fraction of the link for updates to peers that are behind; the rest is for clients
+	unmeteredUpdateSize = 4096 // bytes; updates up to this size are never refused
 )
 
-// telling bounds what this instance tells peers that are behind, and makes each
-// answer once: when all start, hundreds ask those few who know the list of
-// replicas, and whoever has been told can tell others.
-type telling struct {
-	mu      sync.Mutex
-	changed uint64 // revision of the newest change that the answers hold
-	answers map[uint64]madeAnswer
-	left    float64 // bytes that may be told now; below 0: owed
-	at      time.Duration
+// updateServer limits the bandwidth of updates to peers that are behind, and caches the
+// updates. When all instances start together, hundreds ask the few that have the replica
+// list, and every instance that has received it can pass it on.
+type updateServer struct {
+	mu         sync.Mutex
+	lastChange uint64 // revision of the newest change that the cached updates contain
+	cache      map[uint64]cachedUpdate
+	credit     float64 // bytes that may be sent now; negative after a large update
+	creditedAt time.Duration
 }
 
-// madeAnswer is what who knows all up to a revision is told.
-type madeAnswer struct {
+// cachedUpdate is the update for peers that know all changes up to a certain revision.
+type cachedUpdate struct {
 	message *pb.ReplicaChanges
 	size    int // bytes
 }
 
-// made returns an answer that was made since the newest change; nil: there is none.
-func (t *telling) made(have, changed uint64) (*pb.ReplicaChanges, int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.changed != changed {
+// cached returns the update for a peer that has revision have, or nil if none was built
+// since the newest change.
+func (s *updateServer) cached(have, changed uint64) (*pb.ReplicaChanges, int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lastChange != changed {
 		return nil, 0
 	}
-	a := t.answers[have]
+	a := s.cache[have]
 	return a.message, a.size
 }
 
-// keep keeps an answer until the next change.
-func (t *telling) keep(have, changed uint64, message *pb.ReplicaChanges, size int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.answers == nil || t.changed != changed || len(t.answers) >= mostMade { // nil: a peer asks before any list is known
-		t.changed, t.answers = changed, make(map[uint64]madeAnswer)
+// store caches an update until the next change.
+func (s *updateServer) store(have, changed uint64, message *pb.ReplicaChanges, size int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cache == nil || s.lastChange != changed || len(s.cache) >= maxCachedUpdates { // the cache is nil if a peer asks before any list is loaded
+		s.lastChange, s.cache = changed, make(map[uint64]cachedUpdate)
 	}
-	t.answers[have] = madeAnswer{message, size}
+	s.cache[have] = cachedUpdate{message, size}
 }
 
-// may reports whether an answer of that size may go out over a link of so many
-// bytes a second, and counts it. One that is too large for the moment goes out
-// when nothing is owed.
-func (t *telling) may(now time.Duration, size int, link float64) bool {
-	if size <= tellingFree {
+// allow reports whether an update of that size may be sent over a link of so many bytes
+// a second, and charges it. An update larger than the credit is sent once the credit is
+// not negative.
+func (s *updateServer) allow(now time.Duration, size int, link float64) bool {
+	if size <= unmeteredUpdateSize {
 		return true
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	rate := link * tellShare
-	t.left = min(t.left+rate*(now-t.at).Seconds(), rate*tellingAhead.Seconds())
-	t.at = now
-	if t.left < 0 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	rate := link * updateLinkShare
+	s.credit = min(s.credit+rate*(now-s.creditedAt).Seconds(), rate*updateBurst.Seconds())
+	s.creditedAt = now
+	if s.credit < 0 {
 		return false
 	}
-	t.left -= float64(size)
+	s.credit -= float64(size)
 	return true
 }
 
-// tellingAhead is for how long what was not told is kept to tell.
-const tellingAhead = 200 * time.Millisecond
+// updateBurst is the time for which unused credit accumulates.
+const updateBurst = 200 * time.Millisecond
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -12,41 +12,41 @@
 	"quinceroad/protocol/event"
 )
 
-// followIntent follows what operators write: the configuration, which halls are
-// being emptied, and which roll-outs are ordered.
+// followIntent follows what operators write to the store: the configuration, the halls
+// to be drained, and the ordered rollouts.
 func (n *Node) followIntent(ctx context.Context) {
 	var at atomic.Uint64
-	f := follow{node: n, back: n.pulse.back, name: "intent", known: func() bool { return n.version() > 0 }}
+	f := topicFollower{node: n, storeRecovery: n.pulse.recovery, name: "intent", isKnown: func() bool { return n.configVersion() > 0 }}
 	f.read = func() (func(), error) {
 		intent, err := n.store.Intent()
 		return func() {
 			at.Store(intent.At)
-			n.takeIntent(intent)
+			n.applyIntent(intent)
 		}, err
 	}
-	f.changes = func(wait time.Duration) (func(), error) {
+	f.watch = func(wait time.Duration) (func(), error) {
 		items, revision, err := n.store.Watch(platform.TopicIntent, at.Load(), wait)
 		return func() {
 			at.Store(max(at.Load(), revision))
-			n.takeIntentChanges(items, at.Load())
+			n.applyIntentChanges(items, at.Load())
 		}, err
 	}
 	f.run(ctx)
 }
 
-// takeIntent takes in what operators want as it was read whole. The halls and
-// the roll-outs come first: nothing is sent before a configuration is in force.
-func (n *Node) takeIntent(i platform.Intent) {
+// applyIntent applies the operators' intent after it was read in full. Drained halls and
+// rollouts come first because no request is sent before a configuration is in force.
+func (n *Node) applyIntent(i platform.Intent) {
 	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Replace(now, i.Emptied, i.At)
 	})
 	n.replaceRollouts(i.Rollouts, i.At)
-	n.offer(i.Configuration, fromStore)
+	n.offerConfiguration(i.Configuration, fromStore)
 }
 
-// takeIntentChanges takes in what a watch brought, after which all up to a
-// revision is known.
-func (n *Node) takeIntentChanges(items []platform.Item, at uint64) {
+// applyIntentChanges applies the changes that a watch returned. Afterwards all changes
+// up to the revision are known.
+func (n *Node) applyIntentChanges(items []platform.Item, at uint64) {
 	var entries []evacuation.Entry
 	for i := range items {
 		if hall, ok := items[i].EmptiedHall(); ok {
@@ -59,16 +59,17 @@
 	n.applyRollouts(items, at)
 	for i := range items {
 		if items[i].IsConfiguration() && !items[i].Gone {
-			n.offer(items[i].Value, fromStore)
+			n.offerConfiguration(items[i].Value, fromStore)
 		}
 	}
 }
 
-// fromStore names the store as whom news come from.
+// fromStore is the origin of updates that come from the store rather than a peer.
 const fromStore = "store"
 
-// version is that of the configuration in force; 0: none.
-func (n *Node) version() uint64 {
+// configVersion returns the version of the configuration in force, or 0 if there is
+// none.
+func (n *Node) configVersion() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
 	if n.config == nil {
@@ -77,9 +78,9 @@
 	return n.config.Version
 }
 
-// offer takes a configuration into force if it is newer than the one in force;
-// a version never falls within a process's life.
-func (n *Node) offer(data []byte, from string) {
+// offerConfiguration puts a configuration in force if it is newer than the current one.
+// The version never decreases while the process runs.
+func (n *Node) offerConfiguration(data []byte, from string) {
 	c, err := platform.ParseConfiguration(data)
 	if err != nil {
 		event.NodeConfigBroken.Log(n.log, "from", from, "error", err)
@@ -93,55 +94,55 @@
 		return
 	}
 	n.config, n.rawConfig = c, &rawConfig{text: data}
-	published := n.putInForce() // with the version at once: who asks for it must not find an older one served
+	afterUnlock := n.replaceSnapshot() // together with the version: a caller that sees the new version must not be served by the old configuration
 	n.followMu.Unlock()
-	published()
+	afterUnlock()
 	n.gossipMu.Lock()
 	n.members.SetConfigVersion(c.Version)
 	n.gossipMu.Unlock()
 	event.NodeConfigAdopted.Log(n.log, "version", c.Version, "from", from, "routes", len(c.Routes))
-	n.tell()
+	n.sendHeartbeats()
 	if from == fromStore {
-		n.tellHall()
+		n.announceToHall()
 	}
 }
 
 func (n *Node) followReplicas(ctx context.Context) {
-	f := follow{node: n, back: n.pulse.back, name: "replicas", known: n.listKnown, resumes: true}
+	f := topicFollower{node: n, storeRecovery: n.pulse.recovery, name: "replicas", isKnown: n.replicasLoaded, continuesFromPeer: true}
 	f.read = func() (func(), error) {
 		items, at, err := n.store.Replicas()
 		return func() {
 			n.followMu.Lock()
-			first := !n.replicas.log.IsLoaded()
-			n.replicas.log.Replace(items, at)
+			first := !n.replicas.changeLog.IsLoaded()
+			n.replicas.changeLog.Replace(items, at)
 			n.followMu.Unlock()
 			event.NodeReplicas.Log(n.log, "from", fromStore, "at", at, "known", len(items))
 			n.publish()
 			if first {
-				n.tellHall() // others may wait for it
+				n.announceToHall() // other instances may be waiting for the list
 			}
 		}, err
 	}
-	f.changes = func(wait time.Duration) (func(), error) {
-		items, at, err := n.store.Watch(platform.TopicReplicas, n.listAt(), wait)
-		return func() { n.takeReplicas(ctx, items, at) }, err
+	f.watch = func(wait time.Duration) (func(), error) {
+		items, at, err := n.store.Watch(platform.TopicReplicas, n.replicasRevision(), wait)
+		return func() { n.applyReplicaChanges(ctx, items, at) }, err
 	}
 	f.run(ctx)
 }
 
-// takeReplicas takes in what a watch brought of the list of replicas.
-func (n *Node) takeReplicas(ctx context.Context, items []platform.Item, at uint64) {
+// applyReplicaChanges applies the changes of the replica list that a watch returned.
+func (n *Node) applyReplicaChanges(ctx context.Context, items []platform.Item, at uint64) {
 	entries := make([]changes.Entry, 0, len(items))
 	for _, i := range items {
 		entries = append(entries, changes.Entry{ID: i.ReplicaID(), Value: i.Value, Revision: i.Revision, Deleted: i.Gone})
 	}
 	n.followMu.Lock()
-	news := n.replicas.log.ApplyChanges(entries, at)
+	changed := n.replicas.changeLog.ApplyChanges(entries, at)
 	n.followMu.Unlock()
-	if news > 0 {
-		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", news, "at", at)
+	if changed > 0 {
+		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", changed, "at", at)
 		n.publish()
-		n.tellHall()
-		process.Pause(ctx, gather)
+		n.announceToHall()
+		process.Pause(ctx, replicaChangeDelay)
 	}
 }
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -44,7 +44,7 @@
 		if asked == mostArbiters || ctx.Err() != nil {
 			break
 		}
-		if n.level.knowsNoTurns(arbiter) {
+		if n.level.lacksTrialLeases(arbiter) {
 			continue
 		}
 		var t *trial
@@ -52,7 +52,7 @@
 			return t, nil
 		}
 		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // its build ends what it does not know
-			n.level.learnNoTurns(arbiter)
+			n.level.recordNoTrialLeases(arbiter)
 			continue
 		}
 		asked++
@@ -68,7 +68,7 @@
 // fingerprint first and then who follows it.
 func (n *Node) arbiters(f quarantine.Fingerprint) []gossip.Instance {
 	key := strconv.FormatUint(uint64(f), 16)
-	all := n.alive()
+	all := n.liveInstances()
 	weights := make(map[string]uint64, len(all))
 	for _, i := range all {
 		weights[i.Name] = rendezvous.Weight(key, i.Name)
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -53,7 +53,7 @@
 // allLimited reports whether all engines of a request's service state limits, other
 // cells' included: else its instance finds one there.
 func (n *Node) allLimited(r *ownedRequest) bool {
-	for _, e := range n.world.Load().services[r.request.Service] {
+	for _, e := range n.world.Load().eligibleByService[r.request.Service] {
 		if !r.request.Avoid[e.ID] && !n.statements.limits(e.ID) {
 			return false
 		}
--- a/cmd/node/wake.go
+++ b/cmd/node/wake.go
@@ -6,13 +6,13 @@
 	"quinceroad/protocol/event"
 )
 
-// woke takes in that the machine was suspended. What ran out meanwhile has run
-// out by the clock; what has to be done besides: calls to the store that wait
-// were begun before and may never be answered, and the others should hear that
-// this instance is back before they ask the next one.
-func (n *Node) woke(gap time.Duration) {
+// handleResume handles a resume after the machine was suspended. Timeouts have expired
+// by the clock already. Pending calls to the store predate the suspension and may never
+// be answered, so they are abandoned; and the peers should receive a heartbeat before
+// they select a successor.
+func (n *Node) handleResume(gap time.Duration) {
 	n.counters.wakes.Inc(1)
 	event.NodeWoke.Log(n.log, "after", gap)
-	n.pulse.missed()
-	n.tell()
+	n.pulse.abandonCalls()
+	n.sendHeartbeats()
 }
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -13,205 +13,212 @@
 	"quinceroad/state/catalog"
 )
 
-// world is a consistent view of the configuration and the replicas.
-type world struct {
-	config     *catalog.Configuration
-	listed     bool                         // the replicas are known
-	services   map[string][]catalog.Replica // those that may get work
-	sizes      map[string]int               // of the services, those included whose hall is being emptied
-	all        []catalog.Replica            // the leaving ones included
-	lifeByName map[string]string            // of replicas that say when they were born
-	moves      map[string]*move             // by service: roll-outs
-	parting    sync.Once
-	parts      parts // of pools and engines; made when they are asked for
-	places     *regions.Map
-}
-
-// replicaSet is what the store says of the replicas, with what was seen of
-// their leaving, which wins.
+// snapshot is a consistent view of the configuration and the replicas. It is not changed
+// once it is in force.
+type snapshot struct {
+	config            *catalog.Configuration
+	replicasLoaded    bool                         // the list of replicas was read or received
+	eligibleByService map[string][]catalog.Replica // replicas that may get work
+	serviceSizes      map[string]int               // replicas by service, including those of halls that are being drained
+	replicas          []catalog.Replica            // includes the draining ones
+	incarnationByName map[string]string            // of replicas that report their start time
+	rolloutByService  map[string]*move
+	partsOnce         sync.Once
+	parts             parts // of pools and engines; computed on first use
+	regions           *regions.Map
+}
+
+// replicaSet holds the store's list of replicas and the observed signs that they are
+// draining, which take precedence.
 type replicaSet struct {
-	log      *changes.Log
-	rows     map[string]replicaRow    // by name
-	lives    map[string]replicaRow    // the same, by life
-	signs    map[string]time.Duration // of leaving, by life: when one was seen
-	broken   map[string]bool          // names of entries that can't be read: a log line has said so
-	saidCold map[string]time.Duration // by id: until when a log line has said that it is cold
+	changeLog     *changes.Log
+	byName        map[string]replicaRecord
+	byIncarnation map[string]replicaRecord
+	drainSigns    map[string]time.Duration // when a sign of draining was first seen, by incarnation
+	invalid       map[string]bool          // names of entries that can't be parsed and were logged
+	loggedWarming map[string]time.Duration // end of the warm-up that was logged, by ID
 }
 
-type replicaRow struct {
-	value     []byte // as the store has it
-	replica   catalog.Replica
-	coldUntil time.Duration // by its own word
+// replicaRecord is a parsed entry of the store's list of replicas.
+type replicaRecord struct {
+	value        []byte // as stored
+	replica      catalog.Replica
+	warmingUntil time.Duration // end of the warm-up that the replica reports
 }
 
 func newReplicaSet() *replicaSet {
 	return &replicaSet{
-		log:   changes.New(platform.SameReplica),
-		rows:  make(map[string]replicaRow),
-		lives: make(map[string]replicaRow),
-		signs: make(map[string]time.Duration),
+		changeLog:     changes.New(platform.SameReplica),
+		byName:        make(map[string]replicaRecord),
+		byIncarnation: make(map[string]replicaRecord),
+		drainSigns:    make(map[string]time.Duration),
 	}
 }
 
-// refreshed is what reading the list anew has shown.
-type refreshed struct {
-	broken []string          // names of entries that can't be read and could before, or were not there
-	gone   []catalog.Replica // lives that are not listed any more although nobody had said that they would leave
-	over   []catalog.Replica // lives whose replica has begun another
+// replicaSetChanges describes what a refresh has changed.
+type replicaSetChanges struct {
+	invalid   []string          // names of entries that can't be parsed and were valid or absent before
+	removed   []catalog.Replica // incarnations that are no longer listed although none had announced a drain
+	restarted []catalog.Replica // incarnations whose replica now runs a newer one
 }
 
-// refresh reads the rows that have changed.
-// left tells which lives have stated that they leave.
-func (s *replicaSet) refresh(now time.Duration, left func(life string) bool) (out refreshed) {
-	rows, lives := make(map[string]replicaRow, len(s.rows)), make(map[string]replicaRow, len(s.rows))
-	broken := make(map[string]bool)
-	s.log.Each(func(id string, value []byte) {
-		if row, ok := s.rows[id]; ok && bytes.Equal(row.value, value) {
-			rows[id], lives[row.replica.ID] = row, row
+// refresh parses the entries that have changed. isDraining reports whether an
+// incarnation has announced its drain.
+func (s *replicaSet) refresh(now time.Duration, isDraining func(incarnation string) bool) (out replicaSetChanges) {
+	byName, byIncarnation := make(map[string]replicaRecord, len(s.byName)), make(map[string]replicaRecord, len(s.byName))
+	invalid := make(map[string]bool)
+	s.changeLog.Each(func(id string, value []byte) {
+		if record, ok := s.byName[id]; ok && bytes.Equal(record.value, value) {
+			byName[id], byIncarnation[record.replica.ID] = record, record
 			return
 		}
 		r, err := platform.ParseReplica(id, value)
 		if err != nil {
-			broken[id] = true
-			if !s.broken[id] {
-				out.broken = append(out.broken, id)
+			invalid[id] = true
+			if !s.invalid[id] {
+				out.invalid = append(out.invalid, id)
 			}
 			return
 		}
-		row := replicaRow{value: value, replica: r, coldUntil: now + r.WarmupLeft}
-		rows[id], lives[r.ID] = row, row
+		record := replicaRecord{value: value, replica: r, warmingUntil: now + r.WarmupLeft}
+		byName[id], byIncarnation[r.ID] = record, record
 	})
-	for life, row := range s.lives {
-		_, listed := lives[life]
-		_, leaves := s.signs[life]
-		_, again := rows[row.replica.Name]
+	for incarnation, record := range s.byIncarnation {
+		_, listed := byIncarnation[incarnation]
+		_, hasDrainSign := s.drainSigns[incarnation]
+		_, nameListed := byName[record.replica.Name]
 		switch {
 		case listed:
-		case again:
-			out.over = append(out.over, row.replica)
-		case !leaves && !row.replica.Draining && !left(life):
-			out.gone = append(out.gone, row.replica)
+		case nameListed:
+			out.restarted = append(out.restarted, record.replica)
+		case !hasDrainSign && !record.replica.Draining && !isDraining(incarnation):
+			out.removed = append(out.removed, record.replica)
 		}
 	}
-	s.rows, s.lives, s.broken = rows, lives, broken
+	s.byName, s.byIncarnation, s.invalid = byName, byIncarnation, invalid
 	return out
 }
 
-// newlyCold returns the replicas that are cold and were not when it was called last.
-func (s *replicaSet) newlyCold(now time.Duration, all []catalog.Replica) []catalog.Replica {
+// newlyWarming returns the replicas that are warming up now and were not at the previous
+// call.
+func (s *replicaSet) newlyWarming(now time.Duration, all []catalog.Replica) []catalog.Replica {
 	var out []catalog.Replica
-	cold := make(map[string]time.Duration)
+	warming := make(map[string]time.Duration)
 	for _, r := range all {
 		if r.WarmingUntil <= now {
 			continue
 		}
-		cold[r.ID] = r.WarmingUntil
-		if s.saidCold[r.ID] <= now {
+		warming[r.ID] = r.WarmingUntil
+		if s.loggedWarming[r.ID] <= now {
 			out = append(out, r)
 		}
 	}
-	s.saidCold = cold
+	s.loggedWarming = warming
 	return out
 }
 
-// publish makes a new world of what is followed.
+// publish puts a new snapshot of the current data in force.
 func (n *Node) publish() {
 	n.followMu.Lock()
-	published := n.putInForce()
+	afterUnlock := n.replaceSnapshot()
 	n.followMu.Unlock()
-	published()
+	afterUnlock()
 }
 
-// putInForce makes a new world of what is followed, and returns what is to be
-// done once followMu, which it needs, is free.
-func (n *Node) putInForce() (published func()) {
+// replaceSnapshot puts a new snapshot of the current data in force. The caller holds
+// followMu and calls afterUnlock once it has released it.
+func (n *Node) replaceSnapshot() (afterUnlock func()) {
 	now := n.now()
 	changed := n.replicas.refresh(now, n.statements.hasLeft)
-	n.rollouts.startedAgain(now, n.world.Load(), changed.over)
-	w := n.makeWorld()
-	cold := n.replicas.newlyCold(now, w.all)
+	n.rollouts.startedAgain(now, n.world.Load(), changed.restarted)
+	w := n.buildSnapshot()
+	warming := n.replicas.newlyWarming(now, w.replicas)
 	n.world.Store(w)
 	return func() {
-		n.logUnplaced(w.all)
-		for _, r := range changed.gone {
-			n.gone(r.ID)
+		n.logUnplaced(w.replicas)
+		for _, r := range changed.removed {
+			n.recordReplicaRemoval(r.ID)
 		}
-		n.livesOver(changed.over)
-		for _, id := range changed.broken {
+		n.livesOver(changed.restarted)
+		for _, id := range changed.invalid {
 			n.counters.brokenEntries.Inc(1)
 			event.NodeEntryBroken.Log(n.log, "name", id)
 		}
-		for _, r := range cold {
+		for _, r := range warming {
 			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
 		n.owner.refresh()
 	}
 }
 
-// makeWorld returns what is known of the configuration, the replicas, the halls
-// and the roll-outs. It needs followMu.
-func (n *Node) makeWorld() *world {
-	w := &world{
-		config: n.config, listed: n.replicas.log.IsLoaded(), places: n.places, services: make(map[string][]catalog.Replica), sizes: make(map[string]int),
-		lifeByName: make(map[string]string),
+// buildSnapshot returns a snapshot of the configuration, the replicas, the halls and the
+// rollouts. The caller holds followMu.
+func (n *Node) buildSnapshot() *snapshot {
+	w := &snapshot{
+		config: n.config, replicasLoaded: n.replicas.changeLog.IsLoaded(), regions: n.places, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int),
+		incarnationByName: make(map[string]string),
 	}
-	for id, row := range n.replicas.lives {
-		r := row.replica
-		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
+	for id, record := range n.replicas.byIncarnation {
+		r := record.replica
+		if _, ok := n.replicas.drainSigns[id]; ok || n.statements.hasLeft(id) {
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
 		r.HallDrained = n.emptied.IsDrained(r.Hall)
-		r.WarmingUntil = n.coldUntil(w.config, &row)
-		w.all = append(w.all, r)
+		r.WarmingUntil = n.coldUntil(w.config, &record)
+		w.replicas = append(w.replicas, r)
 		if r.StartMillis != 0 {
-			w.lifeByName[r.Name] = r.ID
+			w.incarnationByName[r.Name] = r.ID
 		}
 		if !r.Draining {
-			w.sizes[r.Service]++
+			w.serviceSizes[r.Service]++
 		}
 	}
 	n.rollouts.part(n.now(), w)
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if r.AcceptsWork() {
-			w.services[r.Service] = append(w.services[r.Service], r)
+			w.eligibleByService[r.Service] = append(w.eligibleByService[r.Service], r)
 		}
 	}
 	return w
 }
 
-// listKnown reports whether the list of replicas was ever read.
-func (n *Node) listKnown() bool {
+// replicasLoaded reports whether the list of replicas was ever read or received.
+func (n *Node) replicasLoaded() bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.IsLoaded()
+	return n.replicas.changeLog.IsLoaded()
 }
 
-// listAt is the store's revision up to which the replicas' changes are known.
-func (n *Node) listAt() uint64 {
+// replicasRevision returns the store's revision up to which the changes of the replicas
+// are known.
+func (n *Node) replicasRevision() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.Revision()
+	return n.replicas.changeLog.Revision()
 }
 
-// listChanged is the store's revision of the newest change of the replicas known.
-func (n *Node) listChanged() uint64 {
+// lastReplicaChange returns the store's revision of the newest known change of the
+// replicas.
+func (n *Node) lastReplicaChange() uint64 {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	return n.replicas.log.LastChange()
+	return n.replicas.changeLog.LastChange()
 }
 
-// signHolds is how long a sign of leaving is kept, a connection closed with a
-// refusal or another replica at the address: it may be wrong, so that the replica
-// is tried again. What a replica states itself holds for its life (statements).
-const signHolds = 2 * time.Minute
+// drainSignTTL is how long a sign of draining is kept: a connection closed with a
+// refusal, or another replica at the address. The sign may be wrong, so the replica is
+// tried again afterwards. A drain that the replica announces itself holds for its whole
+// incarnation (see statements).
+const drainSignTTL = 2 * time.Minute
 
-// sawLeaving notes a sign that a replica leaves, seen here or by a peer.
-func (n *Node) sawLeaving(id, sign string) {
+// recordDrainSign records a sign that a replica is draining, seen by this instance or a
+// peer.
+func (n *Node) recordDrainSign(id, sign string) {
 	n.followMu.Lock()
-	_, known := n.replicas.signs[id]
+	_, known := n.replicas.drainSigns[id]
 	if !known {
-		n.replicas.signs[id] = n.now()
+		n.replicas.drainSigns[id] = n.now()
 	}
 	n.followMu.Unlock()
 	if known {
@@ -221,25 +228,26 @@
 	n.publish()
 }
 
-// leavingNews returns the replicas whose leaving is worth telling others, and how
-// many of these, the first ones, have stated it themselves.
-func (n *Node) leavingNews() (out []string, said int) {
-	n.statements.with(func(b *stated.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
-	said = len(out)
-	out = append(out, n.recentlyLeaving(mostLeavingTold-said)...)
-	return n.spokenAll(out), said
+// drainUpdates returns the draining replicas to announce to other instances. The first
+// declared of them have announced the drain themselves.
+func (n *Node) drainUpdates() (out []string, declared int) {
+	n.statements.with(func(b *stated.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
+	declared = len(out)
+	out = append(out, n.recentDrainSigns(maxDrainsPerHeartbeat-declared)...)
+	return n.announcedReplicaIDs(out), declared
 }
 
-// recentlyLeaving returns at most so many replicas that signs have shown to leave.
-func (n *Node) recentlyLeaving(most int) []string {
+// recentDrainSigns returns at most limit replicas that are draining according to recent
+// signs.
+func (n *Node) recentDrainSigns(limit int) []string {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
 	var out []string
-	for id, at := range n.replicas.signs {
+	for id, at := range n.replicas.drainSigns {
 		switch age := n.now() - at; {
-		case age > signHolds:
-			delete(n.replicas.signs, id)
-		case age < tellLeavingFor && len(out) < most:
+		case age > drainSignTTL:
+			delete(n.replicas.drainSigns, id)
+		case age < drainAnnounceTime && len(out) < limit:
 			out = append(out, id)
 		}
 	}
@@ -247,6 +255,6 @@
 }
 
 const (
-	tellLeavingFor  = 3 * time.Second // after which the list of replicas has told it too: the platform's list lags by up to 3 s
-	mostLeavingTold = 16              // replicas in a heartbeat, which is to stay one datagram
+	drainAnnounceTime     = 3 * time.Second // by then the platform's list of replicas, which lags by up to 3 s, shows it too
+	maxDrainsPerHeartbeat = 16              // keeps a heartbeat within one datagram
 )
