--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -63,7 +63,7 @@
 		return errNoReplicaReached
 	}
 	defer n.rollouts.enter(&r, !s.movable())() // must precede the checks whether the replica may receive the request
-	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
+	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errNoReplicaReached
 	}
@@ -165,7 +165,7 @@
 	}
 	n.judgeMu.Unlock()
 	if a.head.Stranger || a.closedAfterRefusal() {
-		n.sawLeaving(a.replica.ID, "answer")
+		n.recordDrainSign(a.replica.ID, "answer")
 	}
 	if kind == ending.Refused || kind == ending.MissingInputs {
 		a.record.MarkNotRun(a.token)
@@ -179,13 +179,13 @@
 	case ending.RequestCleared:
 		n.answeredWhole(a.fingerprint)
 	case ending.RequestBlamed:
-		n.endedUnfinished(a.replica.ID, a.sentAt, a.fingerprint)
+		n.recordAbandonedRequest(a.replica.ID, a.sentAt, a.fingerprint)
 	case ending.RequestProbe:
-		a.probe = n.brokeOff(&a.replica, a.sentAt, a.fingerprint)
+		a.probe = n.recordBrokenAnswers(&a.replica, a.sentAt, a.fingerprint)
 	}
 	a.tellRollout(kind, suspended, took)
 	if evidence.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
-		n.awaitLook(ctx, a.probe) // without a further attempt there is nothing to wait for
+		n.awaitLivenessProbe(ctx, a.probe) // without a further attempt there is nothing to wait for
 	}
 }
 
@@ -351,7 +351,7 @@
 }
 
 func (a *attempt) hasUntriedReplica() bool {
-	for _, r := range replicasInRegions(a.allowedRegions(), a.node.world.Load().services[a.service.Name]) {
+	for _, r := range replicasInRegions(a.allowedRegions(), a.node.world.Load().eligibleByService[a.service.Name]) {
 		if !a.tried[r.ID] && !a.avoid[r.ID] {
 			return true
 		}
--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -24,25 +24,25 @@
 }
 
 // partitionCells assigns the replicas of pools and engines to cells.
-func (w *world) partitionCells() {
+func (w *snapshot) partitionCells() {
 	w.parts = cellPartition{cellCounts: make(map[string]int), replicas: make(map[int][]catalog.Replica), available: make(map[string]map[string]int), cellOf: make(map[string]int)}
 	if w.config == nil {
 		return
 	}
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		w.parts.available[region] = make(map[string]int)
 	}
-	for service, list := range w.services {
+	for service, list := range w.eligibleByService {
 		for _, r := range list {
 			w.parts.available[r.Region][service]++
 		}
 	}
 	pooled := make(map[string]map[string]int)   // by region and service: pool replicas that are not draining, which decide the number of cells
 	ids := make(map[string]map[string][]string) // by region and service: IDs of all replicas of pools and engines
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		pooled[region], ids[region] = make(map[string]int), make(map[string][]string)
 	}
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		s := w.config.Services[r.Service]
 		if s == nil || s.Pool == nil && s.Engine == nil {
 			continue
@@ -63,9 +63,9 @@
 			maps.Copy(cellOf, cells.Assign(list, w.parts.cellCounts[region]))
 		}
 	}
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if local, ok := cellOf[r.ID]; ok {
-			cell := w.places.CellNumber(r.Region, local)
+			cell := w.regions.CellNumber(r.Region, local)
 			w.parts.replicas[cell] = append(w.parts.replicas[cell], r)
 			w.parts.cellOf[r.ID] = cell
 		}
@@ -73,15 +73,15 @@
 }
 
 // cellCount returns the number of cells of a region.
-func (w *world) cellCount(region string) int {
-	w.parting.Do(w.partitionCells)
+func (w *snapshot) cellCount(region string) int {
+	w.partsOnce.Do(w.partitionCells)
 	return max(w.parts.cellCounts[region], 1)
 }
 
 // hasReplicasFor reports whether a region has replicas of every service that a
 // request of a route needs.
-func (w *world) hasReplicasFor(region string, route *catalog.Route, service string) bool {
-	w.parting.Do(w.partitionCells)
+func (w *snapshot) hasReplicasFor(region string, route *catalog.Route, service string) bool {
+	w.partsOnce.Do(w.partitionCells)
 	available := w.parts.available[region]
 	for _, st := range route.Stages {
 		if available[st.Service] == 0 {
@@ -92,9 +92,9 @@
 }
 
 // hasPooledReplicas reports whether a region has replicas of pools or engines.
-func (w *world) hasPooledReplicas(region string) bool {
+func (w *snapshot) hasPooledReplicas(region string) bool {
 	for local := range w.cellCount(region) {
-		if len(w.parts.replicas[w.places.CellNumber(region, local)]) > 0 {
+		if len(w.parts.replicas[w.regions.CellNumber(region, local)]) > 0 {
 			return true
 		}
 	}
@@ -102,25 +102,25 @@
 }
 
 // cellReplicas returns the replicas of pools and engines that belong to a cell.
-func (w *world) cellReplicas(cell int) []catalog.Replica {
-	region, local := w.places.RegionOfCell(cell)
-	number := w.places.CellNumber(region, local%w.cellCount(region)) // a peer's view may have more cells
+func (w *snapshot) cellReplicas(cell int) []catalog.Replica {
+	region, local := w.regions.RegionOfCell(cell)
+	number := w.regions.CellNumber(region, local%w.cellCount(region)) // a peer's view may have more cells
 	return w.parts.replicas[number]
 }
 
 // cellOfReplica returns the cell that a replica of a pool or engine belongs to.
-func (w *world) cellOfReplica(incarnation string) (cell int, ok bool) {
-	w.parting.Do(w.partitionCells)
+func (w *snapshot) cellOfReplica(incarnation string) (cell int, ok bool) {
+	w.partsOnce.Do(w.partitionCells)
 	cell, ok = w.parts.cellOf[incarnation]
 	return cell, ok
 }
 
 // cellOfRequest returns the cell of a region that a request belongs to. Requests
 // that share a prompt belong to the same cell.
-func (w *world) cellOfRequest(r *exchange.Request, region string) int {
+func (w *snapshot) cellOfRequest(r *exchange.Request, region string) int {
 	key := r.ID
 	if shared := r.Shared(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
-	return w.places.CellNumber(region, int(platform.Hash(key)%uint64(w.cellCount(region))))
+	return w.regions.CellNumber(region, int(platform.Hash(key)%uint64(w.cellCount(region))))
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -71,7 +71,7 @@
 		ask.Avoid = append(ask.Avoid, id)
 	}
 	ask.Avoid = append(ask.Avoid, s.node.restingReplicas(s.service.Name)...)
-	ask.Avoid = s.node.spokenAll(ask.Avoid)
+	ask.Avoid = s.node.announcedReplicaIDs(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
 		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.Pieces[i]), Bytes: st.ResultBytes}
@@ -103,8 +103,8 @@
 	n := s.node
 	world := n.world.Load() // replicas may have left since the request arrived
 	now := n.now()
-	listed := replicasInRegions(s.allowedRegions(), world.services[s.service.Name])
-	if len(listed) == 0 && len(world.services[s.service.Name]) > 0 {
+	listed := replicasInRegions(s.allowedRegions(), world.eligibleByService[s.service.Name])
+	if len(listed) == 0 && len(world.eligibleByService[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoAllowedRegion
 	}
 	newer, older := s.sides(world, listed)
@@ -153,15 +153,15 @@
 
 // noReplicaError returns why there is no replica for the request; backoff is the
 // advisory error, if any, of the candidates that would otherwise be eligible.
-func (s *requestHandler) noReplicaError(w *world, candidates []catalog.Replica, backoff error) error {
-	switch listed := len(w.services[s.service.Name]); {
+func (s *requestHandler) noReplicaError(w *snapshot, candidates []catalog.Replica, backoff error) error {
+	switch listed := len(w.eligibleByService[s.service.Name]); {
 	case backoff != nil:
 		return backoff
 	case listed == 0 && s.allLeave(w) != nil:
 		return errLeaving
 	case listed > 0 && len(candidates) == 0:
 		return errReplicasWarming
-	case listed == 0 && w.sizes[s.service.Name] > 0:
+	case listed == 0 && w.serviceSizes[s.service.Name] > 0:
 		return errHallsDrained
 	}
 	return errNoReplicaReached
@@ -187,7 +187,7 @@
 	if s.job == nil || s.job.engine == "" || s.tried[s.job.engine] || s.avoid[s.job.engine] {
 		return catalog.Replica{}, false
 	}
-	for _, r := range s.node.world.Load().services[s.service.Name] {
+	for _, r := range s.node.world.Load().eligibleByService[s.service.Name] {
 		if r.ID == s.job.engine {
 			return r, s.mayUseOwnerChoice()
 		}
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -95,11 +95,11 @@
 func (s *requestHandler) regionOrder() []string {
 	n, w, allowed := s.node, s.node.world.Load(), s.allowedRegions()
 	hasInstances := make(map[string]bool)
-	for _, i := range n.alive() {
+	for _, i := range n.liveInstances() {
 		hasInstances[i.Region] = true
 	}
 	var all []regions.Candidate
-	for _, region := range w.places.Names() {
+	for _, region := range w.regions.Names() {
 		if allowed.Allows(region) && (region != "" || n.home == "" || w.hasPooledReplicas("")) {
 			all = append(all, regions.Candidate{Region: region, HasReplicas: w.hasReplicasFor(region, s.route, s.service.Name), HasInstances: hasInstances[region]})
 		}
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -106,8 +106,8 @@
 // prompt that an engine there has cached.
 func (n *Node) cachedPrefixIn(region, service string, shared []catalog.PromptPart) placement.CachedPrefix {
 	w := n.world.Load()
-	cell := w.places.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cellCount(region))))
-	owners := ownership.Rank(n.alive(), cell, region)
+	cell := w.regions.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cellCount(region))))
+	owners := ownership.Rank(n.liveInstances(), cell, region)
 	if len(owners) == 0 || owners[0].Region != region { // no instance in that region owns the cell
 		return placement.CachedPrefix{}
 	}
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -31,7 +31,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
-	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
+	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
 	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: stater{life: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -84,7 +84,7 @@
 func (s *requestHandler) servable() error {
 	w := s.node.world.Load()
 	now := s.node.now()
-	listed := replicasInRegions(s.allowedRegions(), w.services[s.service.Name])
+	listed := replicasInRegions(s.allowedRegions(), w.eligibleByService[s.service.Name])
 	if len(listed) == 0 {
 		return s.allLeave(w)
 	}
@@ -105,9 +105,9 @@
 }
 
 // allLeave tells whether there are replicas for the request, all of which leave.
-func (s *requestHandler) allLeave(w *world) error {
+func (s *requestHandler) allLeave(w *snapshot) error {
 	leaves := false
-	for _, r := range w.all {
+	for _, r := range w.replicas {
 		if r.Service != s.service.Name {
 			continue
 		}
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -42,14 +42,14 @@
 	node        *Node
 	w           http.ResponseWriter
 	req         *exchange.Request
-	world       *world
+	world       *snapshot
 	route       *catalog.Route
 	service     *catalog.Service
 	customer    string
 	rank        int
 	record      *outcome.Record
 	deadline    time.Duration          // when the answer is due, by the process's clock
-	probe       *look                  // checks whether the replica of the last attempt has ended; nil: no check
+	probe       *livenessProbe         // checks whether the replica of the last attempt has ended; nil: no check
 	trial       *trial                 // trial lease of a suspect request
 	fingerprint quarantine.Fingerprint // of the parts that a caller repeats in a retry
 
@@ -136,7 +136,7 @@
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
 	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
-	if !world.listed {
+	if !world.replicasLoaded {
 		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoReplicas.Error()}
 	}
 	if s.service == nil {
@@ -174,7 +174,7 @@
 // withServiceRates runs f on the rates of the request's service, under judgeMu.
 func (s *requestHandler) withServiceRates(f func(*serviceRates)) {
 	n := s.node
-	instances := float64(n.size())
+	instances := float64(n.liveInstanceCount())
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	r := n.rates[s.service.Name]
@@ -283,7 +283,7 @@
 		t.end()
 	default:
 		go func() {
-			s.node.awaitLook(context.Background(), p)
+			s.node.awaitLivenessProbe(context.Background(), p)
 			t.end()
 		}()
 	}
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -188,7 +188,7 @@
 // no instance is, this one owns the cell, as the client has chosen it.
 func (n *Node) nextOwner(w *stagesRequest, tried map[string]bool) (gossip.Instance, bool) {
 	allowed := w.allowedRegions()
-	for _, i := range ownership.Rank(n.alive(), int(w.ask.Cell), w.region) {
+	for _, i := range ownership.Rank(n.liveInstances(), int(w.ask.Cell), w.region) {
 		if !tried[i.Name] && allowed.Allows(i.Region) {
 			return i, true
 		}
@@ -271,7 +271,7 @@
 				admitted = true
 				job.forecast = forecastOf(r)
 			default:
-				job.handles, job.engine, job.fetchFrom, job.concurrentSuspects = r.Handles, n.lifeOf(r.Engine), r.Fetch, int(r.Beside)
+				job.handles, job.engine, job.fetchFrom, job.concurrentSuspects = r.Handles, n.incarnationOf(r.Engine), r.Fetch, int(r.Beside)
 				job.hasSendGrant = r.Paced
 				return job, nil
 			}
--- a/cmd/node/warmup.go
+++ b/cmd/node/warmup.go
@@ -26,7 +26,7 @@
 // because its hall has just returned from a drain: the replica may have begun to
 // warm up shortly before, which it reports up to a heartbeat later. The caller holds
 // followMu.
-func (n *Node) warmingUntil(c *catalog.Configuration, row *replicaRow) time.Duration {
+func (n *Node) warmingUntil(c *catalog.Configuration, row *replicaRecord) time.Duration {
 	if c == nil {
 		return 0
 	}
@@ -34,7 +34,7 @@
 	if s == nil || s.WarmUp == nil {
 		return 0
 	}
-	until := row.coldUntil
+	until := row.warmingUntil
 	if at, ok := n.emptied.ReturnedAt(row.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.Duration)
 	}
@@ -71,7 +71,7 @@
 		return true
 	}
 	now := n.now()
-	for _, r := range n.world.Load().services[s.Name] {
+	for _, r := range n.world.Load().eligibleByService[s.Name] {
 		if r.ID == id {
 			return r.WarmingUntil <= now || n.allowsWarmingReplica(now, s, id, n.acceptingInstances(), true)
 		}
@@ -82,7 +82,7 @@
 // acceptingInstances returns the names of the instances that accept requests.
 func (n *Node) acceptingInstances() []string {
 	var out []string
-	for _, i := range n.alive() {
+	for _, i := range n.liveInstances() {
 		if !i.Leaving {
 			out = append(out, i.Name)
 		}
