--- a/cmd/node/alike_test.go
+++ b/cmd/node/alike_test.go
@@ -16,7 +16,7 @@
 // who owns a cell, which replicas it has, which instance a counter is of.
 func TestBuildsComputeAlike(t *testing.T) {
 	is := is.New(t)
-	is.Equal(platform.Hash("a request's id"), uint64(17239341863301912574))
+	is.Equal(platform.HashString("a request's id"), uint64(17239341863301912574))
 	is.Equal(rendezvous.Weight("key", "n1"), uint64(17248766005804674344))
 	is.Equal((&gossip.Instance{Name: "n1", Incarnation: 1234567}).Key(), uint32(4105655056))
 	var alive []gossip.Instance
--- a/cmd/node/ask.go
+++ b/cmd/node/ask.go
@@ -24,7 +24,7 @@
 	if len(ask.Stages) > mostStages {
 		return fmt.Errorf("%d stages", len(ask.Stages))
 	}
-	if len(ask.Parts) > platform.MostParts || ask.TokensOut > platform.MostTokens {
+	if len(ask.Parts) > platform.MaxPromptParts || ask.TokensOut > platform.MaxTokens {
 		return fmt.Errorf("a prompt of %d parts, %d tokens to generate", len(ask.Parts), ask.TokensOut)
 	}
 	if len(ask.Customer) > mostCustomer {
@@ -34,7 +34,7 @@
 		return fmt.Errorf("a customer's part of %v", part)
 	}
 	for _, p := range ask.Parts {
-		if p.GetTokens() > platform.MostTokens {
+		if p.GetTokens() > platform.MaxTokens {
 			return fmt.Errorf("a part of %d tokens", p.GetTokens())
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 func checkStage(n int, w *pb.StageWork) error {
-	if w.GetPieces() > platform.MostPieces || w.GetBytes() < 0 || w.GetBytes() > mostAskBytes {
+	if w.GetPieces() > platform.MaxStageItems || w.GetBytes() < 0 || w.GetBytes() > mostAskBytes {
 		return fmt.Errorf("stage %d has %d pieces of %d bytes", n, w.GetPieces(), w.GetBytes())
 	}
 	for _, a := range w.GetAfter() {
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -39,7 +39,7 @@
 	token   outcome.Dispatched
 	conn    *upstream.Conn
 	x       *upstream.Exchange
-	head    platform.Head
+	head    platform.ResponseHead
 	turn    stated.Attempt
 	cut     atomic.Pointer[error] // why this instance ended it; nil: it did not
 	sent    time.Duration
@@ -104,7 +104,7 @@
 // the connection, as one that leaves does, and stated no reason itself.
 func (a *attempt) closesAtRefusal() bool {
 	h := &a.head
-	return h.Closes && h.NotRun && h.Rest == 0 && !h.Leaves
+	return h.ClosesConnection && h.NotRun && h.Backoff == 0 && !h.Draining
 }
 
 // countAnswer counts what comes from another region.
@@ -150,7 +150,7 @@
 	suspended := n.clock.Asleep() != a.asleep
 	if err != nil {
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
-			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEvent, "chosen", a.chosen, "rest", a.head.Rest, "leaves", a.head.Leaves)
+			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEvent, "chosen", a.chosen, "rest", a.head.Backoff, "leaves", a.head.Draining)
 	}
 	n.judgeMu.Lock()
 	if err == nil && !suspended {
@@ -162,7 +162,7 @@
 		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
 	n.judgeMu.Unlock()
-	if a.head.Stranger || a.closesAtRefusal() {
+	if a.head.WrongReplica || a.closesAtRefusal() {
 		n.sawLeaving(a.replica.ID, "answer")
 	}
 	if way == ending.Refused || way == ending.MissingInputs {
@@ -211,7 +211,7 @@
 		return a.broken(errBroken)
 	}
 	a.head = a.node.takeHead(a.stater(), a.turn, &x.Header)
-	a.leaves = a.head.Leaves
+	a.leaves = a.head.Draining
 	a.began = a.node.now()
 	return a.answer(watch)
 }
@@ -234,7 +234,7 @@
 // own reports whether an answer is this request's. What its replica states in
 // another one, which came late, is stated all the same.
 func (a *attempt) own(h *fasthttp.ResponseHeader) bool {
-	id := string(h.Peek(platform.HeaderID))
+	id := string(h.Peek(platform.HeaderRequestID))
 	if id == a.req.ID || (id == "" && h.StatusCode() >= http.StatusBadRequest) {
 		return true
 	}
@@ -252,11 +252,11 @@
 	req.Header.SetMethod(a.req.Method)
 	req.SetRequestURI(a.req.Target)
 	req.Header.SetHost(a.req.Host)
-	send := &platform.Send{
+	send := &platform.Attempt{
 		Replica:   a.replica.Name,
 		Customer:  a.customer,
-		Left:      a.end - a.node.now(),
-		Fetch:     fetch,
+		TimeLeft:  a.end - a.node.now(),
+		FetchFrom: fetch,
 		Urgency:   -1,
 		LastEvent: a.req.LastEvent,
 	}
@@ -269,7 +269,7 @@
 	if a.stream.lastEvent != "" {
 		send.LastEvent = a.stream.lastEvent
 	}
-	platform.Fill(a.req, send, req.Header.Add)
+	platform.SetAttemptHeaders(a.req, send, req.Header.Add)
 	req.SetBodyRaw(a.req.Body)
 }
 
@@ -316,7 +316,7 @@
 	case a.head.NotRun:
 		_, _ = io.Copy(io.Discard, a.x)
 		return errNotRun
-	case status < http.StatusMultipleChoices && !a.head.FullSignature():
+	case status < http.StatusMultipleChoices && !a.head.HasSignature():
 		return errBroken
 	case status < http.StatusMultipleChoices && a.route.Kind == catalog.Stream:
 		return a.passStream(watch)
@@ -359,7 +359,7 @@
 func (a *attempt) copyHead() {
 	h := a.w.Header()
 	for name, value := range a.x.Header.All() {
-		if platform.PassedOn(string(name)) {
+		if platform.IsForwardedHeader(string(name)) {
 			h.Add(string(name), string(value))
 		}
 	}
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -17,7 +17,7 @@
 
 // fleetNode returns a node that knows of so many instances and replicas.
 func fleetNode(b testing.TB, instances, replicas int) *Node {
-	n := New(&platform.Settings{Name: "n", Hall: "hall-0", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n", Hall: "hall-0", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	for i := range instances - 1 {
 		n.members.Merge(n.now(), gossip.Instance{
 			Name: fmt.Sprintf("edge-hall-%d-%d", i%9, i), Hall: fmt.Sprintf("hall-%d", i%9), Incarnation: uint64(time.Now().UnixNano()), HeartbeatCount: 100,
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -245,14 +245,14 @@
 		n.logAside("report", r.ID, err)
 		return
 	}
-	if told.Leaves {
+	if told.Draining {
 		n.takeLeaving(r.ID, itsOwn)
 	}
-	for _, field := range told.Unread {
+	for _, field := range told.UnknownFields {
 		n.noteUnread(r.Service, field, "report")
 	}
 	c.mu.Lock()
-	c.scheduler.RecordReplicaState(n.now(), r.ID, told.Free, told.AtWork)
+	c.scheduler.RecordReplicaState(n.now(), r.ID, told.FreeMemory, told.Busy)
 	c.mu.Unlock()
 }
 
--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -18,7 +18,7 @@
 }
 
 func newColdness(s *platform.Settings) *coldness {
-	return &coldness{limit: warmup.Limit{Overrun: s.ColdOverrun, Slack: s.ColdSlack}, window: warmup.NewWindow()}
+	return &coldness{limit: warmup.Limit{Overrun: s.WarmUpOverrun, Slack: s.WarmUpSlack}, window: warmup.NewWindow()}
 }
 
 // coldUntil returns until when a replica is to be taken for cold: by its own
--- a/cmd/node/config_test.go
+++ b/cmd/node/config_test.go
@@ -16,7 +16,7 @@
 // late, twice or broken, the one in force never falls and ends as the highest.
 func TestTheVersionInForceNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := New(&platform.Settings{Name: "n", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+		n := New(&platform.Settings{Name: "n", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 		versions := rapid.SliceOfN(rapid.IntRange(1, 30), 1, 60).Draw(t, "versions")
 		broken := rapid.SliceOfN(rapid.Bool(), len(versions), len(versions)).Draw(t, "broken")
 		offer := func(from string, step int) {
@@ -46,7 +46,7 @@
 
 func TestAnOlderConfigurationIsNotTaken(t *testing.T) {
 	is := is.New(t)
-	n := New(&platform.Settings{Name: "n", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	n.offer([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
 	n.offer([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
 	is.Equal(n.version(), uint64(7))
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -23,14 +23,14 @@
 		http.NotFound(w, r)
 		return
 	}
-	question := platform.ParseQuestion(r.URL.Query())
+	question := platform.ParseAddressQuery(r.URL.Query())
 	c := client{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerOf(r)}
 	if config := n.world.Load().config; config != nil {
 		c.homes = regions.Intersect(config.AllowedRegions(question.Host))
 	}
-	answer := platform.Addresses{
-		Addresses: addresses(n.alive(), c),
-		Life:      min(addressesFor, n.settings.AddressesFor).Seconds(),
+	answer := platform.AddressResponse{
+		Addresses:  addresses(n.alive(), c),
+		TTLSeconds: min(addressesFor, n.settings.MaxAddressTTL).Seconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer)
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -102,7 +102,7 @@
 // keptIn asks the owner of a region's cell what engines there keep of a prompt.
 func (n *Node) keptIn(region, service string, shared []catalog.PromptPart) placement.CachedPrefix {
 	w := n.world.Load()
-	cell := w.places.CellNumber(region, int(platform.Hash(shared[len(shared)-1].ID)%uint64(w.cells(region))))
+	cell := w.places.CellNumber(region, int(platform.HashString(shared[len(shared)-1].ID)%uint64(w.cells(region))))
 	owners := ownership.Rank(n.alive(), cell, region)
 	if len(owners) == 0 || owners[0].Region != region { // nobody is there to know
 		return placement.CachedPrefix{}
--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -35,7 +35,7 @@
 // one on which there is no news. So a wait ends early enough for what it has
 // missed to be in force when the deployment wants it.
 func watchFor(s *platform.Settings) time.Duration {
-	wanted := s.ContactFor + min(s.ApplyFor, s.DrainFor, s.EmptyFor)
+	wanted := s.RecoveryTime + min(s.ConfigApplyTime, s.DrainTime, s.HallDrainTime)
 	return min(max(wanted-platform.WatchGrace-newsFor, leastWatch), mostWatch)
 }
 
--- a/cmd/node/front.go
+++ b/cmd/node/front.go
@@ -44,9 +44,9 @@
 		addr    string
 		handler http.Handler
 	}{
-		{n.settings.Front, http.HandlerFunc(n.serveClient)},
-		{n.settings.Ready, http.HandlerFunc(n.serveReady)},
-		{n.settings.Directory, http.HandlerFunc(n.serveDirectory)},
+		{n.settings.ClientAddress, http.HandlerFunc(n.serveClient)},
+		{n.settings.ReadinessAddress, http.HandlerFunc(n.serveReady)},
+		{n.settings.ResolveAddress, http.HandlerFunc(n.serveDirectory)},
 	}
 	for _, h := range handlers {
 		ln, err := net.Listen("tcp4", h.addr)
@@ -126,7 +126,7 @@
 	if errors.As(err, &as) {
 		own = as
 	}
-	platform.SetID(w.Header(), req.ID)
+	platform.SetRequestID(w.Header(), req.ID)
 	if own.after > 0 || own.status == http.StatusServiceUnavailable {
 		platform.SetRetryAfter(w.Header(), own.after)
 	}
--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -18,7 +18,7 @@
 	var h fasthttp.ResponseHeader
 	h.SetStatusCode(fasthttp.StatusOK)
 	for name, value := range map[string]string{
-		platform.HeaderID: "9c41d07be2a35f68", "Content-Type": "text/event-stream", "Date": "Thu, 01 Jan 2026 00:00:00 GMT",
+		platform.HeaderRequestID: "9c41d07be2a35f68", "Content-Type": "text/event-stream", "Date": "Thu, 01 Jan 2026 00:00:00 GMT",
 		"Keep-Alive": "timeout=6", "Cache-Control": "no-store", "Vary": "Accept",
 	} {
 		h.Set(name, value)
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -17,10 +17,10 @@
 )
 
 // takeLimit takes in what an answer says of how much its replica takes.
-func (n *Node) takeLimit(from stater, h *platform.Head) {
+func (n *Node) takeLimit(from stater, h *platform.ResponseHead) {
 	switch {
-	case h.Unclear != "":
-		n.noteUnread(from.service, h.Unclear, "answer")
+	case h.InvalidLimit != "":
+		n.noteUnread(from.service, h.InvalidLimit, "answer")
 	case h.Limit.Stated, !from.aside && n.statements.paced.Load():
 		n.hearLimit(pace.Report{Incarnation: from.life, Limit: h.Limit}, itsOwn)
 	}
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -90,7 +90,7 @@
 	for _, seed := range *n.seeds.Load() {
 		host, _, err := net.SplitHostPort(seed)
 		if err == nil && host != n.settings.IP {
-			to = append(to, net.JoinHostPort(host, strconv.Itoa(n.settings.DatagramPort)))
+			to = append(to, net.JoinHostPort(host, strconv.Itoa(n.settings.HeartbeatPort)))
 		}
 	}
 	n.introduce(to)
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -116,11 +116,11 @@
 	n := &Node{
 		settings:   s,
 		log:        log,
-		store:      platform.NewStore(s.Store),
+		store:      platform.NewStore(s.StoreAddress),
 		clients:    upstream.WithClock(c),
 		registry:   metrics.NewRegistry(),
 		clock:      c,
-		places:     regions.New(s.Regions),
+		places:     regions.New(s.RegionByHall),
 		replicas:   newReplicaSet(),
 		emptied:    evacuation.New(),
 		cold:       newColdness(s),
@@ -135,7 +135,7 @@
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(deadlines),
 		lending:    newLending(),
-		stopPlan:   shutdown.For(s.StopFor),
+		stopPlan:   shutdown.For(s.GracePeriod),
 	}
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
@@ -146,11 +146,11 @@
 		Hall:             s.Hall,
 		Region:           n.home,
 		Incarnation:      process.Incarnation(time.Now()),
-		ClientAddress:    s.Front,
-		PeerAddress:      s.Link,
+		ClientAddress:    s.ClientAddress,
+		PeerAddress:      s.PeerAddress,
 		Level:            level.Current,
-		CPUShare:         uint32(s.ProcessorShare * 1000),
-		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
+		CPUShare:         uint32(s.CPUShare * 1000),
+		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.HeartbeatPort)),
 	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
 	n.clock.OnWake(n.woke)
@@ -159,7 +159,7 @@
 }
 
 // spreadOf places an instance between 0 and 1 by its name.
-func spreadOf(name string) float64 { return float64(platform.Hash(name)%1000) / 1000 }
+func spreadOf(name string) float64 { return float64(platform.HashString(name)%1000) / 1000 }
 
 // now is the time since the process began, which the decisions are given.
 func (n *Node) now() time.Duration { return n.clock.Now() }
@@ -171,7 +171,7 @@
 		return trace.Wrap(err)
 	}
 	n.socket = socket
-	if n.peers, err = link.Listen(n.settings.Link, n.serveLink, &n.traffic); err != nil {
+	if n.peers, err = link.Listen(n.settings.PeerAddress, n.serveLink, &n.traffic); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := n.listen(); err != nil {
@@ -192,7 +192,7 @@
 			return nil
 		})
 	}
-	event.NodeStarted.Log(n.log, "front", n.settings.Front, "link", n.settings.Link)
+	event.NodeStarted.Log(n.log, "front", n.settings.ClientAddress, "link", n.settings.PeerAddress)
 	return nil
 }
 
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -33,9 +33,9 @@
 // placing returns what the settings state of engines and prices.
 func (n *Node) placing() placement.Options {
 	o := placement.DefaultOptions()
-	o.TransferTokenCost, o.CrossHallByteCost = n.settings.PriceMoved, n.settings.PriceFarByte
-	if n.settings.PerToken > 0 {
-		o.Speed.Prior = speed.Prior(n.settings.PerToken)
+	o.TransferTokenCost, o.CrossHallByteCost = n.settings.TransferTokenCost, n.settings.CrossHallByteCost
+	if n.settings.PrefillTimePerToken > 0 {
+		o.Speed.Prior = speed.Prior(n.settings.PrefillTimePerToken)
 	}
 	return o
 }
--- a/cmd/node/parts.go
+++ b/cmd/node/parts.go
@@ -121,5 +121,5 @@
 	if shared := r.Shared(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
-	return w.places.CellNumber(region, int(platform.Hash(key)%uint64(w.cells(region))))
+	return w.places.CellNumber(region, int(platform.HashString(key)%uint64(w.cells(region))))
 }
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -62,7 +62,7 @@
 // nodeOfTwo returns a process that is not started and serves from two engines
 // and two replicas of a pool, which nobody can reach.
 func nodeOfTwo() *Node {
-	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", DatagramPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", HeartbeatPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
 	config := &catalog.Configuration{Version: 1, Services: map[string]*catalog.Service{
 		"pool": {Name: "pool", Pool: &catalog.Pool{Slots: 1, MaxBatch: 4, BatchTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemory: 1000, ResultTTL: time.Second}},
 		"llm":  {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}},
@@ -167,13 +167,13 @@
 	stage := func(pieces uint32, bytes int64, after ...uint32) *pb.StagesAsk {
 		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: pieces, Bytes: bytes, After: after}}}
 	}
-	is.NoErr(checkAsk(stage(platform.MostPieces, 1<<20)))
+	is.NoErr(checkAsk(stage(platform.MaxStageItems, 1<<20)))
 	for _, ask := range []*pb.StagesAsk{
 		stage(math.MaxUint32, 1),
 		stage(1, -1),
 		stage(1, 1, 0),
 		{Stages: make([]*pb.StageWork, mostStages+1)},
-		{Parts: make([]*pb.PromptPart, platform.MostParts+1)},
+		{Parts: make([]*pb.PromptPart, platform.MaxPromptParts+1)},
 		{Parts: []*pb.PromptPart{{Tokens: math.MaxUint32}}},
 		{TokensOut: math.MaxUint32},
 		{SlackUs: math.MinInt64},
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -26,7 +26,7 @@
 
 // runPieces sends a call of pieces to a replica.
 func (n *Node) runPieces(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
-	path, body, err := platform.RunCall(c.Items)
+	path, body, err := platform.BatchRequest(c.Items)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "call of pieces", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
@@ -44,14 +44,14 @@
 		return nil, pipeline.TimedOut
 	case err != nil:
 		return nil, pipeline.Broken
-	case head.Stranger:
+	case head.WrongReplica:
 		return nil, pipeline.WrongReplica
 	case head.NotRun:
 		return nil, pipeline.Refused
 	case status != fasthttp.StatusOK:
 		return nil, pipeline.Broken
 	}
-	results, err := platform.ParseRun(data, len(c.Items))
+	results, err := platform.ParseBatchResponse(data, len(c.Items))
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "results of pieces", "from", c.Replica, "error", err)
 		return nil, pipeline.Broken
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) sendFree(f pipeline.Free) {
-	path, body, err := platform.FreeCall(f.Handles)
+	path, body, err := platform.FreeRequest(f.Handles)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
 		return
@@ -110,14 +110,14 @@
 func (n *Node) keptParts(r catalog.Replica) ([]catalog.PromptPart, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), keptFor)
 	defer cancel()
-	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
+	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathCachedParts})
 	if err != nil {
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
 		return nil, upstream.ErrCut
 	}
-	return platform.ParseKept(data)
+	return platform.ParseCachedParts(data)
 }
 
 // ownCall is a call of the system's own to a replica.
@@ -132,17 +132,17 @@
 }
 
 // call makes one call of the system's own to a replica.
-func (n *Node) call(ctx context.Context, c ownCall) (int, platform.Head, []byte, error) {
+func (n *Node) call(ctx context.Context, c ownCall) (int, platform.ResponseHead, []byte, error) {
 	cn, err := n.connect(ctx, c.address, callConnect)
 	if err != nil {
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, cn.Close)
 	defer stop()
 	turn, ok := n.mayCall(c)
 	if !ok {
 		cn.Close()
-		return 0, platform.Head{}, nil, errStated
+		return 0, platform.ResponseHead{}, nil, errStated
 	}
 	defer n.statements.end(turn)
 	req := fasthttp.AcquireRequest()
@@ -156,7 +156,7 @@
 		req.Header.SetContentType("application/json")
 	}
 	if c.replica != "" {
-		platform.Expect(c.replica, req.Header.Set)
+		platform.SetExpectedReplica(c.replica, req.Header.Set)
 	}
 	req.SetBody(c.body)
 	record := outcome.Accept()
@@ -164,11 +164,11 @@
 	x, err := cn.Begin(token, req)
 	if err != nil {
 		cn.Close()
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	if err := x.ReadHead(func(*fasthttp.ResponseHeader) bool { return true }); err != nil {
 		x.Release(0)
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	head := n.takeHead(c.from, turn, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxResults))
@@ -205,12 +205,12 @@
 }
 
 // idleOf returns how long a connection may be kept after an answer.
-func idleOf(h *platform.Head, standard time.Duration) time.Duration {
-	if h.Closes {
+func idleOf(h *platform.ResponseHead, standard time.Duration) time.Duration {
+	if h.ClosesConnection {
 		return 0
 	}
-	if h.Idle > 0 {
-		return min(standard, h.Idle*3/4)
+	if h.KeepAlive > 0 {
+		return min(standard, h.KeepAlive*3/4)
 	}
 	return standard
 }
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -112,7 +112,7 @@
 	if len(turn) == 0 {
 		return nil, errNoRegion
 	}
-	mayBeLate := s.node.settings.LateCounts()
+	mayBeLate := s.node.settings.AllowsLate()
 	ask.LateToo = mayBeLate && len(turn) == 1
 	for i, region := range turn {
 		if i > 0 && !s.worthAsking(region) {
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -144,7 +144,7 @@
 		return &pb.Config{}
 	}
 	packed := raw.forPeers()
-	if !n.telling.may(n.now(), len(packed), n.settings.LinkBytes) {
+	if !n.telling.may(n.now(), len(packed), n.settings.LinkBytesPerSecond) {
 		n.counters.toldBusy.Inc(1)
 		return &pb.Config{Busy: true}
 	}
@@ -197,7 +197,7 @@
 		answer, size = n.makeAnswer(ask.Have)
 		n.telling.keep(ask.Have, changed, answer, size)
 	}
-	if !n.telling.may(n.now(), size, n.settings.LinkBytes) {
+	if !n.telling.may(n.now(), size, n.settings.LinkBytesPerSecond) {
 		n.counters.toldBusy.Inc(1)
 		return &pb.ReplicaChanges{Busy: true}
 	}
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -104,10 +104,10 @@
 
 // replaceRollouts takes in the orders as they were read whole at a revision. One
 // that can't be read stands as it was known before.
-func (n *Node) replaceRollouts(items []platform.Item, at uint64) {
+func (n *Node) replaceRollouts(items []platform.Entry, at uint64) {
 	orders := make([]rollout.Order, 0, len(items))
 	for i := range items {
-		o, err := items[i].Rollout()
+		o, err := items[i].RolloutOrder()
 		if err == nil {
 			orders = append(orders, o)
 			continue
@@ -125,17 +125,17 @@
 
 // applyRollouts takes in what a watch brought, after which all up to a revision
 // is known.
-func (n *Node) applyRollouts(items []platform.Item, at uint64) {
+func (n *Node) applyRollouts(items []platform.Entry, at uint64) {
 	var entries []rollout.Entry
 	for i := range items {
 		service, ok := items[i].RolloutService()
 		if !ok {
 			continue
 		}
-		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Gone: items[i].Gone}
+		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Gone: items[i].Deleted}
 		if !e.Gone {
 			var err error
-			if e.Order, err = items[i].Rollout(); err != nil {
+			if e.Order, err = items[i].RolloutOrder(); err != nil {
 				event.RolloutBroken.Log(n.log, "service", service, "error", err)
 				continue
 			}
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -135,7 +135,7 @@
 	if !n.takes(route.Kind == catalog.Stream) {
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
-	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
+	s.service = world.config.Services[route.PickService(platform.HashString(req.ID))]
 	if !world.listed {
 		return nil, &answerError{status: http.StatusServiceUnavailable, after: backSoon, text: errNoReplicas.Error()}
 	}
--- a/cmd/node/silence_test.go
+++ b/cmd/node/silence_test.go
@@ -79,19 +79,19 @@
 		return platform.Intent{}, err
 	}
 	version, _, _, _ := s.look()
-	return platform.Intent{Configuration: text(version), At: version}, nil
+	return platform.Intent{Configuration: text(version), Revision: version}, nil
 }
 
 // Watch is answered, when the store knows of it, with the next change or at the
 // end of the wait.
-func (s *fakeStore) Watch(t platform.Topic, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
+func (s *fakeStore) Watch(t platform.Topic, after uint64, wait time.Duration) ([]platform.Entry, uint64, error) {
 	end := time.NewTimer(wait)
 	lost := time.NewTimer(max(wait+platform.WatchGrace, platform.CallTimeout))
 	version, silent, _, changed := s.look()
 	known, cut := !silent, false
 	for {
 		if known && !silent && t == platform.TopicIntent && version > after {
-			return []platform.Item{platform.ConfigurationItem(text(version), version)}, version, nil
+			return []platform.Entry{platform.ConfigurationEntry(text(version), version)}, version, nil
 		}
 		select {
 		case <-changed:
@@ -130,7 +130,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := &platform.Settings{
-			Name: "n", Hall: "h", Store: "127.0.0.1:1", ContactFor: contactFor, ApplyFor: applyFor, DrainFor: applyFor,
+			Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", RecoveryTime: contactFor, ConfigApplyTime: applyFor, DrainTime: applyFor,
 		}
 		n := New(settings, hclog.NewNullLogger())
 		s := newFakeStore()
@@ -210,7 +210,7 @@
 func TestAWaitIsBoundByWhatTheDeploymentWants(t *testing.T) {
 	is := is.New(t)
 	wait := func(contact, apply, drain, empty time.Duration) time.Duration {
-		return watchFor(&platform.Settings{ContactFor: contact, ApplyFor: apply, DrainFor: drain, EmptyFor: empty})
+		return watchFor(&platform.Settings{RecoveryTime: contact, ConfigApplyTime: apply, DrainTime: drain, HallDrainTime: empty})
 	}
 	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, 5*time.Second), 3300*time.Millisecond)
 	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas, too
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -18,7 +18,7 @@
 
 // owning returns a node whose configuration has one generating service, and its cell.
 func owning(name string) (*Node, *cell) {
-	n := New(&platform.Settings{Name: name, Hall: "h", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: name, Hall: "h", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	services := map[string]*catalog.Service{"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 100_000}}}
 	n.world.Store(&world{config: &catalog.Configuration{Services: services}, places: regions.New(nil)})
 	return n, n.owner.cell(0)
@@ -57,7 +57,7 @@
 	}
 	seen.mu.Unlock()
 	old.noteSpeeds()
-	between := New(&platform.Settings{Name: "between", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	between := New(&platform.Settings{Name: "between", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	between.takeSpeeds(told(t, old))
 	between.takeSpeeds(told(t, old)) // again
 
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -82,11 +82,11 @@
 
 // listenAdmin serves metrics and the dump of state to operators.
 func (n *Node) listenAdmin() error {
-	if n.settings.MetricsPort == 0 {
+	if n.settings.AdminPort == 0 {
 		return nil
 	}
 	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, Acquit: n.acquit}
-	server, err := web.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort)), admin.Handler, func(p any) {
+	server, err := web.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.AdminPort)), admin.Handler, func(p any) {
 		event.NodePanicked.Log(n.log, "panic", p)
 	})
 	n.admin = server
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -83,22 +83,22 @@
 
 // takeHead reads an answer's head and takes in what its replica states in it. All
 // answers go through here, whatever they are to: what is said is said once.
-func (n *Node) takeHead(from stater, turn stated.Attempt, header *fasthttp.ResponseHeader) platform.Head {
-	h := platform.ParseHead(header.StatusCode(), func(name string) string { return string(header.Peek(name)) })
-	if from.life == "" || h.Stranger { // another replica speaks of itself
+func (n *Node) takeHead(from stater, turn stated.Attempt, header *fasthttp.ResponseHeader) platform.ResponseHead {
+	h := platform.ParseResponseHead(header.StatusCode(), func(name string) string { return string(header.Peek(name)) })
+	if from.life == "" || h.WrongReplica { // another replica speaks of itself
 		return h
 	}
 	for name := range header.All() {
-		if !platform.IsRead(string(name)) {
+		if !platform.IsKnownHeader(string(name)) {
 			n.noteUnread(from.service, string(name), "answer")
 		}
 	}
 	n.takeLimit(from, &h)
-	if h.Leaves {
+	if h.Draining {
 		n.takeLeaving(from.life, itsOwn)
 	}
-	if h.Rest > 0 {
-		n.takeRest(from, h.Rest)
+	if h.Backoff > 0 {
+		n.takeRest(from, h.Backoff)
 	} else {
 		n.statements.with(func(b *stated.Tracker) { b.RecordAnswer(turn) })
 	}
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -13,7 +13,7 @@
 	Answers(within time.Duration) error
 	Intent() (platform.Intent, error)
 	Replicas() (items map[string][]byte, at uint64, err error)
-	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Item, at uint64, err error)
+	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Entry, at uint64, err error)
 	Instances() (items map[string][]byte, err error)
 	Lease(life time.Duration) (lease uint64, err error)
 	Keep(lease uint64) error
--- a/cmd/node/telling_test.go
+++ b/cmd/node/telling_test.go
@@ -22,7 +22,7 @@
 
 // knowing returns a node that knows of so many replicas.
 func knowing(t testing.TB, replicas int) *Node {
-	n := New(&platform.Settings{Name: "n", Hall: "h", Store: "127.0.0.1:1", LinkBytes: slowLink}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", LinkBytesPerSecond: slowLink}, hclog.NewNullLogger())
 	values := make(map[string][]byte)
 	for i := range replicas {
 		id := fmt.Sprintf("i-%08x", i*2654435761)
@@ -91,7 +91,7 @@
 func TestWhoStartsBesideAReaderWaitsForItsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := New(&platform.Settings{Name: "n", Hall: "h", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+		n := New(&platform.Settings{Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 		s := newFakeStore()
 		n.store = s
 		ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -20,7 +20,7 @@
 	f.read = func() (func(), error) {
 		intent, err := n.store.Intent()
 		return func() {
-			at.Store(intent.At)
+			at.Store(intent.Revision)
 			n.takeIntent(intent)
 		}, err
 	}
@@ -38,19 +38,19 @@
 // the roll-outs come first: nothing is sent before a configuration is in force.
 func (n *Node) takeIntent(i platform.Intent) {
 	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
-		return v.Replace(now, i.Emptied, i.At)
+		return v.Replace(now, i.DrainedHalls, i.Revision)
 	})
-	n.replaceRollouts(i.Rollouts, i.At)
+	n.replaceRollouts(i.Rollouts, i.Revision)
 	n.offer(i.Configuration, fromStore)
 }
 
 // takeIntentChanges takes in what a watch brought, after which all up to a
 // revision is known.
-func (n *Node) takeIntentChanges(items []platform.Item, at uint64) {
+func (n *Node) takeIntentChanges(items []platform.Entry, at uint64) {
 	var entries []evacuation.Entry
 	for i := range items {
-		if hall, ok := items[i].EmptiedHall(); ok {
-			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Gone})
+		if hall, ok := items[i].DrainedHall(); ok {
+			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Deleted})
 		}
 	}
 	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
@@ -58,7 +58,7 @@
 	})
 	n.applyRollouts(items, at)
 	for i := range items {
-		if items[i].IsConfiguration() && !items[i].Gone {
+		if items[i].IsConfiguration() && !items[i].Deleted {
 			n.offer(items[i].Value, fromStore)
 		}
 	}
@@ -130,10 +130,10 @@
 }
 
 // takeReplicas takes in what a watch brought of the list of replicas.
-func (n *Node) takeReplicas(ctx context.Context, items []platform.Item, at uint64) {
+func (n *Node) takeReplicas(ctx context.Context, items []platform.Entry, at uint64) {
 	entries := make([]changes.Entry, 0, len(items))
 	for _, i := range items {
-		entries = append(entries, changes.Entry{ID: i.ReplicaID(), Value: i.Value, Revision: i.Revision, Deleted: i.Gone})
+		entries = append(entries, changes.Entry{ID: i.ReplicaName(), Value: i.Value, Revision: i.Revision, Deleted: i.Deleted})
 	}
 	n.followMu.Lock()
 	news := n.replicas.log.ApplyChanges(entries, at)
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -46,7 +46,7 @@
 
 func newReplicaSet() *replicaSet {
 	return &replicaSet{
-		log:   changes.New(platform.SameReplica),
+		log:   changes.New(platform.EquivalentReplicas),
 		rows:  make(map[string]replicaRow),
 		lives: make(map[string]replicaRow),
 		signs: make(map[string]time.Duration),
