--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -39,7 +39,7 @@
 	token           outcome.DispatchToken
 	conn            *upstream.Conn
 	exchange        *upstream.Exchange
-	head            platform.Head
+	head            platform.ResponseHead
 	advisoryAttempt advisory.Attempt
 	abortReason     atomic.Pointer[error] // why this instance aborted it; nil: it did not
 	sentAt          time.Duration
@@ -104,7 +104,7 @@
 // the connection without an advisory, as a draining replica does.
 func (a *attempt) closedAfterRefusal() bool {
 	h := &a.head
-	return h.Closes && h.NotRun && h.Rest == 0 && !h.Leaves
+	return h.ClosesConnection && h.NotRun && h.Backoff == 0 && !h.Draining
 }
 
 // countRemoteBytes counts the answer's bytes if the replica is in another region.
@@ -152,7 +152,7 @@
 	suspended := n.clock.Asleep() != a.suspendedBefore
 	if err != nil {
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
-			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Rest, "leaves", a.head.Leaves)
+			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Backoff, "leaves", a.head.Draining)
 	}
 	n.judgeMu.Lock()
 	if err == nil && !suspended {
@@ -164,7 +164,7 @@
 		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
 	n.judgeMu.Unlock()
-	if a.head.Stranger || a.closedAfterRefusal() {
+	if a.head.WrongReplica || a.closedAfterRefusal() {
 		n.recordDrainSign(a.replica.ID, "answer")
 	}
 	if kind == ending.Refused || kind == ending.MissingInputs {
@@ -213,7 +213,7 @@
 		return a.abortReasonOr(errAnswerBroken)
 	}
 	a.head = a.node.takeHead(a.answerSource(), a.advisoryAttempt, &x.Header)
-	a.lastReplicaDrains = a.head.Leaves
+	a.lastReplicaDrains = a.head.Draining
 	a.answerBegan = a.node.now()
 	return a.forwardAnswer(timer)
 }
@@ -236,7 +236,7 @@
 // isOwnAnswer reports whether an answer belongs to this request. The advisories in
 // a late answer to another request are recorded all the same.
 func (a *attempt) isOwnAnswer(h *fasthttp.ResponseHeader) bool {
-	id := string(h.Peek(platform.HeaderID))
+	id := string(h.Peek(platform.HeaderRequestID))
 	if id == a.req.ID || (id == "" && h.StatusCode() >= http.StatusBadRequest) {
 		return true
 	}
@@ -254,11 +254,11 @@
 	req.Header.SetMethod(a.req.Method)
 	req.SetRequestURI(a.req.Target)
 	req.Header.SetHost(a.req.Host)
-	send := &platform.Send{
+	send := &platform.Attempt{
 		Replica:   a.replica.Name,
 		Customer:  a.customer,
-		Left:      a.deadline - a.node.now(),
-		Fetch:     fetch,
+		TimeLeft:  a.deadline - a.node.now(),
+		FetchFrom: fetch,
 		Urgency:   -1,
 		LastEvent: a.req.LastEvent,
 	}
@@ -271,7 +271,7 @@
 	if a.stream.lastEventID != "" {
 		send.LastEvent = a.stream.lastEventID
 	}
-	platform.Fill(a.req, send, req.Header.Add)
+	platform.SetAttemptHeaders(a.req, send, req.Header.Add)
 	req.SetBodyRaw(a.req.Body)
 }
 
@@ -319,7 +319,7 @@
 	case a.head.NotRun:
 		_, _ = io.Copy(io.Discard, a.exchange)
 		return errReplicaRefused
-	case status < http.StatusMultipleChoices && !a.head.FullSignature():
+	case status < http.StatusMultipleChoices && !a.head.HasSignature():
 		return errAnswerBroken
 	case status < http.StatusMultipleChoices && a.route.Kind == catalog.Stream:
 		return a.forwardStream(timer)
@@ -363,7 +363,7 @@
 func (a *attempt) copyHeaders() {
 	h := a.w.Header()
 	for name, value := range a.exchange.Header.All() {
-		if platform.PassedOn(string(name)) {
+		if platform.IsForwardedHeader(string(name)) {
 			h.Add(string(name), string(value))
 		}
 	}
--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -122,5 +122,5 @@
 	if shared := r.Shared(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
-	return w.regions.CellNumber(region, int(platform.Hash(key)%uint64(w.cellCount(region))))
+	return w.regions.CellNumber(region, int(platform.HashString(key)%uint64(w.cellCount(region))))
 }
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -23,14 +23,14 @@
 		http.NotFound(w, r)
 		return
 	}
-	question := platform.ParseQuestion(r.URL.Query())
+	question := platform.ParseAddressQuery(r.URL.Query())
 	c := addressClient{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerHost(r)}
 	if config := n.world.Load().config; config != nil {
 		c.allowedRegions = regions.Intersect(config.AllowedRegions(question.Host))
 	}
-	answer := platform.Addresses{
-		Addresses: selectAddresses(n.liveInstances(), c),
-		Life:      min(maxAddressTTL, n.settings.AddressesFor).Seconds(),
+	answer := platform.AddressResponse{
+		Addresses:  selectAddresses(n.liveInstances(), c),
+		TTLSeconds: min(maxAddressTTL, n.settings.MaxAddressTTL).Seconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer)
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -62,7 +62,7 @@
 // newTwoReplicaNode returns a node that is not started, with two engines and two
 // replicas of a pool, which are unreachable.
 func newTwoReplicaNode() *Node {
-	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", DatagramPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n1", Hall: "h1", IP: "127.0.0.1", HeartbeatPort: 1, RetryRatio: 0.2, RetrySlack: 50}, hclog.NewNullLogger())
 	config := &catalog.Configuration{Version: 1, Services: map[string]*catalog.Service{
 		"pool": {Name: "pool", Pool: &catalog.Pool{Slots: 1, MaxBatch: 4, BatchTime: time.Millisecond, ItemTime: time.Millisecond, ResultMemory: 1000, ResultTTL: time.Second}},
 		"llm":  {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}},
@@ -167,13 +167,13 @@
 	task := func(items uint32, bytes int64, after ...uint32) *pb.StagesAsk {
 		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: items, Bytes: bytes, After: after}}}
 	}
-	is.NoErr(validateStagesAsk(task(platform.MostPieces, 1<<20)))
+	is.NoErr(validateStagesAsk(task(platform.MaxStageItems, 1<<20)))
 	for _, task := range []*pb.StagesAsk{
 		task(math.MaxUint32, 1),
 		task(1, -1),
 		task(1, 1, 0),
 		{Stages: make([]*pb.StageWork, maxStages+1)},
-		{Parts: make([]*pb.PromptPart, platform.MostParts+1)},
+		{Parts: make([]*pb.PromptPart, platform.MaxPromptParts+1)},
 		{Parts: []*pb.PromptPart{{Tokens: math.MaxUint32}}},
 		{TokensOut: math.MaxUint32},
 		{SlackUs: math.MinInt64},
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -114,7 +114,7 @@
 	if len(order) == 0 {
 		return nil, errNoAllowedRegion
 	}
-	mayBeLate := s.node.settings.LateCounts()
+	mayBeLate := s.node.settings.AllowsLate()
 	ask.LateToo = mayBeLate && len(order) == 1
 	for i, region := range order {
 		if i > 0 && !s.isWorthAsking(region) {
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -26,7 +26,7 @@
 
 // runBatch sends a batch of items to a replica.
 func (n *Node) runBatch(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
-	path, body, err := platform.RunCall(c.Items)
+	path, body, err := platform.BatchRequest(c.Items)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
@@ -44,14 +44,14 @@
 		return nil, pipeline.TimedOut
 	case err != nil:
 		return nil, pipeline.Broken
-	case head.Stranger:
+	case head.WrongReplica:
 		return nil, pipeline.WrongReplica
 	case head.NotRun:
 		return nil, pipeline.Refused
 	case status != fasthttp.StatusOK:
 		return nil, pipeline.Broken
 	}
-	results, err := platform.ParseRun(data, len(c.Items))
+	results, err := platform.ParseBatchResponse(data, len(c.Items))
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
 		return nil, pipeline.Broken
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) sendFreeResults(f pipeline.Free) {
-	path, body, err := platform.FreeCall(f.Handles)
+	path, body, err := platform.FreeRequest(f.Handles)
 	if err != nil {
 		event.NodeMessageBroken.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
 		return
@@ -110,14 +110,14 @@
 func (n *Node) fetchCachedParts(r catalog.Replica) ([]catalog.PromptPart, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), cacheReportTimeout)
 	defer cancel()
-	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
+	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathCachedParts})
 	if err != nil {
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
 		return nil, upstream.ErrCut
 	}
-	return platform.ParseKept(data)
+	return platform.ParseCachedParts(data)
 }
 
 // replicaCall is a call to a replica that forwards no client request.
@@ -132,17 +132,17 @@
 }
 
 // callReplica makes one such call.
-func (n *Node) callReplica(ctx context.Context, c replicaCall) (int, platform.Head, []byte, error) {
+func (n *Node) callReplica(ctx context.Context, c replicaCall) (int, platform.ResponseHead, []byte, error) {
 	cn, err := n.connectReplica(ctx, c.address, callConnectTimeout)
 	if err != nil {
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, cn.Close)
 	defer stop()
 	advisoryAttempt, ok := n.beginCall(c)
 	if !ok {
 		cn.Close()
-		return 0, platform.Head{}, nil, errStated
+		return 0, platform.ResponseHead{}, nil, errStated
 	}
 	defer n.statements.end(advisoryAttempt)
 	req := fasthttp.AcquireRequest()
@@ -156,7 +156,7 @@
 		req.Header.SetContentType("application/json")
 	}
 	if c.expectedReplica != "" {
-		platform.Expect(c.expectedReplica, req.Header.Set)
+		platform.SetExpectedReplica(c.expectedReplica, req.Header.Set)
 	}
 	req.SetBody(c.body)
 	record := outcome.NewRecord()
@@ -164,11 +164,11 @@
 	x, err := cn.Begin(token, req)
 	if err != nil {
 		cn.Close()
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	if err := x.ReadHead(func(*fasthttp.ResponseHeader) bool { return true }); err != nil {
 		x.Release(0)
-		return 0, platform.Head{}, nil, err
+		return 0, platform.ResponseHead{}, nil, err
 	}
 	head := n.takeHead(c.source, advisoryAttempt, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
@@ -206,12 +206,12 @@
 }
 
 // idleTimeoutAfter returns how long a connection may be kept idle after an answer.
-func idleTimeoutAfter(h *platform.Head, defaultIdle time.Duration) time.Duration {
-	if h.Closes {
+func idleTimeoutAfter(h *platform.ResponseHead, defaultIdle time.Duration) time.Duration {
+	if h.ClosesConnection {
 		return 0
 	}
-	if h.Idle > 0 {
-		return min(defaultIdle, h.Idle*3/4)
+	if h.KeepAlive > 0 {
+		return min(defaultIdle, h.KeepAlive*3/4)
 	}
 	return defaultIdle
 }
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -48,7 +48,7 @@
 
 func newReplicaSet() *replicaSet {
 	return &replicaSet{
-		changeLog:     changes.New(platform.SameReplica),
+		changeLog:     changes.New(platform.EquivalentReplicas),
 		byName:        make(map[string]replicaRecord),
 		byIncarnation: make(map[string]replicaRecord),
 		drainSigns:    make(map[string]time.Duration),
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -19,7 +19,7 @@
 // newOwningNode returns a node whose configuration has one generating service, and its
 // cell.
 func newOwningNode(name string) (*Node, *cell) {
-	n := New(&platform.Settings{Name: name, Hall: "h", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: name, Hall: "h", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	services := map[string]*catalog.Service{"llm": {Name: "llm", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 100_000}}}
 	n.world.Store(&snapshot{config: &catalog.Configuration{Services: services}, regions: regions.New(nil)})
 	return n, n.owner.cell(0)
@@ -58,7 +58,7 @@
 	}
 	oldCell.mu.Unlock()
 	oldOwner.recordLocalSpeeds()
-	relay := New(&platform.Settings{Name: "between", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+	relay := New(&platform.Settings{Name: "between", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 	relay.mergeSpeeds(announcedSpeeds(t, oldOwner))
 	relay.mergeSpeeds(announcedSpeeds(t, oldOwner)) // duplicate
 
--- a/cmd/node/stages_ask.go
+++ b/cmd/node/stages_ask.go
@@ -25,7 +25,7 @@
 	if len(ask.Stages) > maxStages {
 		return fmt.Errorf("%d stages", len(ask.Stages))
 	}
-	if len(ask.Parts) > platform.MostParts || ask.TokensOut > platform.MostTokens {
+	if len(ask.Parts) > platform.MaxPromptParts || ask.TokensOut > platform.MaxTokens {
 		return fmt.Errorf("a prompt of %d parts, %d tokens to generate", len(ask.Parts), ask.TokensOut)
 	}
 	if len(ask.Customer) > mostCustomer {
@@ -35,7 +35,7 @@
 		return fmt.Errorf("a customer's part of %v", part)
 	}
 	for _, p := range ask.Parts {
-		if p.GetTokens() > platform.MostTokens {
+		if p.GetTokens() > platform.MaxTokens {
 			return fmt.Errorf("a part of %d tokens", p.GetTokens())
 		}
 	}
@@ -53,7 +53,7 @@
 }
 
 func validateStageWork(n int, w *pb.StageWork) error {
-	if w.GetPieces() > platform.MostPieces || w.GetBytes() < 0 || w.GetBytes() > maxResultBytes {
+	if w.GetPieces() > platform.MaxStageItems || w.GetBytes() < 0 || w.GetBytes() > maxResultBytes {
 		return fmt.Errorf("stage %d has %d pieces of %d bytes", n, w.GetPieces(), w.GetBytes())
 	}
 	for _, a := range w.GetAfter() {
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -13,7 +13,7 @@
 	Answers(timeout time.Duration) error
 	Intent() (platform.Intent, error)
 	Replicas() (items map[string][]byte, revision uint64, err error)
-	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Item, revision uint64, err error)
+	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Entry, revision uint64, err error)
 	Instances() (items map[string][]byte, err error)
 	Lease(ttl time.Duration) (lease uint64, err error)
 	Keep(lease uint64) error
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -35,7 +35,7 @@
 // changes. A wait therefore ends early enough for the changes that it missed to be in
 // force within the deployment's time limits.
 func watchTimeFor(s *platform.Settings) time.Duration {
-	allowed := s.ContactFor + min(s.ApplyFor, s.DrainFor, s.EmptyFor)
+	allowed := s.RecoveryTime + min(s.ConfigApplyTime, s.DrainTime, s.HallDrainTime)
 	return min(max(allowed-platform.WatchGrace-changePropagationTime, minWatchTime), maxWatchTime)
 }
 
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -82,19 +82,19 @@
 		return platform.Intent{}, err
 	}
 	version, _, _, _ := s.state()
-	return platform.Intent{Configuration: configText(version), At: version}, nil
+	return platform.Intent{Configuration: configText(version), Revision: version}, nil
 }
 
 // Watch returns the next change, or nothing at the end of the wait, unless the store has
 // missed the call.
-func (s *fakeStore) Watch(t platform.Topic, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
+func (s *fakeStore) Watch(t platform.Topic, after uint64, wait time.Duration) ([]platform.Entry, uint64, error) {
 	end := time.NewTimer(wait)
 	timeout := time.NewTimer(max(wait+platform.WatchGrace, platform.CallTimeout))
 	version, unresponsive, _, changed := s.state()
 	received, stalled := !unresponsive, false
 	for {
 		if received && !unresponsive && t == platform.TopicIntent && version > after {
-			return []platform.Item{platform.ConfigurationItem(configText(version), version)}, version, nil
+			return []platform.Entry{platform.ConfigurationEntry(configText(version), version)}, version, nil
 		}
 		select {
 		case <-changed:
@@ -133,7 +133,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := &platform.Settings{
-			Name: "n", Hall: "h", Store: "127.0.0.1:1", ContactFor: contactFor, ApplyFor: applyFor, DrainFor: applyFor,
+			Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", RecoveryTime: contactFor, ConfigApplyTime: applyFor, DrainTime: applyFor,
 		}
 		n := New(settings, hclog.NewNullLogger())
 		s := newFakeStore()
@@ -213,7 +213,7 @@
 func TestWatchTimeFollowsSettings(t *testing.T) {
 	is := is.New(t)
 	wait := func(contact, apply, drain, empty time.Duration) time.Duration {
-		return watchTimeFor(&platform.Settings{ContactFor: contact, ApplyFor: apply, DrainFor: drain, EmptyFor: empty})
+		return watchTimeFor(&platform.Settings{RecoveryTime: contact, ConfigApplyTime: apply, DrainTime: drain, HallDrainTime: empty})
 	}
 	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, 5*time.Second), 3300*time.Millisecond)
 	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas has a limit as well
--- a/cmd/node/update_server_test.go
+++ b/cmd/node/update_server_test.go
@@ -22,7 +22,7 @@
 
 // newNodeWithReplicas returns a node that knows the given number of replicas.
 func newNodeWithReplicas(t testing.TB, replicas int) *Node {
-	n := New(&platform.Settings{Name: "n", Hall: "h", Store: "127.0.0.1:1", LinkBytes: slowLink}, hclog.NewNullLogger())
+	n := New(&platform.Settings{Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", LinkBytesPerSecond: slowLink}, hclog.NewNullLogger())
 	values := make(map[string][]byte)
 	for i := range replicas {
 		id := fmt.Sprintf("i-%08x", i*2654435761)
@@ -92,7 +92,7 @@
 func TestStartingInstanceWaitsForReadersBeforeItsFirstRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := New(&platform.Settings{Name: "n", Hall: "h", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
+		n := New(&platform.Settings{Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
 		s := newFakeStore()
 		n.store = s
 		ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/node/warmup.go
+++ b/cmd/node/warmup.go
@@ -19,7 +19,7 @@
 }
 
 func newWarmUpLimiter(s *platform.Settings) *warmUpLimiter {
-	return &warmUpLimiter{limit: warmup.Limit{Overrun: s.ColdOverrun, Slack: s.ColdSlack}, window: warmup.NewWindow()}
+	return &warmUpLimiter{limit: warmup.Limit{Overrun: s.WarmUpOverrun, Slack: s.WarmUpSlack}, window: warmup.NewWindow()}
 }
 
 // warmingUntil returns until when a replica counts as warming: by its own report, or
