--- a/cmd/node/ask.go
+++ b/cmd/node/ask.go
@@ -27,7 +27,7 @@
 	if len(ask.Parts) > platform.MostParts || ask.TokensOut > platform.MostTokens {
 		return fmt.Errorf("a prompt of %d parts, %d tokens to generate", len(ask.Parts), ask.TokensOut)
 	}
-	if len(ask.Customer) > mostCustomer {
+	if len(ask.Customer) > maxCustomerLength {
 		return fmt.Errorf("a customer's name of %d bytes", len(ask.Customer))
 	}
 	if part := ask.CustomerPart; !(part >= 0 && part <= 1) {
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -52,8 +52,8 @@
 func (s *serving) attempt(ctx context.Context, r catalog.Replica, fetch string) error {
 	s.replica, s.region, s.fetch = r.ID, r.Region, fetch
 	n := s.node
-	if !s.hasTurn(ctx, &r) {
-		return errPaced
+	if !s.acquireSendGrant(ctx, &r) {
+		return errRateLimited
 	}
 	conn, err := n.connect(ctx, r.Address, connectFor)
 	if err != nil {
@@ -67,12 +67,12 @@
 		conn.Close()
 		return errUnreached
 	}
-	turn, ok := n.statements.begin(n.now(), r.ID)
+	turn, ok := n.statements.beginAttempt(n.now(), r.ID)
 	if !ok {
 		conn.Close()
 		return errUnreached
 	}
-	defer func() { n.statements.end(turn) }()
+	defer func() { n.statements.endAttempt(turn) }()
 	a := &attempt{serving: s, replica: r, conn: conn, sent: n.now(), asleep: n.clock.Asleep(), turn: turn}
 	token, ok := s.record.Dispatch()
 	if !ok {
@@ -210,7 +210,7 @@
 	if err := x.ReadHead(a.own); err != nil {
 		return a.broken(errBroken)
 	}
-	a.head = a.node.takeHead(a.stater(), a.turn, &x.Header)
+	a.head = a.node.recordHead(a.stater(), a.turn, &x.Header)
 	a.leaves = a.head.Leaves
 	a.began = a.node.now()
 	return a.answer(watch)
@@ -239,12 +239,14 @@
 		return true
 	}
 	late := a.stater()
-	late.aside = true
-	a.node.takeHead(late, advisory.Attempt{}, h)
+	late.auxiliary = true
+	a.node.recordHead(late, advisory.Attempt{}, h)
 	return false
 }
 
-func (a *attempt) stater() stater { return stater{life: a.replica.ID, service: a.service.Name} }
+func (a *attempt) stater() answerSource {
+	return answerSource{incarnation: a.replica.ID, service: a.service.Name}
+}
 
 func (a *attempt) fill(req *fasthttp.Request, fetch string) {
 	req.Header.DisableNormalizing()
--- /dev/null
+++ b/cmd/node/backoff.go
@@ -0,0 +1,164 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"quinceroad/cmd/process"
+	"quinceroad/coordination/advisory"
+	"quinceroad/state/catalog"
+)
+
+// backoffError says that no eligible replica accepts requests now.
+type backoffError struct {
+	now, until  time.Duration // until: when the first replica may receive a request again
+	rateLimited bool          // the first replica has a rate limit, it is not in backoff
+}
+
+// Error implements the error interface.
+func (e *backoffError) Error() string {
+	if e.rateLimited {
+		return fmt.Sprintf("all replicas take no more for now by the limits that they state, or rest; the first has a turn in %v", e.remaining().Round(time.Millisecond))
+	}
+	return fmt.Sprintf("all replicas rest, the first for %v more", e.remaining().Round(time.Millisecond))
+}
+
+func (e *backoffError) remaining() time.Duration { return max(e.until-e.now, 0) }
+
+// retryJitter returns a random delay to add to the retry time of a caller.
+func retryJitter() time.Duration { return time.Duration(newRandom().Float64() * float64(retrySpread)) }
+
+// errAllDraining says that all replicas of the service are draining.
+var errAllDraining = errors.New("all replicas are leaving")
+
+const (
+	// Time over which callers return after a backoff, so that they don't arrive all at
+	// once: within it, a replica accepts some requests before it accepts any number.
+	retrySpread = time.Second
+
+	backoffPollInterval = 20 * time.Millisecond // below the usual duration of an answer
+
+	// Fraction of the objective for which a request without finished stages may wait for a
+	// replica. A caller that has to retry loses more time than that.
+	maxWaitShare = 0.125
+
+	maxBackoffPoll = 200 * time.Millisecond // longest pause, as another replica may become available
+)
+
+// sendableReplicas returns the replicas that may receive a request now. It returns a
+// backoffError if advisories and rate limits exclude all that the request has not tried
+// yet.
+func (s *serving) sendableReplicas(now time.Duration, all []catalog.Replica) (sendable []catalog.Replica, err error) {
+	earliest, anyUntried, rateLimited := advisory.Never, false, false
+	s.node.statements.withTracker(func(t *advisory.Tracker) {
+		if t.Empty() && !s.node.statements.rateLimits.HasLimits() {
+			sendable, anyUntried = all, true
+			return
+		}
+		for _, r := range all {
+			tried := s.avoid[r.ID] || s.tried[r.ID]
+			ok, from := s.node.statements.canSendLocked(now, r.ID)
+			if ok {
+				sendable = append(sendable, r)
+				anyUntried = anyUntried || !tried
+			} else if !tried && from < earliest {
+				earliest = from
+				rateLimited, _ = t.CanSend(now, r.ID)
+			}
+		}
+	})
+	if !anyUntried && earliest != advisory.Never {
+		err = &backoffError{now: now, until: earliest, rateLimited: rateLimited}
+	}
+	return sendable, err
+}
+
+// earlierBackoff returns the backoffError that ends first. If only one of the two is a
+// backoffError it returns that one, if neither is it returns b.
+func earlierBackoff(a, b error) error {
+	var x, y *backoffError
+	if !errors.As(a, &x) {
+		return b
+	}
+	if errors.As(b, &y) && y.until < x.until {
+		return b
+	}
+	return a
+}
+
+// checkServable returns an error if, according to what the replicas state, none can serve
+// the request in time. Its stages would be wasted work.
+func (s *serving) checkServable() error {
+	w := s.node.world.Load()
+	now := s.node.now()
+	listed := permitted(s.homes(), w.services[s.service.Name])
+	if len(listed) == 0 {
+		return s.checkAllDraining(w)
+	}
+	_, err := s.sendableReplicas(now, listed)
+	var backoff *backoffError
+	if errors.As(err, &backoff) && backoff.until > s.latestUsefulAnswer() {
+		return err
+	}
+	return nil
+}
+
+// latestUsefulAnswer returns the time by which an answer must begin to be of use.
+func (s *serving) latestUsefulAnswer() time.Duration {
+	if s.route.Objective == 0 {
+		return s.end
+	}
+	return min(s.req.Arrived+s.route.Objective, s.end)
+}
+
+// checkAllDraining returns errAllDraining if the service has replicas and all of them are
+// draining.
+func (s *serving) checkAllDraining(w *world) error {
+	found := false
+	for _, r := range w.all {
+		if r.Service != s.service.Name {
+			continue
+		}
+		if !r.Draining {
+			return nil
+		}
+		found = true
+	}
+	if found {
+		return errAllDraining
+	}
+	return nil
+}
+
+// waitForBackoff waits until a replica may receive the request again, if that is better
+// than refusing it, and reports whether to try again. A request whose stages are done, or
+// whose answer has begun, waits for as long as the answer is of use, another one briefly.
+func (s *serving) waitForBackoff(ctx context.Context, err error) bool {
+	var backoff *backoffError
+	if !errors.As(err, &backoff) {
+		return false
+	}
+	now := s.node.now()
+	latest := s.req.Arrived + time.Duration(float64(s.route.Objective)*maxWaitShare)
+	if s.stream.headSent || s.job != nil && len(s.job.handles) > 0 {
+		latest = s.latestUsefulAnswer()
+	}
+	if backoff.until > latest || now >= latest {
+		return false
+	}
+	return process.Pause(ctx, min(max(backoff.until-now, backoffPollInterval), maxBackoffPoll))
+}
+
+// replaceForbiddenEngine has the owner choose another engine if the replica has stated
+// a backoff, drain or limit since the choice, or only to this instance: only the owner
+// knows the load of all engines. It asks once; the new choice is checked in the same way.
+func (s *serving) replaceForbiddenEngine(ctx context.Context) {
+	if s.job == nil || s.job.engine == "" || s.service.Engine == nil {
+		return
+	}
+	if !s.mayUseChoice() {
+		s.placeAnew(ctx)
+	}
+}
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -17,23 +17,23 @@
 	"quinceroad/state/catalog"
 )
 
-// cell is one scheduler and those who wait for its jobs.
+// cell holds the scheduler of one cell and the requests that wait for its jobs.
 type cell struct {
 	owner *owner
 
-	ready        sync.Once
-	mu           sync.Mutex
-	number       int
-	scheduler    *pipeline.Scheduler
-	engines      *placement.Table
-	next         uint64                          // number of the next request at an engine
-	waiting      map[uint64]chan pipeline.Action // by job: its Deliver or Fail
-	calls        map[uint64]context.CancelFunc
-	asked        time.Duration                     // when a request last came
-	turns        map[string]*pace.Queue            // by service: requests that want turns of its engines
-	fingerprints map[string]quarantine.Fingerprint // by id of requests whose stages run
+	prepareOnce   sync.Once
+	mu            sync.Mutex
+	number        int
+	scheduler     *pipeline.Scheduler
+	engines       *placement.Table
+	lastRequestID uint64                          // ID of the latest request in engines and grantQueues
+	jobOutcomes   map[uint64]chan pipeline.Action // by job: receives Deliver or Fail
+	calls         map[uint64]context.CancelFunc
+	lastRequestAt time.Duration                     // arrival of the latest request; 0: this instance does not own the cell
+	grantQueues   map[string]*pace.Queue            // by service: requests waiting for a send grant of its engines
+	fingerprints  map[string]quarantine.Fingerprint // by request ID, while the stages run
 
-	held map[holding]time.Duration // customers held to a share, since when; of the owner's tick alone
+	throttledSince map[throttledCustomer]time.Duration // as of the last check; used by the owner's ticks only
 }
 
 func (c *cell) refresh() {
@@ -43,21 +43,21 @@
 		return
 	}
 	replicas := w.share(c.number)
-	c.do(func(now time.Duration) []pipeline.Action {
+	c.runStep(func(now time.Duration) []pipeline.Action {
 		c.engines.SetEngines(w.config.Services, replicas)
 		return c.scheduler.SetPools(now, w.config.Services, replicas)
 	})
 }
 
-// do runs one event of the scheduler and carries its actions out.
-func (c *cell) do(step func(now time.Duration) []pipeline.Action) {
+// runStep runs one step of the scheduler and executes the resulting actions.
+func (c *cell) runStep(step func(now time.Duration) []pipeline.Action) {
 	c.mu.Lock()
 	actions := step(c.owner.node.now())
 	c.mu.Unlock()
-	c.carryOut(actions)
+	c.executeActions(actions)
 }
 
-func (c *cell) carryOut(actions []pipeline.Action) {
+func (c *cell) executeActions(actions []pipeline.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case pipeline.Call:
@@ -65,13 +65,13 @@
 			c.mu.Lock()
 			c.calls[a.ID] = cancel
 			c.mu.Unlock()
-			go c.call(ctx, a)
+			go c.runCall(ctx, a)
 		case pipeline.Free:
-			go c.free(a)
+			go c.freeResults(a)
 		case pipeline.Deliver:
-			c.tell(a.Job, a)
+			c.deliverOutcome(a.Job, a)
 		case pipeline.Fail:
-			c.tell(a.Job, a)
+			c.deliverOutcome(a.Job, a)
 		case pipeline.Cancel:
 			c.mu.Lock()
 			cancel := c.calls[a.Call]
@@ -83,84 +83,84 @@
 	}
 }
 
-func (c *cell) tell(job uint64, end pipeline.Action) {
+func (c *cell) deliverOutcome(job uint64, outcome pipeline.Action) {
 	c.mu.Lock()
-	to := c.waiting[job]
+	receiver := c.jobOutcomes[job]
 	c.mu.Unlock()
-	if to == nil {
+	if receiver == nil {
 		return
 	}
 	select {
-	case to <- end:
-	default: // it has its end
+	case receiver <- outcome:
+	default: // the outcome was already delivered
 	}
 }
 
-func (c *cell) call(ctx context.Context, a pipeline.Call) {
+func (c *cell) runCall(ctx context.Context, call pipeline.Call) {
 	n := c.owner.node
-	began, asleep := n.now(), n.clock.Asleep()
-	replica := catalog.Replica{ID: a.Replica, Service: a.Service, Version: n.versionOf(a.Replica)}
-	ctx, over := context.WithCancel(ctx)
-	defer over()
-	defer n.running.begin(a.Replica, over)()
-	leave := n.rollouts.enter(&replica, false) // its pieces go to another replica
-	results, fate := n.runPieces(ctx, a)
-	if fate == pipeline.Broken || fate == pipeline.TimedOut && n.quarantine.hasEnded(a.Replica) {
-		fate = c.whyBroken(ctx, a, began)
+	startedAt, asleep := n.now(), n.clock.Asleep()
+	replica := catalog.Replica{ID: call.Replica, Service: call.Service, Version: n.versionOf(call.Replica)}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	defer n.running.begin(call.Replica, stop)()
+	leaveRollout := n.rollouts.enter(&replica, false) // items can be sent to another replica
+	results, outcome := n.runPieces(ctx, call)
+	if outcome == pipeline.Broken || outcome == pipeline.TimedOut && n.quarantine.hasEnded(call.Replica) {
+		outcome = c.classifyBrokenCall(ctx, call, startedAt)
 	}
-	if fate == pipeline.Answered {
-		c.leaveResults(a.Service, leave)
+	if outcome == pipeline.Answered {
+		c.leaveResults(call.Service, leaveRollout)
 	} else {
-		leave()
+		leaveRollout()
 	}
-	n.tellRolloutCall(&replica, wayOf(fate, results), n.clock.Asleep() != asleep, n.now()-began)
-	c.log(a, results, n.now()-began)
+	n.tellRolloutCall(&replica, wayOf(outcome, results), n.clock.Asleep() != asleep, n.now()-startedAt)
+	c.logCall(call, results, n.now()-startedAt)
 	c.mu.Lock()
-	if cancel := c.calls[a.ID]; cancel != nil {
+	if cancel := c.calls[call.ID]; cancel != nil {
 		cancel()
 	}
-	delete(c.calls, a.ID)
+	delete(c.calls, call.ID)
 	c.mu.Unlock()
 	n.counters.calls.Inc(1)
-	n.counters.pieces.Inc(int64(len(a.Items)))
-	if fate != pipeline.Answered {
+	n.counters.pieces.Inc(int64(len(call.Items)))
+	if outcome != pipeline.Answered {
 		n.counters.lostCalls.Inc(1)
-		event.NodeCallLost.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
+		event.NodeCallLost.Log(n.log, "replica", call.Replica, "pieces", len(call.Items), "fate", int(outcome))
 	}
-	if fate == pipeline.WrongReplica {
-		n.sawLeaving(a.Replica, "stranger")
+	if outcome == pipeline.WrongReplica {
+		n.sawLeaving(call.Replica, "stranger")
 	}
-	c.do(func(now time.Duration) []pipeline.Action {
-		if until, rests := n.statements.restsTo(now, a.Replica); rests {
-			c.scheduler.SetBackoff(a.Replica, until)
+	c.runStep(func(now time.Duration) []pipeline.Action {
+		if until, inBackoff := n.statements.backoffUntil(now, call.Replica); inBackoff {
+			c.scheduler.SetBackoff(call.Replica, until)
 		}
-		return c.scheduler.FinishCall(now, a.ID, fate, results)
+		return c.scheduler.FinishCall(now, call.ID, outcome, results)
 	})
 }
 
-// whyBroken finds out whether the replica of a call that broke off has ended,
-// which speaks against all requests in it.
-func (c *cell) whyBroken(ctx context.Context, a pipeline.Call, sent time.Duration) pipeline.Outcome {
+// classifyBrokenCall finds out whether the replica of a broken call has crashed, which
+// counts against all requests in the call.
+func (c *cell) classifyBrokenCall(ctx context.Context, call pipeline.Call, sentAt time.Duration) pipeline.Outcome {
 	n := c.owner.node
-	asked := c.fingerprintsOf(a)
-	look := n.brokeOff(&catalog.Replica{ID: a.Replica, Service: a.Service, Address: a.Address}, sent, slices.Collect(maps.Values(asked))...)
-	if !n.awaitLook(ctx, look) {
+	fingerprints := c.callFingerprints(call)
+	check := n.brokeOff(&catalog.Replica{ID: call.Replica, Service: call.Service, Address: call.Address}, sentAt, slices.Collect(maps.Values(fingerprints))...)
+	if !n.awaitLook(ctx, check) {
 		return pipeline.Broken
 	}
-	for request, f := range asked {
+	for request, f := range fingerprints {
 		if n.verdict(f) == quarantine.Quarantined {
-			c.giveUp(request)
+			c.failQuarantined(request)
 		}
 	}
 	return pipeline.Crashed
 }
 
-// fingerprintsOf returns the fingerprints of the requests in a call, by their ids.
-func (c *cell) fingerprintsOf(a pipeline.Call) map[string]quarantine.Fingerprint {
+// callFingerprints returns the fingerprints of the requests in a call, by request ID.
+func (c *cell) callFingerprints(call pipeline.Call) map[string]quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string]quarantine.Fingerprint)
-	for _, item := range a.Items {
+	for _, item := range call.Items {
 		if f, ok := c.fingerprints[item.RequestID]; ok {
 			out[item.RequestID] = f
 		}
@@ -168,21 +168,23 @@
 	return out
 }
 
-func (c *cell) forgetFingerprint(request string) {
+func (c *cell) removeFingerprint(request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.fingerprints, request)
 }
 
-// giveUp ends the job of a condemned request.
-func (c *cell) giveUp(request string) {
-	c.do(func(now time.Duration) []pipeline.Action { return c.scheduler.FailRequest(now, request, whyCondemned) })
+// failQuarantined fails the job of a quarantined request.
+func (c *cell) failQuarantined(request string) {
+	c.runStep(func(now time.Duration) []pipeline.Action {
+		return c.scheduler.FailRequest(now, request, reasonQuarantined)
+	})
 }
 
-// whyCondemned is what an owner says of a job whose request is condemned.
-const whyCondemned = "condemned"
+// reasonQuarantined is the failure reason of a job whose request is quarantined.
+const reasonQuarantined = "condemned"
 
-func (c *cell) log(a pipeline.Call, results []pipeline.Result, took time.Duration) {
+func (c *cell) logCall(call pipeline.Call, results []pipeline.Result, duration time.Duration) {
 	n := c.owner.node
 	if !n.log.IsDebug() || len(results) == 0 {
 		return
@@ -191,14 +193,14 @@
 	for _, r := range results {
 		counts[r.Reason]++
 	}
-	event.NodeCallDone.Log(n.log, "replica", a.Replica, "service", a.Service, "pieces", len(a.Items), "took", took,
+	event.NodeCallDone.Log(n.log, "replica", call.Replica, "service", call.Service, "pieces", len(call.Items), "took", duration,
 		"no_room", counts[pipeline.MemoryFull], "gone", counts[pipeline.InputMissing], "late", counts[pipeline.Expired], "failed", counts[pipeline.ItemFailed])
 }
 
-func (c *cell) free(a pipeline.Free) { c.owner.node.freeResults(a) }
+func (c *cell) freeResults(a pipeline.Free) { c.owner.node.freeResults(a) }
 
-// pools tells what waits at the pools that a job asks for, for a log line.
-func (c *cell) pools(job pipeline.Job) string {
+// describePools describes the load of the pools that a job uses, for a log line.
+func (c *cell) describePools(job pipeline.Job) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
@@ -211,11 +213,10 @@
 	return strings.Join(out, "; ")
 }
 
-// prepare gives a cell that has just been made the world in force and what the
-// replicas tell of themselves: another owner may have left pools full and
-// prompts at engines.
+// prepare initializes a new cell with the current world and the reports of its replicas:
+// a previous owner may have left pools full and prompts cached in engines.
 func (c *cell) prepare() {
-	c.ready.Do(func() {
+	c.prepareOnce.Do(func() {
 		c.refresh()
 		n := c.owner.node
 		c.knowSpeeds(n.knownSpeeds())
@@ -223,42 +224,42 @@
 		if w.config == nil {
 			return
 		}
-		var asked sync.WaitGroup
+		var reports sync.WaitGroup
 		for _, r := range w.share(c.number) {
 			switch {
 			case !r.AcceptsWork():
 			case w.config.Services[r.Service].Pool != nil:
-				asked.Go(func() { c.look(r) })
+				reports.Go(func() { c.loadReplicaReport(r) })
 			default:
-				go c.askKept(r) // which the first requests need not wait for
+				go c.loadCacheReport(r) // in the background: the first requests don't have to wait for it
 			}
 		}
-		asked.Wait()
+		reports.Wait()
 	})
 }
 
-// look takes in what a replica tells of itself.
-func (c *cell) look(r catalog.Replica) {
+// loadReplicaReport requests a pool replica's report and passes it to the scheduler.
+func (c *cell) loadReplicaReport(r catalog.Replica) {
 	n := c.owner.node
-	told, err := n.report(r)
+	report, err := n.report(r)
 	if err != nil {
 		n.logAside("report", r.ID, err)
 		return
 	}
-	if told.Leaves {
-		n.takeLeaving(r.ID, itsOwn)
+	if report.Leaves {
+		n.recordStatedDrain(r.ID, sourceOwnAnswer)
 	}
-	for _, field := range told.Unread {
-		n.noteUnread(r.Service, field, "report")
+	for _, field := range report.Unread {
+		n.recordUnknownField(r.Service, field, "report")
 	}
 	c.mu.Lock()
-	c.scheduler.RecordReplicaState(n.now(), r.ID, told.Free, told.AtWork)
+	c.scheduler.RecordReplicaState(n.now(), r.ID, report.Free, report.AtWork)
 	c.mu.Unlock()
 }
 
-// askKept takes in which parts of prompts an engine keeps. A loss costs
-// prompts that are read again.
-func (c *cell) askKept(r catalog.Replica) {
+// loadCacheReport requests the list of prompt parts that an engine caches. If that fails,
+// some prompts are prefilled again although they are cached.
+func (c *cell) loadCacheReport(r catalog.Replica) {
 	n := c.owner.node
 	parts, err := n.keptParts(r)
 	if err != nil {
--- a/cmd/node/beside_test.go
+++ b/cmd/node/compatibility_test.go
@@ -18,11 +18,12 @@
 	"quinceroad/transport/link"
 )
 
-// Builds before this one name a replica by its name in every life, or don't know
-// turns of suspects. What they say is understood, and what they are told too.
+// Older builds identify a replica by its name in all its incarnations, or don't support
+// trial leases. This build must understand their messages, and send messages that they
+// understand.
 
-// besideNode returns a node that knows one replica, in its second life.
-func besideNode(t *testing.T) *Node {
+// nodeWithOneReplica returns a node that knows one replica, in its second incarnation.
+func nodeWithOneReplica(t *testing.T) *Node {
 	n := knowing(t, 0)
 	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 7,
@@ -31,10 +32,10 @@
 	return n
 }
 
-// A peer of an older build says by name that a replica leaves, or is sick.
-func TestANameIsTakenForTheListedLife(t *testing.T) {
+// A peer of an older build reports a draining or paused replica by name.
+func TestANameMeansTheListedIncarnation(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
+	n := nodeWithOneReplica(t)
 	is.Equal(len(n.world.Load().services["llm"]), 1)
 	sender := &pb.InstanceNews{Name: "old", Incarnation: 1, Count: 1}
 	n.takeHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Sick: []*pb.SickReplica{{Id: "e1", LeftMs: 900}}})
@@ -43,11 +44,11 @@
 	is.Equal(len(n.world.Load().services["llm"]), 0)
 }
 
-// One of this build tells names for others, beside lives. The life that is listed
-// here may be the next one, of which nothing is said.
-func TestANameToldForOthersIsPassedOver(t *testing.T) {
+// A peer of this build sends names for older peers, in addition to incarnations. They must
+// be ignored: the incarnation listed here may be the next one, which is not concerned.
+func TestNamesFromANewBuildAreIgnored(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
+	n := nodeWithOneReplica(t)
 	sender := &pb.InstanceNews{Name: "new", Incarnation: 1, Count: 1, Level: thisLevel}
 	n.takeHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1@6", "e1"}, LeavingStated: 1,
 		Sick: []*pb.SickReplica{{Id: "e1@6", LeftMs: 900}, {Id: "e1", LeftMs: 900}}})
@@ -55,19 +56,19 @@
 	is.Equal(len(n.pausedReplicas()), 0)
 }
 
-// What a replica states holds for as long as its life is listed, however long it
-// drains; a sign is tried again.
-func TestAStatedLeavingOutlivesASign(t *testing.T) {
+// A drain that a replica stated lasts for as long as its incarnation is listed. One that was
+// only inferred expires, so that the replica is tried again.
+func TestAStatedDrainOutlastsAnObservedOne(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
-	m := &ages{}
-	n.clock = clock.From(m)
-	n.takeLeaving("e1@7", "its own")
+	n := nodeWithOneReplica(t)
+	source := &manualTime{}
+	n.clock = clock.From(source)
+	n.recordStatedDrain("e1@7", "its own")
 	n.sawLeaving("e2", "peer")
 	for range 100 {
-		m.day += time.Minute
+		source.elapsed += time.Minute
 		n.leavingNews()
-		n.sweepStatements()
+		n.sweepAdvisories()
 		is.True(!n.replicaTakes("e1@7"))
 	}
 	is.True(n.replicaTakes("e2"))
@@ -79,49 +80,49 @@
 	is.Equal(len(n.world.Load().services["llm"]), 1)
 }
 
-// ages is a source of a clock that a test moves.
-type ages struct{ day time.Duration }
+// manualTime is a clock source that a test advances.
+type manualTime struct{ elapsed time.Duration }
 
-func (a *ages) Now() (steady, day time.Duration) { return a.day, a.day }
-func (a *ages) Boot() (time.Duration, error)     { return a.day, nil }
+func (a *manualTime) Now() (steady, day time.Duration) { return a.elapsed, a.elapsed }
+func (a *manualTime) Boot() (time.Duration, error)     { return a.elapsed, nil }
 
-// An owner of an older build names an engine by its name, and one of this build is
-// asked by name to avoid one; it answers in the words that it is asked in.
-func TestAsksAndAnswersNameReplicasInBothWays(t *testing.T) {
+// An owner of an older build identifies an engine by name, and a peer of an older build asks
+// to avoid one by name. Answers identify replicas in the same way as the request.
+func TestMessagesIdentifyReplicasAsThePeerDoes(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
+	n := nodeWithOneReplica(t)
 	is.Equal(n.lifeOf("e1"), "e1@7")
 	is.Equal(n.lifeOf("e1@7"), "e1@7")
-	is.Equal(n.lifeOf("e1@6"), "e1@6") // another life
+	is.Equal(n.lifeOf("e1@6"), "e1@6") // another incarnation
 	is.Equal(n.lifeOf("e9"), "e9")     // not listed
-	old := requestOf(&pb.StagesAsk{Avoid: []string{"e1"}}, n.lifeOf)
+	old := placementRequest(&pb.StagesAsk{Avoid: []string{"e1"}}, n.lifeOf)
 	is.True(old.Avoid["e1@7"])
-	is.Equal(n.spoken("e1@7", &pb.StagesAsk{}), "e1")                         // of before lives
-	is.Equal(n.spoken("e1@7", &pb.StagesAsk{Fingerprint: 5}), "e1@7")         // of cd1a42e's build or later
-	is.Equal(n.spoken("gone@3", &pb.StagesAsk{}), "gone@3")                   // not listed any more
-	is.Equal(n.spokenAll([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while not all know lives
+	is.Equal(n.spoken("e1@7", &pb.StagesAsk{}), "e1")                         // from a build without incarnations
+	is.Equal(n.spoken("e1@7", &pb.StagesAsk{Fingerprint: 5}), "e1@7")         // from build cd1a42e or later
+	is.Equal(n.spoken("gone@3", &pb.StagesAsk{}), "gone@3")                   // no longer listed
+	is.Equal(n.spokenAll([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while some instances don't know incarnations
 }
 
-// While an instance is alive that tells no level, what it can't read is told twice;
-// once all tell theirs, once.
-func TestNamesAreToldWhileSomebodyNeedsThem(t *testing.T) {
+// Replicas are identified both by incarnation and by name while an instance is alive that
+// announces no level, and by incarnation only once all announce theirs.
+func TestNamesAreSentUntilAllPeersReadIncarnations(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
-	n.takeLeaving("e1@7", "its own")
-	leaving, said := n.leavingNews()
-	is.Equal(leaving, []string{"e1@7", "e1"})
-	is.Equal(said, 1)
+	n := nodeWithOneReplica(t)
+	n.recordStatedDrain("e1@7", "its own")
+	draining, statedCount := n.leavingNews()
+	is.Equal(draining, []string{"e1@7", "e1"})
+	is.Equal(statedCount, 1)
 	n.level.heard(0, []uint32{thisLevel})
 	n.level.heard(time.Hour, []uint32{thisLevel})
-	leaving, _ = n.leavingNews()
-	is.Equal(leaving, []string{"e1@7"})
+	draining, _ = n.leavingNews()
+	is.Equal(draining, []string{"e1@7"})
 }
 
-// An arbiter of an older build ends the question for a turn: who asks passes it
-// over, and doesn't ask it again.
-func TestATurnIsGivenBesideInstancesThatKnowNone(t *testing.T) {
+// An arbiter of an older build closes the stream of a request for a trial lease. The
+// requester moves on to the next arbiter and does not ask that one again.
+func TestATrialLeaseIsGivenDespiteOldArbiters(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
+	n := nodeWithOneReplica(t)
 	asked := make(chan frame.Kind, 100)
 	for i := range 3 {
 		at := fmt.Sprintf("127.0.0.1:%d", freePort(t))
@@ -137,13 +138,13 @@
 		is.NoErr(err)
 		trial.end()
 	}
-	is.True(len(asked) <= 3) // each once
+	is.True(len(asked) <= 3) // each instance at most once
 }
 
-// A peer that does not know a frame says so, and that is not taken for an answer.
+// A peer that does not know a frame kind reports that, which must not count as an answer.
 func TestAnUnknownFrameIsRefused(t *testing.T) {
 	is := is.New(t)
-	n := besideNode(t)
+	n := nodeWithOneReplica(t)
 	at := fmt.Sprintf("127.0.0.1:%d", freePort(t))
 	server, err := link.Listen(at, n.serveLink, &n.traffic)
 	is.NoErr(err)
--- a/cmd/node/end.go
+++ b/cmd/node/end.go
@@ -25,21 +25,21 @@
 	after := backSoon
 	var refused *refusedError
 	var failed *failedError
-	var rest *restError
+	var rest *backoffError
 	switch {
-	case errors.As(err, &rest) && rest.paced:
-		after = s.node.promise(s.service.Name, rest)
+	case errors.As(err, &rest) && rest.rateLimited:
+		after = s.node.reserveRetry(s.service.Name, rest)
 	case errors.As(err, &rest):
-		after = max(rest.left(), backSoon) + spreadReturn()
+		after = max(rest.remaining(), backSoon) + retryJitter()
 	case errors.As(err, &refused):
 		after = refused.after
 		if !refused.expects.standing.Within {
-			after += spreadReturn()
+			after += retryJitter()
 		}
 	case errors.As(err, &failed):
 		after = max(failed.after, backSoon)
 		if failed.why == pipeline.ReasonBackoff || failed.why == pipeline.ReasonShare {
-			after += spreadReturn()
+			after += retryJitter()
 		}
 	case errors.Is(err, errEmptied), errors.Is(err, errCold), errors.Is(err, errNoRegion), errors.Is(err, errNoTurn):
 		after = backLater
@@ -72,7 +72,7 @@
 	if err != nil {
 		why = err.Error()
 	}
-	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", nameOf(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
+	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", boundedCustomerName(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
 		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.owner,
 		"attempts", len(s.tried), "replica", s.replica, "took", s.since(), "staged", s.staged, "expected", s.expects.stages,
 		"engine_expected", s.expects.engine, "reads", s.expects.reads, "moves", s.expects.moves,
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -61,7 +61,7 @@
 func (n *Node) replicaTakes(id string) bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	if _, leaving := n.replicas.signs[id]; leaving || n.statements.hasLeft(id) {
+	if _, leaving := n.replicas.signs[id]; leaving || n.statements.isDraining(id) {
 		return false
 	}
 	row, known := n.replicas.lives[id]
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if len(others) > 0 {
-		r.far = n.mostKept(others, r.request.Service, shared)
+		r.remoteCache = n.mostKept(others, r.request.Service, shared)
 	}
 }
 
@@ -75,18 +75,18 @@
 
 // heardFar returns what the others said, once they have or their time is over.
 func (r *ownedRequest) heardFar() placement.CachedPrefix {
-	if r.far == nil {
+	if r.remoteCache == nil {
 		return placement.CachedPrefix{}
 	}
-	wait := time.NewTimer(farFor - (r.cell.owner.node.now() - r.began))
+	wait := time.NewTimer(farFor - (r.cell.owner.node.now() - r.startedAt))
 	defer wait.Stop()
 	select {
-	case k := <-r.far:
+	case k := <-r.remoteCache:
 		return k
 	default:
 	}
 	select {
-	case k := <-r.far:
+	case k := <-r.remoteCache:
 		return k
 	case <-wait.C:
 		return placement.CachedPrefix{}
@@ -96,7 +96,7 @@
 // inTime reports whether the request can wait for others' answers: its stages
 // take longer, or its objective is far.
 func (r *ownedRequest) inTime() bool {
-	return len(jobOf(r.ask).Stages) > 0 || r.request.Slack > 2*farFor
+	return len(pipelineJob(r.ask).Stages) > 0 || r.request.Slack > 2*farFor
 }
 
 // keptIn asks the owner of a region's cell what engines there keep of a prompt.
@@ -150,7 +150,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "question for kept prompts", "from", "", "error", err)
 		return &pb.KeptReply{}
 	}
-	c := n.owner.owned(int(ask.Cell))
+	c := n.owner.ownedCell(int(ask.Cell))
 	if c == nil {
 		return &pb.KeptReply{}
 	}
--- a/cmd/node/head_bench_test.go
+++ b/cmd/node/head_bench_test.go
@@ -23,10 +23,10 @@
 	} {
 		h.Set(name, value)
 	}
-	from := stater{life: "i-7f3a91c2", service: "s"}
+	from := answerSource{incarnation: "i-7f3a91c2", service: "s"}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.takeHead(from, advisory.Attempt{}, &h)
+		n.recordHead(from, advisory.Attempt{}, &h)
 	}
 }
 
@@ -34,7 +34,7 @@
 func BenchmarkLimitsAreLookedAt(b *testing.B) {
 	n := fleetNode(b, 295, 287)
 	for i := range 57 {
-		n.hearLimit(pace.Report{Incarnation: fmt.Sprintf("i-%08x", i), Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
+		n.recordLimit(pace.Report{Incarnation: fmt.Sprintf("i-%08x", i), Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -111,7 +111,7 @@
 	leaving, said := n.leavingNews()
 	h := &pb.Heartbeat{
 		Leaving: leaving, LeavingStated: uint32(said), Sick: n.sick(), Changed: n.listChanged(), Evacuations: n.emptiedNews(),
-		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
+		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitUpdates(),
 	}
 	for _, i := range m.Entries {
 		h.News = append(h.News, newsOf(i))
@@ -209,13 +209,13 @@
 	}
 	n.takeEmptied(senderOf(h), h.Evacuations)
 	n.takeRollouts(h)
-	n.catchUp(now, h)
+	n.pullMissing(now, h)
 	for i, id := range h.Leaving {
 		life, ok := n.lifeToldBy(h, id)
 		switch {
 		case !ok:
 		case i < int(h.LeavingStated):
-			n.takeLeaving(life, senderOf(h))
+			n.recordStatedDrain(life, senderOf(h))
 		default:
 			n.sawLeaving(life, "peer")
 		}
@@ -223,7 +223,7 @@
 	n.takeHearsay(now, h)
 	n.takeSpeeds(h.Speeds)
 	n.takeQuarantine(h.Quarantine)
-	n.takeLimits(senderOf(h), h.Limits)
+	n.recordPeerLimits(senderOf(h), h.Limits)
 }
 
 // tellOutlived tells the sender of a heartbeat what is known of its last life, if
@@ -305,17 +305,17 @@
 func (n *Node) serveLink(k frame.Kind, first []byte, stream net.Conn) {
 	switch k {
 	case frame.PullConfig:
-		_ = frame.Write(stream, frame.Reply, n.answerPull())
+		_ = frame.Write(stream, frame.Reply, n.answerConfigPull())
 	case frame.PullReplicas:
-		_ = frame.Write(stream, frame.Reply, n.answerReplicas(first))
+		_ = frame.Write(stream, frame.Reply, n.answerReplicasPull(first))
 	case frame.Kept:
 		_ = frame.Write(stream, frame.Reply, n.answerKept(first))
 	case frame.Trial:
 		n.arbitrate(first, stream)
 	case frame.Pace:
-		_ = frame.Write(stream, frame.Reply, n.answerPace(first, stream.RemoteAddr().String()))
+		_ = frame.Write(stream, frame.Reply, n.answerGrantRequest(first, stream.RemoteAddr().String()))
 	case frame.Stages:
-		n.owner.serve(first, stream)
+		n.owner.serveStagesStream(first, stream)
 	default: // of a later build, which knows this from a fault
 		_ = frame.Refuse(stream)
 	}
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -65,8 +65,8 @@
 	reads       atomic.Bool // this instance follows the store for others
 	storeFailed atomic.Bool // a call to the store has failed since the start
 	pulse       *pulse
-	configPull  pull
-	listPull    pull
+	configPull  peerPull
+	listPull    peerPull
 	telling     telling
 
 	gossipMu sync.Mutex
@@ -79,7 +79,7 @@
 
 	running    *running       // has a lock of its own, under which no other is taken
 	quarantine *quarantined   // has a lock of its own, under which no other is taken
-	statements *statements    // the same
+	statements *advisories    // the same
 	level      fleetLevel     // the same
 	customers  customerCounts // the same
 
@@ -127,7 +127,7 @@
 		rollouts:   newRollouts(s),
 		running:    newRunning(),
 		quarantine: newQuarantined(spreadOf(s.Name)),
-		statements: newStatements(),
+		statements: newAdvisories(),
 		pulse:      newPulse(),
 		spread:     spreadOf(s.Name),
 		judge:      health.New(health.DefaultOptions()),
@@ -184,7 +184,7 @@
 	n.cancel = cancel
 	n.group, ctx = errgroup.WithContext(ctx)
 	loops := []func(context.Context){
-		n.followIntent, n.followReplicas, n.register, n.feelPulse, n.beat, n.hear, n.owner.tick, n.housekeeping, n.followRollouts, n.followStatements,
+		n.followIntent, n.followReplicas, n.register, n.feelPulse, n.beat, n.hear, n.owner.runTicks, n.housekeeping, n.followRollouts, n.runAdvisorySweeps,
 	}
 	for _, loop := range loops {
 		n.group.Go(func() error {
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	tickEach = 50 * time.Millisecond // of a scheduler: a quarter of the shortest call seen
-	claimFor = 2 * time.Second       // after the last request, an instance still owns a cell
+	schedulerTickInterval = 50 * time.Millisecond // a quarter of the shortest call
+	ownershipClaimTTL     = 2 * time.Second       // time after its last request for which a cell is announced as owned
 )
 
-// owner runs the schedulers of the cells that others take this instance to own.
+// owner runs the schedulers of the cells whose requests this instance receives.
 type owner struct {
 	node *Node
 
@@ -30,8 +30,8 @@
 
 func newOwner(n *Node) *owner { return &owner{node: n, cells: make(map[int]*cell)} }
 
-// placing returns what the settings state of engines and prices.
-func (n *Node) placing() placement.Options {
+// placementOptions returns the placement options that the settings define.
+func (n *Node) placementOptions() placement.Options {
 	o := placement.DefaultOptions()
 	o.TransferTokenCost, o.CrossHallByteCost = n.settings.PriceMoved, n.settings.PriceFarByte
 	if n.settings.PerToken > 0 {
@@ -47,11 +47,11 @@
 		c = &cell{
 			owner:        o,
 			number:       number,
-			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.cold.limit), pipeline.WithSendGrants(cellTurns{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
-			engines:      placement.New(o.node.placing(), o.node.cold.limit).WithSendGrants(cellTurns{o.node}),
-			waiting:      make(map[uint64]chan pipeline.Action),
+			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.cold.limit), pipeline.WithSendGrants(cellGrants{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
+			engines:      placement.New(o.node.placementOptions(), o.node.cold.limit).WithSendGrants(cellGrants{o.node}),
+			jobOutcomes:  make(map[uint64]chan pipeline.Action),
 			calls:        make(map[uint64]context.CancelFunc),
-			turns:        make(map[string]*pace.Queue),
+			grantQueues:  make(map[string]*pace.Queue),
 			fingerprints: make(map[string]quarantine.Fingerprint),
 		}
 		o.cells[number] = c
@@ -59,18 +59,18 @@
 	}
 	o.mu.Unlock()
 	c.mu.Lock()
-	isNew := c.asked == 0
-	c.asked = o.node.now()
+	isNew := c.lastRequestAt == 0
+	c.lastRequestAt = o.node.now()
 	c.mu.Unlock()
 	if isNew {
-		o.claim()
+		o.announceOwnedCells()
 	}
 	return c
 }
 
-// owned returns a cell that this instance owns, nil where it does not: what it
-// knew of one that it owned once is no longer so.
-func (o *owner) owned(number int) *cell {
+// ownedCell returns a cell if this instance owns it, nil otherwise. The state of a cell
+// that is no longer owned is out of date.
+func (o *owner) ownedCell(number int) *cell {
 	o.mu.Lock()
 	c := o.cells[number]
 	o.mu.Unlock()
@@ -79,23 +79,23 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asked == 0 {
+	if c.lastRequestAt == 0 {
 		return nil
 	}
 	return c
 }
 
-// claim tells the others which cells this instance owns: those for which
-// requests have come lately.
-func (o *owner) claim() {
+// announceOwnedCells tells the other instances which cells this instance owns: those
+// that received a request within ownershipClaimTTL.
+func (o *owner) announceOwnedCells() {
 	n := o.node
 	var cells []uint32
-	for _, c := range o.all() {
+	for _, c := range o.allCells() {
 		c.mu.Lock()
-		if c.asked != 0 && n.now()-c.asked < claimFor {
+		if c.lastRequestAt != 0 && n.now()-c.lastRequestAt < ownershipClaimTTL {
 			cells = append(cells, uint32(c.number))
 		} else {
-			c.asked = 0
+			c.lastRequestAt = 0
 		}
 		c.mu.Unlock()
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (o *owner) all() []*cell {
+func (o *owner) allCells() []*cell {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make([]*cell, 0, len(o.cells))
@@ -119,19 +119,19 @@
 	return out
 }
 
-// refresh gives the schedulers the world in force.
-func (o *owner) refresh() {
-	for _, c := range o.all() {
+// refreshCells passes the current world to the schedulers.
+func (o *owner) refreshCells() {
+	for _, c := range o.allCells() {
 		c.refresh()
 	}
 }
 
-func (o *owner) tick(ctx context.Context) {
-	process.Every(ctx, tickEach, func() {
-		for _, c := range o.all() {
-			c.do(c.scheduler.Tick)
-			c.logHeld(o.node.now())
+func (o *owner) runTicks(ctx context.Context) {
+	process.Every(ctx, schedulerTickInterval, func() {
+		for _, c := range o.allCells() {
+			c.runStep(c.scheduler.Tick)
+			c.logThrottled(o.node.now())
 		}
-		o.claim()
+		o.announceOwnedCells()
 	})
 }
--- a/cmd/node/owner_test.go
+++ b/cmd/node/owner_test.go
@@ -10,14 +10,14 @@
 	"quinceroad/state/catalog"
 )
 
-func TestCellsPartLargePoolsAndEachReplicaOnce(t *testing.T) {
+func TestCellsPartitionEachReplicaOnce(t *testing.T) {
 	is := is.New(t)
 	w := &world{
 		config: &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}}},
 		places: regions.New(nil),
 	}
 	for i := range 100 {
-		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", HallDrained: i%2 == 0} // the cells stay as they are
+		r := catalog.Replica{ID: string(rune('A' + i)), Service: "read", HallDrained: i%2 == 0} // drained halls must not change the cells
 		w.all = append(w.all, r)
 	}
 	is.Equal(w.cells(""), 4)
@@ -33,9 +33,9 @@
 	}
 }
 
-// Each region's replicas are cut by themselves, so that no owner sends work to
-// another region, and none are lost that nobody can place.
-func TestCellsAreCutWithinRegions(t *testing.T) {
+// Replicas are divided into cells within their region, so that no owner sends work to
+// another region. Replicas of an unknown region must not be lost.
+func TestCellsStayWithinRegions(t *testing.T) {
 	is := is.New(t)
 	w := &world{
 		config: &catalog.Configuration{Services: map[string]*catalog.Service{"read": {Pool: &catalog.Pool{}}, "llm": {Engine: &catalog.Engine{}}}},
@@ -49,13 +49,13 @@
 		r.Region = w.places.RegionOf(r.Hall)
 		w.all = append(w.all, r)
 	}
-	is.Equal(w.cells("n"), 3) // 75 of the pool
+	is.Equal(w.cells("n"), 3) // 75 replicas of the pool
 	is.Equal(w.cells("s"), 2)
 	seen := make(map[string]bool)
 	for _, region := range w.places.Names() {
 		for local := range w.cells(region) {
 			share := w.share(w.places.CellNumber(region, local))
-			is.True(len(share) <= cellReplicas+9) // of the pool, and a third of 25 engines
+			is.True(len(share) <= cellReplicas+9) // of the pool, and a third of the 25 engines
 			for _, r := range share {
 				is.Equal(r.Region, region)
 				is.True(!seen[r.ID])
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -51,9 +51,9 @@
 				n.serveLink(frame.Kind(rapid.IntRange(0, 40).Draw(t, "frame")), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes"), closedConn())
 			}
 		}
-		n.owner.refresh()
-		for _, c := range n.owner.all() {
-			c.do(c.scheduler.Tick)
+		n.owner.refreshCells()
+		for _, c := range n.owner.allCells() {
+			c.runStep(c.scheduler.Tick)
 		}
 		n.State()
 	})
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -22,7 +22,7 @@
 	if s.job != nil || (s.service.Engine == nil && len(s.route.Stages) == 0) {
 		return nil
 	}
-	if err := s.servable(); err != nil {
+	if err := s.checkServable(); err != nil {
 		return err
 	}
 	ask, pieces := s.ask()
@@ -58,9 +58,9 @@
 		Ended:     uint32(s.node.endedUnder(s.fingerprint)),
 
 		Fingerprint: uint64(s.fingerprint),
-		Customer:    nameOf(s.customer),
+		Customer:    boundedCustomerName(s.customer),
 	}
-	ask.CustomerPart, ask.CustomerOf = s.node.customers.usual(s.node.now(), ask.Customer)
+	ask.CustomerPart, ask.CustomerOf = s.node.customers.recentShare(s.node.now(), ask.Customer)
 	for _, p := range s.req.Prompt {
 		ask.Parts = append(ask.Parts, &pb.PromptPart{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
@@ -70,7 +70,7 @@
 	for id := range s.avoid {
 		ask.Avoid = append(ask.Avoid, id)
 	}
-	ask.Avoid = append(ask.Avoid, s.node.restingReplicas(s.service.Name)...)
+	ask.Avoid = append(ask.Avoid, s.node.replicasInBackoff(s.service.Name)...)
 	ask.Avoid = s.node.spokenAll(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
@@ -107,8 +107,8 @@
 		return catalog.Replica{}, "", errNoRegion
 	}
 	newer, older := s.sides(world, listed)
-	ableNew, restNew := s.mayAll(now, s.able(now, newer))
-	ableOld, restOld := s.mayAll(now, s.able(now, older))
+	ableNew, restNew := s.sendableReplicas(now, s.able(now, newer))
+	ableOld, restOld := s.sendableReplicas(now, s.able(now, older))
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	fit := s.fit(now, ableNew, len(newer))
@@ -116,7 +116,7 @@
 		fit = s.fit(now, ableOld, len(older))
 	}
 	if len(fit) == 0 {
-		return catalog.Replica{}, "", s.none(world, append(ableNew, ableOld...), sooner(restNew, restOld))
+		return catalog.Replica{}, "", s.none(world, append(ableNew, ableOld...), earlierBackoff(restNew, restOld))
 	}
 	fit = n.apart(fit)
 	if s.service.Engine == nil {
@@ -155,8 +155,8 @@
 	switch listed := len(w.services[s.service.Name]); {
 	case rest != nil:
 		return rest
-	case listed == 0 && s.allLeave(w) != nil:
-		return errLeaving
+	case listed == 0 && s.checkAllDraining(w) != nil:
+		return errAllDraining
 	case listed > 0 && len(able) == 0:
 		return errCold
 	case listed == 0 && w.sizes[s.service.Name] > 0:
@@ -198,9 +198,9 @@
 func (s *serving) mayUseChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.with(func(b *advisory.Tracker) {
+	n.statements.withTracker(func(b *advisory.Tracker) {
 		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.paced {
-			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
+			ok = n.statements.rateLimits.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -34,9 +34,9 @@
 	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
-	status, head, data, err := n.call(ctx, ownCall{address: c.Address, replica: c.Name, from: stater{life: c.Replica, service: c.Service}, work: true, method: fasthttp.MethodPost, path: path, body: body})
+	status, head, data, err := n.call(ctx, ownCall{address: c.Address, replica: c.Name, from: answerSource{incarnation: c.Replica, service: c.Service}, work: true, method: fasthttp.MethodPost, path: path, body: body})
 	switch {
-	case errors.Is(err, errStated):
+	case errors.Is(err, errAdvisoryForbids):
 		return nil, pipeline.Refused
 	case errors.Is(err, upstream.ErrConnect):
 		return nil, pipeline.Unreachable
@@ -62,7 +62,7 @@
 // freeResults tells a replica what nobody reads any more; a loss costs room
 // until the results end by themselves.
 func (n *Node) freeResults(f pipeline.Free) {
-	if !n.heldFree(f) {
+	if !n.deferFree(f) {
 		n.sendFree(f)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeFor)
 	defer cancel()
-	_, _, _, err = n.call(ctx, ownCall{address: f.Address, from: stater{life: f.Replica, service: f.Service, aside: true}, method: fasthttp.MethodPost, path: path, body: body})
+	_, _, _, err = n.call(ctx, ownCall{address: f.Address, from: answerSource{incarnation: f.Replica, service: f.Service, auxiliary: true}, method: fasthttp.MethodPost, path: path, body: body})
 	n.logAside("free results", f.Replica, err)
 }
 
@@ -92,7 +92,7 @@
 func (n *Node) report(r catalog.Replica) (platform.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportFor)
 	defer cancel()
-	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathReport})
+	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: answerSource{incarnation: r.ID, service: r.Service, auxiliary: true}, method: fasthttp.MethodGet, path: platform.PathReport})
 	if err != nil {
 		return platform.Report{}, err
 	}
@@ -110,7 +110,7 @@
 func (n *Node) keptParts(r catalog.Replica) ([]catalog.PromptPart, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), keptFor)
 	defer cancel()
-	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathKept})
+	status, _, data, err := n.call(ctx, ownCall{address: r.Address, replica: r.Name, from: answerSource{incarnation: r.ID, service: r.Service, auxiliary: true}, method: fasthttp.MethodGet, path: platform.PathKept})
 	if err != nil {
 		return nil, err
 	}
@@ -123,9 +123,9 @@
 // ownCall is a call of the system's own to a replica.
 type ownCall struct {
 	address string
-	replica string // name of the one that is meant; "" for whoever is there
-	from    stater // who should answer
-	work    bool   // that a replica which leaves must not get, and whose turn is counted
+	replica string       // name of the one that is meant; "" for whoever is there
+	from    answerSource // who should answer
+	work    bool         // that a replica which leaves must not get, and whose turn is counted
 	method  string
 	path    string
 	body    []byte
@@ -142,9 +142,9 @@
 	turn, ok := n.mayCall(c)
 	if !ok {
 		cn.Close()
-		return 0, platform.Head{}, nil, errStated
+		return 0, platform.Head{}, nil, errAdvisoryForbids
 	}
-	defer n.statements.end(turn)
+	defer n.statements.endAttempt(turn)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
@@ -170,7 +170,7 @@
 		x.Release(0)
 		return 0, platform.Head{}, nil, err
 	}
-	head := n.takeHead(c.from, turn, &x.Header)
+	head := n.recordHead(c.from, turn, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxResults))
 	if err == nil && !x.Whole() {
 		err = upstream.ErrCut
@@ -183,12 +183,12 @@
 // allows it: one that leaves is still told what nobody reads any more.
 func (n *Node) mayCall(c ownCall) (advisory.Attempt, bool) {
 	if c.work {
-		return n.statements.begin(n.now(), c.from.life)
+		return n.statements.beginAttempt(n.now(), c.from.incarnation)
 	}
-	if _, rests := n.statements.restsTo(n.now(), c.from.life); rests {
+	if _, rests := n.statements.backoffUntil(n.now(), c.from.incarnation); rests {
 		return advisory.Attempt{}, false
 	}
-	n.countAside(c.from.life)
+	n.countInternalCall(c.from.incarnation)
 	return advisory.Attempt{}, true
 }
 
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -14,94 +14,103 @@
 )
 
 const (
-	pullFor       = time.Second            // of a question to a peer
-	hallPatience  = 300 * time.Millisecond // before a peer of another hall is asked: one of the own hall may soon know, too
-	farPatience   = 900 * time.Millisecond // before a peer of another region is asked, for the same reason: with a pull of a second well below the shortest bound of configurations
-	firstPatience = time.Second            // of an instance that knows nothing yet
-	staleWish     = 2 * time.Second        // after which a wish is a new one
+	pullTimeout = time.Second // of one call to a peer
+
+	// Delay before pulling from another hall, as an instance of the local hall may soon
+	// have the data. A reader also waits for it before it pulls from its own hall.
+	otherHallPullDelay = 300 * time.Millisecond
+
+	// Delay before pulling from another region, for the same reason. Together with a pull
+	// of one second it is well below the shortest time in which configurations must be in
+	// force.
+	remoteRegionPullDelay = 900 * time.Millisecond
+
+	initialPullDelay = time.Second     // for a reader without any data
+	behindExpiry     = 2 * time.Second // after which behindSince is out of date
 )
 
-// pull asks peers for what this instance lacks of one topic, one at a time.
-type pull struct {
-	mu    sync.Mutex
-	busy  bool
-	since time.Duration // when it was first seen to be behind; 0: it is not
+// peerPull limits the pulls of one topic from peers to one at a time.
+type peerPull struct {
+	mu          sync.Mutex
+	inProgress  bool
+	behindSince time.Duration // when this instance was first found to be behind; 0: it is not
 }
 
-// due reports whether a peer that knows more is to be asked now, and takes it on.
-func (p *pull) due(now time.Duration, patience time.Duration) bool {
+// tryStart reports whether to pull from a peer with newer data now, and marks the pull
+// as in progress.
+func (p *peerPull) tryStart(now time.Duration, delay time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy {
+	if p.inProgress {
 		return false
 	}
-	if p.since == 0 || now-p.since > staleWish {
-		p.since = now
+	if p.behindSince == 0 || now-p.behindSince > behindExpiry {
+		p.behindSince = now
 	}
-	if now-p.since < patience {
+	if now-p.behindSince < delay {
 		return false
 	}
-	p.busy = true
+	p.inProgress = true
 	return true
 }
 
-func (p *pull) done() {
+func (p *peerPull) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy, p.since = false, 0
+	p.inProgress, p.behindSince = false, 0
 }
 
-// again ends a question to a peer that was busy: another one is asked at once.
-func (p *pull) again() {
+// finishBusy ends a pull that a busy peer refused; the next pull may start at once.
+func (p *peerPull) finishBusy() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy = false
+	p.inProgress = false
 }
 
-// catchUp asks the sender of a heartbeat for what it knows more of.
-func (n *Node) catchUp(now time.Duration, h *pb.Heartbeat) {
+// pullMissing pulls what the sender of a heartbeat has and this instance lacks.
+func (n *Node) pullMissing(now time.Duration, h *pb.Heartbeat) {
 	from := h.News[0]
-	if have := n.version(); from.Configured > have && n.configPull.due(now, n.patience(from, have > 0)) {
+	if have := n.version(); from.Configured > have && n.configPull.tryStart(now, n.pullDelay(from, have > 0)) {
 		go n.pullConfig(from.Link, have)
 	}
 	n.followMu.Lock()
 	behind, have := n.replicas.log.IsBehind(h.Changed), n.replicas.log.Revision()
 	n.followMu.Unlock()
-	if behind && n.listPull.due(now, n.patience(from, have > 0)) {
+	if behind && n.listPull.tryStart(now, n.pullDelay(from, have > 0)) {
 		go n.pullReplicas(from.Link, have)
 	}
 }
 
-// patience is how long this instance waits before it asks a peer: who reads the
-// store should soon hear from it, and bytes between halls are dear, those between
-// regions dearer.
-func (n *Node) patience(from *pb.InstanceNews, has bool) time.Duration {
+// pullDelay returns how long to wait before pulling from a peer. An instance that reads
+// the store should soon receive the update from there, and traffic between halls is
+// expensive, between regions even more so.
+func (n *Node) pullDelay(from *pb.InstanceNews, hasAny bool) time.Duration {
 	switch {
-	case !has && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.reads.Load():
+	case !hasAny && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.reads.Load():
 		return 0
-	case !has && n.reads.Load():
-		return firstPatience // it is reading the store
+	case !hasAny && n.reads.Load():
+		return initialPullDelay // its read of the store is in progress
 	}
 	if from.Region != n.home {
-		return farPatience
+		return remoteRegionPullDelay
 	}
-	return hallPatience
+	return otherHallPullDelay
 }
 
 func (n *Node) pullConfig(addr string, have uint64) {
 	answer := &pb.Config{}
-	if err := n.links.Call(addr, frame.PullConfig, &pb.PullConfig{Have: have}, answer, pullFor); err != nil {
-		n.configPull.done()
+	if err := n.links.Call(addr, frame.PullConfig, &pb.PullConfig{Have: have}, answer, pullTimeout); err != nil {
+		n.configPull.finish()
 		n.logAside("configuration", addr, err)
 		return
 	}
-	n.countPull(addr, answer)
+	n.countPullBytes(addr, answer)
 	if answer.Busy {
-		n.configPull.again()
+		n.configPull.finishBusy()
 		return
 	}
-	defer n.configPull.done()
-	n.takeEmptied(addr, answer.Evacuations) // before what may be sent where is known
+	defer n.configPull.finish()
+	n.takeEmptied(addr, answer.Evacuations) // before the configuration, which allows requests to be sent
 	n.takeRolloutOrders(addr, answer.Rollouts)
 	if len(answer.Declaration) == 0 {
 		return
@@ -114,36 +123,36 @@
 	n.offer(text, "peer")
 }
 
-// countPull counts what a peer of another region has told.
-func (n *Node) countPull(addr string, answer proto.Message) {
+// countPullBytes counts the bytes of an answer from another region.
+func (n *Node) countPullBytes(addr string, answer proto.Message) {
 	if n.isFarAddress(addr) {
 		n.counters.farBytes.pulls.Inc(int64(proto.Size(answer)))
 	}
 }
 
-// rawConfig is a configuration as the store has it.
+// rawConfig is a configuration as stored.
 type rawConfig struct {
-	text   []byte
-	once   sync.Once
-	packed []byte // for peers; empty when it can't be compressed
+	text       []byte
+	once       sync.Once
+	compressed []byte // for peers; empty if compression failed
 }
 
-// forPeers returns the configuration compressed: a large one, sent to every
-// instance of a hall, would fill a small machine's link for seconds.
-func (r *rawConfig) forPeers() []byte {
-	r.once.Do(func() { r.packed, _ = pack.Fast(r.text) })
-	return r.packed
+// compressForPeers returns the compressed configuration: uncompressed, a large one sent
+// to every instance of a hall would saturate a small machine's link for seconds.
+func (r *rawConfig) compressForPeers() []byte {
+	r.once.Do(func() { r.compressed, _ = pack.Fast(r.text) })
+	return r.compressed
 }
 
-// answerPull gives the configuration in force.
-func (n *Node) answerPull() proto.Message {
+// answerConfigPull returns the configuration in force.
+func (n *Node) answerConfigPull() proto.Message {
 	n.followMu.Lock()
 	config, raw := n.config, n.rawConfig
 	n.followMu.Unlock()
 	if config == nil {
 		return &pb.Config{}
 	}
-	packed := raw.forPeers()
+	packed := raw.compressForPeers()
 	if !n.telling.may(n.now(), len(packed), n.settings.LinkBytes) {
 		n.counters.toldBusy.Inc(1)
 		return &pb.Config{Busy: true}
@@ -153,40 +162,40 @@
 
 func (n *Node) pullReplicas(addr string, have uint64) {
 	answer := &pb.ReplicaChanges{}
-	err := n.links.Call(addr, frame.PullReplicas, &pb.PullReplicas{Have: have}, answer, pullFor)
+	err := n.links.Call(addr, frame.PullReplicas, &pb.PullReplicas{Have: have}, answer, pullTimeout)
 	if err == nil {
-		n.countPull(addr, answer)
-		answer, err = openChanges(answer)
+		n.countPullBytes(addr, answer)
+		answer, err = decompressChanges(answer)
 	}
 	if err != nil {
-		n.listPull.done()
+		n.listPull.finish()
 		n.logAside("replicas", addr, err)
 		return
 	}
 	if answer.Busy {
-		n.listPull.again()
+		n.listPull.finishBusy()
 		return
 	}
-	defer n.listPull.done()
-	told := changes.Update{Full: answer.Whole, HasGap: answer.Gapped, Revision: answer.At, LastChange: answer.Changed}
+	defer n.listPull.finish()
+	update := changes.Update{Full: answer.Whole, HasGap: answer.Gapped, Revision: answer.At, LastChange: answer.Changed}
 	for _, e := range answer.Entries {
-		told.Entries = append(told.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Deleted: e.Gone})
+		update.Entries = append(update.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Deleted: e.Gone})
 	}
 	n.followMu.Lock()
-	n.replicas.log.ApplyUpdate(told)
+	n.replicas.log.ApplyUpdate(update)
 	n.followMu.Unlock()
-	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.Revision)
+	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(update.Entries), "at", update.Revision)
 	n.publish()
 	if have == 0 {
-		n.tell() // others may have started with this one
+		n.tell() // other instances may have started at the same time and lack the list
 	}
 }
 
-// answerReplicas tells a peer what changed of the replicas.
-func (n *Node) answerReplicas(first []byte) proto.Message {
+// answerReplicasPull returns the changes of the replica list that a peer lacks.
+func (n *Node) answerReplicasPull(first []byte) proto.Message {
 	ask := &pb.PullReplicas{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "question for replicas", "from", "", "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "replica changes request", "from", "", "error", err)
 		return &pb.ReplicaChanges{}
 	}
 	n.followMu.Lock()
@@ -194,7 +203,7 @@
 	n.followMu.Unlock()
 	answer, size := n.telling.made(ask.Have, changed)
 	if answer == nil {
-		answer, size = n.makeAnswer(ask.Have)
+		answer, size = n.buildReplicasAnswer(ask.Have)
 		n.telling.keep(ask.Have, changed, answer, size)
 	}
 	if !n.telling.may(n.now(), size, n.settings.LinkBytes) {
@@ -204,14 +213,14 @@
 	return answer
 }
 
-// makeAnswer returns what a peer lacks that knows all up to a revision, and its
-// size in bytes; a long answer is compressed.
-func (n *Node) makeAnswer(have uint64) (*pb.ReplicaChanges, int) {
+// buildReplicasAnswer returns the changes since a revision and their size in bytes. A
+// long answer is compressed.
+func (n *Node) buildReplicasAnswer(have uint64) (*pb.ReplicaChanges, int) {
 	n.followMu.Lock()
-	a := n.replicas.log.UpdateSince(have)
+	update := n.replicas.log.UpdateSince(have)
 	n.followMu.Unlock()
-	out := &pb.ReplicaChanges{Whole: a.Full, Gapped: a.HasGap, At: a.Revision, Changed: a.LastChange}
-	for _, e := range a.Entries {
+	out := &pb.ReplicaChanges{Whole: update.Full, Gapped: update.HasGap, At: update.Revision, Changed: update.LastChange}
+	for _, e := range update.Entries {
 		out.Entries = append(out.Entries, &pb.ReplicaEntry{Id: e.ID, Value: e.Value, Revision: e.Revision, Gone: e.Deleted})
 	}
 	size := proto.Size(out)
@@ -223,14 +232,14 @@
 		text, err = pack.Fast(text)
 	}
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "changes of replicas", "from", n.settings.Name, "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "replica changes", "from", n.settings.Name, "error", err)
 		return out, size
 	}
 	return &pb.ReplicaChanges{Packed: text}, len(text)
 }
 
-// openChanges returns the message that an answer stands for.
-func openChanges(answer *pb.ReplicaChanges) (*pb.ReplicaChanges, error) {
+// decompressChanges returns the changes that an answer contains.
+func decompressChanges(answer *pb.ReplicaChanges) (*pb.ReplicaChanges, error) {
 	if len(answer.Packed) == 0 {
 		return answer, nil
 	}
--- /dev/null
+++ b/cmd/node/rate_limits.go
@@ -0,0 +1,188 @@
+package node
+
+import (
+	"fmt"
+	"time"
+
+	"quinceroad/coordination/pace"
+	"quinceroad/platform"
+	"quinceroad/protocol/event"
+	"quinceroad/protocol/pb"
+	"quinceroad/state/catalog"
+)
+
+const (
+	// Time for which each heartbeat carries a changed limit. Five rounds of heartbeats
+	// reach 390 instances within a second.
+	limitAnnounceWindow = 3 * time.Second
+
+	maxAnnouncedLimits = 16 // in one heartbeat, which must fit into a datagram
+)
+
+// recordAnswerLimit processes the rate limit that an answer states, or its absence.
+func (n *Node) recordAnswerLimit(from answerSource, h *platform.Head) {
+	switch {
+	case h.Unclear != "":
+		n.recordUnknownField(from.service, h.Unclear, "answer")
+	case h.Limit.Stated, !from.auxiliary && n.statements.hasLimits.Load():
+		n.recordLimit(pace.Report{Incarnation: from.incarnation, Limit: h.Limit}, sourceOwnAnswer)
+	}
+}
+
+// recordLimit processes a rate limit that a replica stated to this instance or to the
+// named one. A change that this instance learned from the replica is announced at once.
+func (n *Node) recordLimit(report pace.Report, source string) {
+	var previous pace.Limit
+	change, shouldLog := pace.Unchanged, false
+	n.statements.withRateLimits(func(t *pace.Tracker) {
+		previous = t.Limit(report.Incarnation)
+		change = t.Record(n.now(), report)
+		shouldLog = change != pace.Unchanged && t.ShouldLog(n.now(), report.Incarnation)
+	})
+	if change != pace.Unchanged && source == sourceOwnAnswer {
+		n.notifyGrantor(report.Incarnation)
+	}
+	if !shouldLog {
+		return
+	}
+	switch change {
+	case pace.Added, pace.Updated:
+		previousRate := -1.0
+		if previous.Stated {
+			previousRate = previous.PerSecond
+		}
+		event.NodeReplicaLimits.Log(n.log, "replica", report.Incarnation, "service", n.serviceOfIncarnation(report.Incarnation), "per_second", report.Limit.PerSecond, "was", previousRate, "by", source)
+	case pace.Removed:
+		event.NodeReplicaUnlimited.Log(n.log, "replica", report.Incarnation, "by", source)
+	}
+	if source == sourceOwnAnswer {
+		n.tell()
+	}
+}
+
+// sourceOwnAnswer is logged as the source of what a replica stated to this instance.
+const sourceOwnAnswer = "its own"
+
+// replicaByIncarnation returns a listed replica.
+func (w *world) replicaByIncarnation(incarnation string) (catalog.Replica, bool) {
+	for _, r := range w.all {
+		if r.ID == incarnation {
+			return r, true
+		}
+	}
+	return catalog.Replica{}, false
+}
+
+func (n *Node) serviceOfIncarnation(incarnation string) string {
+	r, _ := n.world.Load().replicaByIncarnation(incarnation)
+	return r.Service
+}
+
+// limitMessage returns the message with what this instance knows of a replica's limit.
+func (n *Node) limitMessage(incarnation string) *pb.ReplicaLimit {
+	out := &pb.ReplicaLimit{Id: incarnation}
+	n.statements.withRateLimits(func(t *pace.Tracker) {
+		for _, report := range t.Reports(n.now(), incarnation) {
+			out = encodeLimit(report)
+		}
+	})
+	return out
+}
+
+// limitUpdates returns the changed limits for the next heartbeat.
+func (n *Node) limitUpdates() []*pb.ReplicaLimit {
+	var out []*pb.ReplicaLimit
+	n.statements.withRateLimits(func(t *pace.Tracker) {
+		for _, report := range t.Updates(n.now(), limitAnnounceWindow, maxAnnouncedLimits) {
+			out = append(out, encodeLimit(report))
+		}
+	})
+	return out
+}
+
+func encodeLimit(r pace.Report) *pb.ReplicaLimit {
+	return &pb.ReplicaLimit{Id: r.Incarnation, PerSecond: r.Limit.PerSecond, Ended: !r.Limit.Stated, AgeMs: uint32(r.Age.Milliseconds())}
+}
+
+// recordPeerLimits processes the limits that a peer sent; invalid ones are skipped.
+func (n *Node) recordPeerLimits(from string, all []*pb.ReplicaLimit) {
+	for _, l := range all {
+		if l.GetId() == "" || len(l.GetId()) > maxIncarnationLength || !pace.IsValidRate(l.GetPerSecond()) {
+			continue
+		}
+		limit := pace.Limit{}
+		if !l.Ended {
+			limit = pace.Limit{PerSecond: l.PerSecond, Stated: true}
+		}
+		n.recordLimit(pace.Report{Incarnation: l.Id, Limit: limit, Age: time.Duration(l.AgeMs) * time.Millisecond}, from)
+	}
+}
+
+// maxIncarnationLength bounds an incarnation's ID in a peer's message, in bytes.
+const maxIncarnationLength = 256
+
+// notifyGrantor sends a heartbeat with the current limits to a replica's grantor, which
+// issues grants according to them.
+func (n *Node) notifyGrantor(incarnation string) {
+	r, ok := n.world.Load().replicaByIncarnation(incarnation)
+	if !ok || n.socket == nil {
+		return
+	}
+	grantor, ok := n.grantorLookup().grantorOf(&r)
+	if !ok || grantor.Name == n.settings.Name {
+		return
+	}
+	n.introduce([]string{grantor.HeartbeatAddress})
+}
+
+// sweepLimits drops limits of replicas that are no longer listed, and applies changes of
+// grantors.
+func (n *Node) sweepLimits() {
+	s := n.statements
+	hadNone := s.hadNoLimits
+	s.withRateLimits(func(t *pace.Tracker) { s.hadNoLimits = t.Empty() })
+	if s.hadNoLimits && hadNone {
+		return
+	}
+	w, now := n.world.Load(), n.now()
+	listed := make(map[string]catalog.Replica, len(w.all))
+	for _, r := range w.all {
+		listed[r.ID] = r
+	}
+	var incarnations []string
+	s.withRateLimits(func(t *pace.Tracker) {
+		s.retrySchedule.Prune(now)
+		t.Sweep(now, func(incarnation string) bool { _, ok := listed[incarnation]; return ok })
+		incarnations = t.LimitedIncarnations()
+	})
+	limited := make(map[string]int64)
+	grantors := n.grantorLookup()
+	for _, incarnation := range incarnations {
+		r, ok := listed[incarnation]
+		if !ok {
+			continue
+		}
+		limited[r.Service]++
+		isGrantor := grantors.isSelf(&r)
+		s.withRateLimits(func(t *pace.Tracker) { t.SetGrantor(now, incarnation, isGrantor) })
+	}
+	n.counters.stated("limited", limited)
+}
+
+// limitedStates returns the rate limits and the grantors of replicas for the state dump.
+func (n *Node) limitedStates(w *world) map[string]string {
+	var limited map[string]float64
+	n.statements.withRateLimits(func(t *pace.Tracker) { limited = t.Limits() })
+	grantors := n.grantorLookup()
+	out := make(map[string]string, len(limited))
+	for incarnation, perSecond := range limited {
+		grantor := "nobody"
+		if r, ok := w.replicaByIncarnation(incarnation); ok {
+			if k, ok := grantors.grantorOf(&r); ok {
+				grantor = k.Name
+			}
+		}
+		out[incarnation] = fmt.Sprintf("%g a second, turns by %s", perSecond, grantor)
+	}
+	return out
+}
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -98,7 +98,7 @@
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		err = errLeft // whatever it looked like
 	}
-	s.node.customers.count(nameOf(s.customer), err, s.beyondShare(err))
+	s.node.customers.record(boundedCustomerName(s.customer), err, s.beyondShare(err))
 	s.log(err)
 	if err != nil {
 		s.fail(ctx, err)
@@ -222,7 +222,7 @@
 			return err
 		}
 		if err := s.prepare(ctx); err != nil {
-			if s.waitsFor(ctx, err) || s.waitsForRest(ctx, err) {
+			if s.waitsFor(ctx, err) || s.waitForBackoff(ctx, err) {
 				continue
 			}
 			return err
@@ -231,10 +231,10 @@
 			return err
 		}
 		s.placeApart(ctx)
-		s.placeAgain(ctx)
+		s.replaceForbiddenEngine(ctx)
 		engine, fetch, err := s.pick()
 		if err != nil {
-			if s.waitsForRest(ctx, err) {
+			if s.waitForBackoff(ctx, err) {
 				continue
 			}
 			return err
@@ -300,7 +300,7 @@
 // again decides whether the request is sent once more after an attempt ended so.
 func (s *serving) again(err error) bool {
 	switch {
-	case errors.Is(err, errPaced): // it is known now from when on there is one
+	case errors.Is(err, errRateLimited): // it is known now from when on there is one
 		return true
 	case errors.Is(err, errUnreached):
 		s.avoid[s.replica] = true
@@ -311,7 +311,7 @@
 		s.redone++
 		return s.redone <= mostRedone && s.mayRepeat()
 	case errors.Is(err, errNotRun):
-		if _, rests := s.node.statements.restsTo(s.node.now(), s.replica); !rests { // else it may run the request after that
+		if _, rests := s.node.statements.backoffUntil(s.node.now(), s.replica); !rests { // else it may run the request after that
 			s.avoid[s.replica] = true
 		}
 		s.unsent++
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -47,7 +47,7 @@
 	self := n.members.Self()
 	n.gossipMu.Unlock()
 	var out []cellSpeed
-	for _, c := range n.owner.all() {
+	for _, c := range n.owner.allCells() {
 		c.mu.Lock()
 		for service, s := range c.engines.Speeds() {
 			if s.IsReliable() {
@@ -91,7 +91,7 @@
 	if len(fresh) == 0 {
 		return
 	}
-	for _, c := range n.owner.all() {
+	for _, c := range n.owner.allCells() {
 		c.knowSpeeds(fresh)
 	}
 }
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -83,7 +83,7 @@
 		stages: time.Duration(r.ExpectedUs) * time.Microsecond,
 		engine: time.Duration(r.EngineUs) * time.Microsecond,
 		reads:  r.Reads, moves: r.Moves,
-		standing: standingOf(r.Standing),
+		standing: decodeStanding(r.Standing),
 	}
 }
 
@@ -232,7 +232,7 @@
 	replies := make(chan *pb.StagesReply, mostReplies)
 	job := &stageJob{end: sync.OnceFunc(func() { close(news) }), news: func(m *pb.StagesNews) { news <- m }}
 	ask := proto.CloneOf(w.ask) // the next owner is asked by another one while this one may still read it
-	go n.owner.cell(int(ask.Cell)).run(ask, news, func(r *pb.StagesReply) error {
+	go n.owner.cell(int(ask.Cell)).serveRequest(ask, news, func(r *pb.StagesReply) error {
 		replies <- r
 		return nil
 	})
@@ -262,7 +262,7 @@
 				return nil, &refusedError{after: time.Duration(r.RetryAfterUs) * time.Microsecond, expects: expectationOf(r)}
 			case r.Failed != "":
 				job.end()
-				if r.Failed == whyCondemned {
+				if r.Failed == reasonQuarantined {
 					return nil, errCondemned
 				}
 				return nil, &failedError{why: r.Failed, after: time.Duration(r.RetryAfterUs) * time.Microsecond}
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -125,9 +125,9 @@
 		Resting:   make(map[string]string),
 		Instances: n.alive(),
 		LinkedTo:  n.links.Len(),
-		Customers: n.customers.counts(),
+		Customers: n.customers.snapshot(),
 	}
-	n.statements.with(func(b *advisory.Tracker) {
+	n.statements.withTracker(func(b *advisory.Tracker) {
 		s.Leaving = b.Draining()
 		for life, until := range b.Backoffs(n.now()) {
 			s.Resting[life] = (until - n.now()).Round(time.Millisecond).String()
@@ -160,7 +160,7 @@
 	for id := range n.pausedReplicas() {
 		s.LeftAlone = append(s.LeftAlone, id)
 	}
-	for _, c := range n.owner.all() {
+	for _, c := range n.owner.allCells() {
 		c.mu.Lock()
 		engines := make(map[string]speed.Figures)
 		for service, known := range c.engines.Speeds() {
--- a/cmd/node/telling_test.go
+++ b/cmd/node/telling_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n.answerReplicas(first).(*pb.ReplicaChanges)
+	return n.answerReplicasPull(first).(*pb.ReplicaChanges)
 }
 
 // The list for who knows nothing is made once, compressed, until it changes.
@@ -49,7 +49,7 @@
 	n := knowing(t, 3000)
 	first := asked(t, n, 0)
 	is.True(len(first.Packed) > 0 && len(first.Packed) < 100_000) // of some 500,000
-	opened, err := openChanges(first)
+	opened, err := decompressChanges(first)
 	is.NoErr(err)
 	is.True(opened.Whole)
 	is.Equal(len(opened.Entries), 3000)
@@ -57,7 +57,7 @@
 	is.True(asked(t, n, 0) == first)
 	n.replicas.log.ApplyChanges([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
 	n.telling.left = 0
-	opened, err = openChanges(asked(t, n, 0))
+	opened, err = decompressChanges(asked(t, n, 0))
 	is.NoErr(err)
 	is.Equal(len(opened.Entries), 3001)
 	small := asked(t, n, 100)
@@ -79,11 +79,11 @@
 	is.True(float64(sent) <= 4*slowLink*tellShare+2*size)
 	is.True(float64(sent) >= 4*slowLink*tellShare-2*size)
 	is.True(told.may(4*time.Second, tellingFree, slowLink))
-	p := &pull{}
-	is.True(!p.due(time.Second, hallPatience))
-	is.True(p.due(2*time.Second, hallPatience))
-	p.again()
-	is.True(p.due(2*time.Second, hallPatience)) // without another wait
+	p := &peerPull{}
+	is.True(!p.tryStart(time.Second, otherHallPullDelay))
+	is.True(p.tryStart(2*time.Second, otherHallPullDelay))
+	p.finishBusy()
+	is.True(p.tryStart(2*time.Second, otherHallPullDelay)) // without another wait
 }
 
 // Who starts beside one that reads for its hall does not read the lists from the
--- /dev/null
+++ b/cmd/node/throttled.go
@@ -0,0 +1,47 @@
+package node
+
+import (
+	"time"
+
+	"quinceroad/protocol/event"
+)
+
+// throttledCustomer is a customer that is throttled at a service of a cell.
+type throttledCustomer struct{ customer, service string }
+
+// maxThrottledLogLines bounds the log lines of one check.
+const maxThrottledLogLines = 20
+
+// logThrottled logs which customers are throttled since the last check, and which no
+// longer are.
+func (c *cell) logThrottled(now time.Duration) {
+	c.mu.Lock()
+	rows := c.scheduler.ThrottledCustomers(now)
+	c.mu.Unlock()
+	if len(rows) == 0 && len(c.throttledSince) == 0 {
+		return
+	}
+	log, lines := c.owner.node.log, 0
+	throttled := make(map[throttledCustomer]time.Duration, len(rows))
+	for _, r := range rows {
+		key := throttledCustomer{r.Customer, r.Resource}
+		since, known := c.throttledSince[key]
+		if !known {
+			since = now
+			if lines++; lines <= maxThrottledLogLines {
+				event.NodeCustomerHeld.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
+			}
+		}
+		throttled[key] = since
+	}
+	for h, since := range c.throttledSince {
+		if _, still := throttled[h]; still {
+			continue
+		}
+		if lines++; lines <= maxThrottledLogLines {
+			event.NodeCustomerFree.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
+		}
+	}
+	c.throttledSince = throttled
+	c.owner.node.counters.held(c.number, len(throttled))
+}
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -126,7 +126,7 @@
 // done once followMu, which it needs, is free.
 func (n *Node) putInForce() (published func()) {
 	now := n.now()
-	changed := n.replicas.refresh(now, n.statements.hasLeft)
+	changed := n.replicas.refresh(now, n.statements.isDraining)
 	n.rollouts.startedAgain(now, n.world.Load(), changed.over)
 	w := n.makeWorld()
 	cold := n.replicas.newlyCold(now, w.all)
@@ -144,7 +144,7 @@
 		for _, r := range cold {
 			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
-		n.owner.refresh()
+		n.owner.refreshCells()
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	for id, row := range n.replicas.lives {
 		r := row.replica
-		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
+		if _, ok := n.replicas.signs[id]; ok || n.statements.isDraining(id) {
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
@@ -224,7 +224,7 @@
 // leavingNews returns the replicas whose leaving is worth telling others, and how
 // many of these, the first ones, have stated it themselves.
 func (n *Node) leavingNews() (out []string, said int) {
-	n.statements.with(func(b *advisory.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
+	n.statements.withTracker(func(b *advisory.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
 	said = len(out)
 	out = append(out, n.recentlyLeaving(mostLeavingTold-said)...)
 	return n.spokenAll(out), said
