--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -52,8 +52,8 @@
 func (s *requestHandler) attempt(ctx context.Context, r catalog.Replica, fetch string) error {
 	s.lastReplica, s.lastRegion, s.lastFetchFrom = r.ID, r.Region, fetch
 	n := s.node
-	if !s.hasTurn(ctx, &r) {
-		return errPaced
+	if !s.acquireSendGrant(ctx, &r) {
+		return errRateLimited
 	}
 	conn, err := n.connectReplica(ctx, r.Address, replicaConnectTimeout)
 	if err != nil {
@@ -67,12 +67,12 @@
 		conn.Close()
 		return errNoReplicaReached
 	}
-	advisoryAttempt, ok := n.statements.begin(n.now(), r.ID)
+	advisoryAttempt, ok := n.statements.beginAttempt(n.now(), r.ID)
 	if !ok {
 		conn.Close()
 		return errNoReplicaReached
 	}
-	defer func() { n.statements.end(advisoryAttempt) }()
+	defer func() { n.statements.endAttempt(advisoryAttempt) }()
 	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.Asleep(), advisoryAttempt: advisoryAttempt}
 	token, ok := s.record.Dispatch()
 	if !ok {
@@ -212,7 +212,7 @@
 	if err := x.ReadHead(a.isOwnAnswer); err != nil {
 		return a.abortReasonOr(errAnswerBroken)
 	}
-	a.head = a.node.takeHead(a.answerSource(), a.advisoryAttempt, &x.Header)
+	a.head = a.node.recordHead(a.answerSource(), a.advisoryAttempt, &x.Header)
 	a.lastReplicaDrains = a.head.Draining
 	a.answerBegan = a.node.now()
 	return a.forwardAnswer(timer)
@@ -241,12 +241,14 @@
 		return true
 	}
 	lateSource := a.answerSource()
-	lateSource.aside = true
-	a.node.takeHead(lateSource, advisory.Attempt{}, h)
+	lateSource.auxiliary = true
+	a.node.recordHead(lateSource, advisory.Attempt{}, h)
 	return false
 }
 
-func (a *attempt) answerSource() stater { return stater{life: a.replica.ID, service: a.service.Name} }
+func (a *attempt) answerSource() answerSource {
+	return answerSource{incarnation: a.replica.ID, service: a.service.Name}
+}
 
 func (a *attempt) fillRequest(req *fasthttp.Request, fetch string) {
 	req.Header.DisableNormalizing()
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -114,7 +114,7 @@
 	draining, declared := n.drainUpdates()
 	h := &pb.Heartbeat{
 		Leaving: draining, LeavingStated: uint32(declared), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.emptiedNews(),
-		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
+		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitUpdates(),
 	}
 	for _, i := range m.Entries {
 		h.News = append(h.News, encodeInstance(i))
@@ -212,13 +212,13 @@
 	}
 	n.takeEmptied(senderOf(h), h.Evacuations)
 	n.takeRollouts(h)
-	n.catchUp(now, h)
+	n.pullMissing(now, h)
 	for i, id := range h.Leaving {
 		incarnation, ok := n.incarnationInHeartbeat(h, id)
 		switch {
 		case !ok:
 		case i < int(h.LeavingStated):
-			n.takeLeaving(incarnation, senderOf(h))
+			n.recordStatedDrain(incarnation, senderOf(h))
 		default:
 			n.recordDrainSign(incarnation, "peer")
 		}
@@ -226,7 +226,7 @@
 	n.recordRemoteEjections(now, h)
 	n.mergeSpeeds(h.Speeds)
 	n.takeQuarantine(h.Quarantine)
-	n.takeLimits(senderOf(h), h.Limits)
+	n.recordPeerLimits(senderOf(h), h.Limits)
 }
 
 // sendNewerIncarnation replies to a heartbeat with the sender's last known incarnation
@@ -308,17 +308,17 @@
 func (n *Node) servePeer(k frame.Kind, first []byte, stream net.Conn) {
 	switch k {
 	case frame.PullConfig:
-		_ = frame.Write(stream, frame.Reply, n.answerPull())
+		_ = frame.Write(stream, frame.Reply, n.answerConfigPull())
 	case frame.PullReplicas:
-		_ = frame.Write(stream, frame.Reply, n.answerReplicas(first))
+		_ = frame.Write(stream, frame.Reply, n.answerReplicasPull(first))
 	case frame.Kept:
 		_ = frame.Write(stream, frame.Reply, n.answerCacheQuery(first))
 	case frame.Trial:
 		n.arbitrate(first, stream)
 	case frame.Pace:
-		_ = frame.Write(stream, frame.Reply, n.answerPace(first, stream.RemoteAddr().String()))
+		_ = frame.Write(stream, frame.Reply, n.answerGrantRequest(first, stream.RemoteAddr().String()))
 	case frame.Stages:
-		n.owner.serve(first, stream)
+		n.owner.serveStagesStream(first, stream)
 	default: // frame of a later build, which treats a refusal differently from a failure
 		_ = frame.Refuse(stream)
 	}
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -51,9 +51,9 @@
 				n.servePeer(frame.Kind(rapid.IntRange(0, 40).Draw(t, "frame")), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes"), newClosedConn())
 			}
 		}
-		n.owner.refresh()
-		for _, c := range n.owner.all() {
-			c.do(c.scheduler.Tick)
+		n.owner.refreshCells()
+		for _, c := range n.owner.allCells() {
+			c.runStep(c.scheduler.Tick)
 		}
 		n.State()
 	})
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -22,7 +22,7 @@
 	if s.job != nil || (s.service.Engine == nil && len(s.route.Stages) == 0) {
 		return nil
 	}
-	if err := s.servable(); err != nil {
+	if err := s.checkServable(); err != nil {
 		return err
 	}
 	ask, items := s.buildStagesAsk()
@@ -58,9 +58,9 @@
 		Ended:     uint32(s.node.endedUnder(s.fingerprint)),
 
 		Fingerprint: uint64(s.fingerprint),
-		Customer:    nameOf(s.customer),
+		Customer:    boundedCustomerName(s.customer),
 	}
-	ask.CustomerPart, ask.CustomerOf = s.node.customers.usual(s.node.now(), ask.Customer)
+	ask.CustomerPart, ask.CustomerOf = s.node.customers.recentShare(s.node.now(), ask.Customer)
 	for _, p := range s.req.Prompt {
 		ask.Parts = append(ask.Parts, &pb.PromptPart{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
@@ -70,7 +70,7 @@
 	for id := range s.avoid {
 		ask.Avoid = append(ask.Avoid, id)
 	}
-	ask.Avoid = append(ask.Avoid, s.node.restingReplicas(s.service.Name)...)
+	ask.Avoid = append(ask.Avoid, s.node.replicasInBackoff(s.service.Name)...)
 	ask.Avoid = s.node.announcedReplicaIDs(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
@@ -108,8 +108,8 @@
 		return catalog.Replica{}, "", errNoAllowedRegion
 	}
 	newer, older := s.sides(world, listed)
-	allowedNew, backoffNew := s.mayAll(now, s.withinWarmUpQuota(now, newer))
-	allowedOld, backoffOld := s.mayAll(now, s.withinWarmUpQuota(now, older))
+	allowedNew, backoffNew := s.sendableReplicas(now, s.withinWarmUpQuota(now, newer))
+	allowedOld, backoffOld := s.sendableReplicas(now, s.withinWarmUpQuota(now, older))
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
 	candidates := s.healthyCandidates(now, allowedNew, len(newer))
@@ -117,7 +117,7 @@
 		candidates = s.healthyCandidates(now, allowedOld, len(older))
 	}
 	if len(candidates) == 0 {
-		return catalog.Replica{}, "", s.noReplicaError(world, append(allowedNew, allowedOld...), sooner(backoffNew, backoffOld))
+		return catalog.Replica{}, "", s.noReplicaError(world, append(allowedNew, allowedOld...), earlierBackoff(backoffNew, backoffOld))
 	}
 	candidates = n.apart(candidates)
 	if s.service.Engine == nil {
@@ -157,8 +157,8 @@
 	switch listed := len(w.eligibleByService[s.service.Name]); {
 	case backoff != nil:
 		return backoff
-	case listed == 0 && s.allLeave(w) != nil:
-		return errLeaving
+	case listed == 0 && s.checkAllDraining(w) != nil:
+		return errAllDraining
 	case listed > 0 && len(candidates) == 0:
 		return errReplicasWarming
 	case listed == 0 && w.serviceSizes[s.service.Name] > 0:
@@ -200,9 +200,9 @@
 func (s *requestHandler) mayUseOwnerChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.with(func(b *advisory.Tracker) {
+	n.statements.withTracker(func(b *advisory.Tracker) {
 		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.hasSendGrant {
-			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
+			ok = n.statements.rateLimits.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if len(others) > 0 {
-		r.far = n.longestRemotePrefix(others, r.request.Service, shared)
+		r.remoteCache = n.longestRemotePrefix(others, r.request.Service, shared)
 	}
 }
 
@@ -78,18 +78,18 @@
 // awaitRemotePrefix returns the longest cached prefix in other regions, or none if
 // they have not answered in time.
 func (r *ownedRequest) awaitRemotePrefix() placement.CachedPrefix {
-	if r.far == nil {
+	if r.remoteCache == nil {
 		return placement.CachedPrefix{}
 	}
-	wait := time.NewTimer(remoteCacheTimeout - (r.cell.owner.node.now() - r.began))
+	wait := time.NewTimer(remoteCacheTimeout - (r.cell.owner.node.now() - r.startedAt))
 	defer wait.Stop()
 	select {
-	case k := <-r.far:
+	case k := <-r.remoteCache:
 		return k
 	default:
 	}
 	select {
-	case k := <-r.far:
+	case k := <-r.remoteCache:
 		return k
 	case <-wait.C:
 		return placement.CachedPrefix{}
@@ -99,7 +99,7 @@
 // canAwaitRemotePrefix reports whether the request can wait for other regions: it
 // has stages, which take longer, or enough slack.
 func (r *ownedRequest) canAwaitRemotePrefix() bool {
-	return len(jobOf(r.ask).Stages) > 0 || r.request.Slack > 2*remoteCacheTimeout
+	return len(pipelineJob(r.ask).Stages) > 0 || r.request.Slack > 2*remoteCacheTimeout
 }
 
 // cachedPrefixIn asks the owner of a region's cell for the longest prefix of a
@@ -155,7 +155,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "query for cached prompts", "from", "", "error", err)
 		return &pb.KeptReply{}
 	}
-	c := n.owner.owned(int(ask.Cell))
+	c := n.owner.ownedCell(int(ask.Cell))
 	if c == nil {
 		return &pb.KeptReply{}
 	}
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -34,9 +34,9 @@
 	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
-	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: stater{life: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
+	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: answerSource{incarnation: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
 	switch {
-	case errors.Is(err, errStated):
+	case errors.Is(err, errAdvisoryForbids):
 		return nil, pipeline.Refused
 	case errors.Is(err, upstream.ErrConnect):
 		return nil, pipeline.Unreachable
@@ -62,7 +62,7 @@
 // freeResults tells a replica which results are no longer read. A lost call costs
 // result memory until the results expire.
 func (n *Node) freeResults(f pipeline.Free) {
-	if !n.heldFree(f) {
+	if !n.deferFree(f) {
 		n.sendFreeResults(f)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	_, _, _, err = n.callReplica(ctx, replicaCall{address: f.Address, source: stater{life: f.Replica, service: f.Service, aside: true}, method: fasthttp.MethodPost, path: path, body: body})
+	_, _, _, err = n.callReplica(ctx, replicaCall{address: f.Address, source: answerSource{incarnation: f.Replica, service: f.Service, auxiliary: true}, method: fasthttp.MethodPost, path: path, body: body})
 	n.logSideCallFailure("free results", f.Replica, err)
 }
 
@@ -92,7 +92,7 @@
 func (n *Node) fetchReplicaReport(r catalog.Replica) (platform.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathReport})
+	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: answerSource{incarnation: r.ID, service: r.Service, auxiliary: true}, method: fasthttp.MethodGet, path: platform.PathReport})
 	if err != nil {
 		return platform.Report{}, err
 	}
@@ -110,7 +110,7 @@
 func (n *Node) fetchCachedParts(r catalog.Replica) ([]catalog.PromptPart, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), cacheReportTimeout)
 	defer cancel()
-	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: stater{life: r.ID, service: r.Service, aside: true}, method: fasthttp.MethodGet, path: platform.PathCachedParts})
+	status, _, data, err := n.callReplica(ctx, replicaCall{address: r.Address, expectedReplica: r.Name, source: answerSource{incarnation: r.ID, service: r.Service, auxiliary: true}, method: fasthttp.MethodGet, path: platform.PathCachedParts})
 	if err != nil {
 		return nil, err
 	}
@@ -123,9 +123,9 @@
 // replicaCall is a call to a replica that forwards no client request.
 type replicaCall struct {
 	address         string
-	expectedReplica string // name of the replica that must answer; "" for any at the address
-	source          stater // incarnation and service whose advisories the answer carries
-	isWork          bool   // refused for a draining replica, and counted against its send grants
+	expectedReplica string       // name of the replica that must answer; "" for any at the address
+	source          answerSource // incarnation and service whose advisories the answer carries
+	isWork          bool         // refused for a draining replica, and counted against its send grants
 	method          string
 	path            string
 	body            []byte
@@ -142,9 +142,9 @@
 	advisoryAttempt, ok := n.beginCall(c)
 	if !ok {
 		cn.Close()
-		return 0, platform.ResponseHead{}, nil, errStated
+		return 0, platform.ResponseHead{}, nil, errAdvisoryForbids
 	}
-	defer n.statements.end(advisoryAttempt)
+	defer n.statements.endAttempt(advisoryAttempt)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
@@ -170,7 +170,7 @@
 		x.Release(0)
 		return 0, platform.ResponseHead{}, nil, err
 	}
-	head := n.takeHead(c.source, advisoryAttempt, &x.Header)
+	head := n.recordHead(c.source, advisoryAttempt, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
 	if err == nil && !x.Whole() {
 		err = upstream.ErrCut
@@ -184,12 +184,12 @@
 // release of results.
 func (n *Node) beginCall(c replicaCall) (advisory.Attempt, bool) {
 	if c.isWork {
-		return n.statements.begin(n.now(), c.source.life)
+		return n.statements.beginAttempt(n.now(), c.source.incarnation)
 	}
-	if _, backsOff := n.statements.restsTo(n.now(), c.source.life); backsOff {
+	if _, backsOff := n.statements.backoffUntil(n.now(), c.source.incarnation); backsOff {
 		return advisory.Attempt{}, false
 	}
-	n.countAside(c.source.life)
+	n.countInternalCall(c.source.incarnation)
 	return advisory.Attempt{}, true
 }
 
--- a/cmd/node/request_end.go
+++ b/cmd/node/request_end.go
@@ -25,21 +25,21 @@
 	retryAfter := shortRetryAfter
 	var refused *refusedError
 	var failed *failedError
-	var backoff *restError
+	var backoff *backoffError
 	switch {
-	case errors.As(err, &backoff) && backoff.paced:
-		retryAfter = s.node.promise(s.service.Name, backoff)
+	case errors.As(err, &backoff) && backoff.rateLimited:
+		retryAfter = s.node.reserveRetry(s.service.Name, backoff)
 	case errors.As(err, &backoff):
-		retryAfter = max(backoff.left(), shortRetryAfter) + spreadReturn()
+		retryAfter = max(backoff.remaining(), shortRetryAfter) + retryJitter()
 	case errors.As(err, &refused):
 		retryAfter = refused.retryAfter
 		if !refused.forecast.standing.Within {
-			retryAfter += spreadReturn()
+			retryAfter += retryJitter()
 		}
 	case errors.As(err, &failed):
 		retryAfter = max(failed.retryAfter, shortRetryAfter)
 		if failed.reason == pipeline.ReasonBackoff || failed.reason == pipeline.ReasonShare {
-			retryAfter += spreadReturn()
+			retryAfter += retryJitter()
 		}
 	case errors.Is(err, errHallsDrained), errors.Is(err, errReplicasWarming), errors.Is(err, errNoAllowedRegion), errors.Is(err, errNoTurn):
 		retryAfter = longRetryAfter
@@ -73,7 +73,7 @@
 	if err != nil {
 		why = err.Error()
 	}
-	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", nameOf(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
+	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", boundedCustomerName(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
 		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.lastOwner,
 		"attempts", len(s.tried), "replica", s.lastReplica, "took", s.elapsed(), "staged", s.stagesTook, "expected", s.forecast.stages,
 		"engine_expected", s.forecast.engine, "reads", s.forecast.prefillTokens, "moves", s.forecast.transferTokens,
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -98,7 +98,7 @@
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		err = errClientGone // whichever error the attempt ended with
 	}
-	s.node.customers.count(nameOf(s.customer), err, s.isOverShare(err))
+	s.node.customers.record(boundedCustomerName(s.customer), err, s.isOverShare(err))
 	s.logRequest(err)
 	if err != nil {
 		s.answerFailure(ctx, err)
@@ -225,7 +225,7 @@
 			return err
 		}
 		if err := s.prepareStages(ctx); err != nil {
-			if s.waitToRetryStages(ctx, err) || s.waitsForRest(ctx, err) {
+			if s.waitToRetryStages(ctx, err) || s.waitForBackoff(ctx, err) {
 				continue
 			}
 			return err
@@ -234,10 +234,10 @@
 			return err
 		}
 		s.isolateSuspect(ctx)
-		s.placeAgain(ctx)
+		s.replaceForbiddenEngine(ctx)
 		engine, fetch, err := s.pickReplica()
 		if err != nil {
-			if s.waitsForRest(ctx, err) {
+			if s.waitForBackoff(ctx, err) {
 				continue
 			}
 			return err
@@ -305,7 +305,7 @@
 // with err.
 func (s *requestHandler) shouldRetry(err error) bool {
 	switch {
-	case errors.Is(err, errPaced): // the time of the next send grant is known now
+	case errors.Is(err, errRateLimited): // the time of the next send grant is known now
 		return true
 	case errors.Is(err, errNoReplicaReached):
 		s.avoid[s.lastReplica] = true
@@ -316,7 +316,7 @@
 		s.stageReruns++
 		return s.stageReruns <= maxStageReruns && s.consumeRetryBudget()
 	case errors.Is(err, errReplicaRefused):
-		if _, backsOff := s.node.statements.restsTo(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
+		if _, backsOff := s.node.statements.backoffUntil(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
 			s.avoid[s.lastReplica] = true
 		}
 		s.unexecutedSends++
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -129,7 +129,7 @@
 // followMu and calls afterUnlock once it has released it.
 func (n *Node) replaceSnapshot() (afterUnlock func()) {
 	now := n.now()
-	changed := n.replicas.refresh(now, n.statements.hasLeft)
+	changed := n.replicas.refresh(now, n.statements.isDraining)
 	n.rollouts.startedAgain(now, n.world.Load(), changed.restarted)
 	w := n.buildSnapshot()
 	warming := n.replicas.newlyWarming(now, w.replicas)
@@ -147,7 +147,7 @@
 		for _, r := range warming {
 			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
-		n.owner.refresh()
+		n.owner.refreshCells()
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	for id, record := range n.replicas.byIncarnation {
 		r := record.replica
-		if _, ok := n.replicas.drainSigns[id]; ok || n.statements.hasLeft(id) {
+		if _, ok := n.replicas.drainSigns[id]; ok || n.statements.isDraining(id) {
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
@@ -231,7 +231,7 @@
 // drainUpdates returns the draining replicas to announce to other instances. The first
 // declared of them have announced the drain themselves.
 func (n *Node) drainUpdates() (out []string, declared int) {
-	n.statements.with(func(b *advisory.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
+	n.statements.withTracker(func(b *advisory.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
 	declared = len(out)
 	out = append(out, n.recentDrainSigns(maxDrainsPerHeartbeat-declared)...)
 	return n.announcedReplicaIDs(out), declared
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -48,7 +48,7 @@
 	self := n.members.Self()
 	n.gossipMu.Unlock()
 	var out []cellSpeed
-	for _, c := range n.owner.all() {
+	for _, c := range n.owner.allCells() {
 		c.mu.Lock()
 		for service, s := range c.engines.Speeds() {
 			if s.IsReliable() {
@@ -92,7 +92,7 @@
 	if len(updated) == 0 {
 		return
 	}
-	for _, c := range n.owner.all() {
+	for _, c := range n.owner.allCells() {
 		c.seedSpeeds(updated)
 	}
 }
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -83,7 +83,7 @@
 		stages:        time.Duration(r.ExpectedUs) * time.Microsecond,
 		engine:        time.Duration(r.EngineUs) * time.Microsecond,
 		prefillTokens: r.Reads, transferTokens: r.Moves,
-		standing: standingOf(r.Standing),
+		standing: decodeStanding(r.Standing),
 	}
 }
 
@@ -233,7 +233,7 @@
 	replies := make(chan *pb.StagesReply, maxOwnerReplies)
 	job := &stageJob{end: sync.OnceFunc(func() { close(updates) }), notifyOwner: func(m *pb.StagesNews) { updates <- m }}
 	ask := proto.CloneOf(w.ask) // the local owner may still read it while runStages changes it for the next owner
-	go n.owner.cell(int(ask.Cell)).run(ask, updates, func(r *pb.StagesReply) error {
+	go n.owner.cell(int(ask.Cell)).serveRequest(ask, updates, func(r *pb.StagesReply) error {
 		replies <- r
 		return nil
 	})
@@ -263,7 +263,7 @@
 				return nil, &refusedError{retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond, forecast: forecastOf(r)}
 			case r.Failed != "":
 				job.end()
-				if r.Failed == whyCondemned {
+				if r.Failed == reasonQuarantined {
 					return nil, errCondemned
 				}
 				return nil, &failedError{reason: r.Failed, retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
--- a/cmd/node/update_server_test.go
+++ b/cmd/node/update_server_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n.answerReplicas(first).(*pb.ReplicaChanges)
+	return n.answerReplicasPull(first).(*pb.ReplicaChanges)
 }
 
 // The full update for starting peers is built and compressed once, until the list
@@ -50,7 +50,7 @@
 	n := newNodeWithReplicas(t, 3000)
 	first := requestReplicaUpdate(t, n, 0)
 	is.True(len(first.Packed) > 0 && len(first.Packed) < 100_000) // of about 500,000
-	unpacked, err := openChanges(first)
+	unpacked, err := decompressChanges(first)
 	is.NoErr(err)
 	is.True(unpacked.Whole)
 	is.Equal(len(unpacked.Entries), 3000)
@@ -58,7 +58,7 @@
 	is.True(requestReplicaUpdate(t, n, 0) == first)
 	n.replicas.changeLog.ApplyChanges([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
 	n.telling.credit = 0
-	unpacked, err = openChanges(requestReplicaUpdate(t, n, 0))
+	unpacked, err = decompressChanges(requestReplicaUpdate(t, n, 0))
 	is.NoErr(err)
 	is.Equal(len(unpacked.Entries), 3001)
 	small := requestReplicaUpdate(t, n, 100)
@@ -80,11 +80,11 @@
 	is.True(float64(sent) <= 4*slowLink*updateLinkShare+2*size)
 	is.True(float64(sent) >= 4*slowLink*updateLinkShare-2*size)
 	is.True(server.allow(4*time.Second, unmeteredUpdateSize, slowLink))
-	p := &pull{}
-	is.True(!p.due(time.Second, hallPatience))
-	is.True(p.due(2*time.Second, hallPatience))
-	p.again()
-	is.True(p.due(2*time.Second, hallPatience)) // without another delay
+	p := &peerPull{}
+	is.True(!p.tryStart(time.Second, otherHallPullDelay))
+	is.True(p.tryStart(2*time.Second, otherHallPullDelay))
+	p.finishBusy()
+	is.True(p.tryStart(2*time.Second, otherHallPullDelay)) // without another delay
 }
 
 // An instance that starts while its hall has a reader does not read the topics from the
