--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -108,11 +108,11 @@
 
 // New returns a process that is not started.
 func New(s *platform.Settings, log hclog.Logger) *Node {
-	return NewWith(s, log, clock.New())
+	return NewWithClock(s, log, clock.New())
 }
 
 // NewWith returns a process that goes by a clock.
-func NewWith(s *platform.Settings, log hclog.Logger, c *clock.Clock) *Node {
+func NewWithClock(s *platform.Settings, log hclog.Logger, c *clock.Clock) *Node {
 	n := &Node{
 		settings:   s,
 		log:        log,
--- a/cmd/node/quarantine_state.go
+++ b/cmd/node/quarantine_state.go
@@ -7,13 +7,13 @@
 	"quinceroad/coordination/quarantine"
 )
 
-// QuarantineState is what a node knows of a request that replicas have ended under.
+// QuarantineState is what a node knows of a request that replicas crashed under.
 type QuarantineState struct {
-	Fingerprint string
-	Verdict     string
-	Ended       int    // replicas under it
-	Cleared     int    // that ended beside it, as a whole answer has shown since
-	Asked       string // since a caller last asked for it, or something changed
+	Fingerprint   string
+	Verdict       string
+	Ended         int    // replicas that crashed under it
+	Cleared       int    // replicas that ended while running it, before a complete answer cleared the request
+	LastRequested string `json:"Asked"` // time since a caller last sent it or its entry changed
 }
 
 func (n *Node) quarantineStates() []QuarantineState {
@@ -25,7 +25,7 @@
 	for _, e := range q.book.All(now) {
 		out = append(out, QuarantineState{
 			Fingerprint: e.Fingerprint.String(), Verdict: q.book.Verdict(e.Fingerprint).String(),
-			Ended: len(e.Ended), Cleared: len(e.Cleared), Asked: e.Age.Round(time.Second).String(),
+			Ended: len(e.Ended), Cleared: len(e.Cleared), LastRequested: e.Age.Round(time.Second).String(),
 		})
 	}
 	return out
--- a/cmd/node/rollout_state.go
+++ b/cmd/node/rollout_state.go
@@ -8,23 +8,23 @@
 	"quinceroad/coordination/rollout"
 )
 
-// RolloutState is what a node knows of a roll-out that stands.
+// RolloutState is what a node knows of an active rollout.
 type RolloutState struct {
-	Service   string
-	Target    string // version
-	Order     uint64 // the store's revision that names it
-	Phase     string
-	Age       string
-	For       string
-	Share     float64 // of this node's requests, that the version gets
-	Sent      int     // by this node to the service, since the order
-	Rank      int     // of this node among those who judge; -1: it does not
-	Status    string  // in the store, as this node read it last
-	Waits     string  // why it isn't taken further, by this node
-	Judgement rollout.Judgement
+	Service    string
+	Target     string // version that the service moves to
+	Order      uint64 // store revision of the order, which identifies it
+	Phase      string
+	Age        string
+	TimeLimit  string  `json:"For"`
+	Share      float64 // share of this node's requests that goes to the target version
+	Sent       int     // requests that this node has sent to the service since the order
+	Rank       int     // rank of this node among the judges; -1: not a judge
+	Status     string  // status in the store when this node last read it
+	WaitReason string  `json:"Waits"` // why this node takes no further step
+	Judgement  rollout.Judgement
 }
 
-// rolloutStates returns what is known of the roll-outs.
+// rolloutStates returns the state of all active rollouts.
 func (n *Node) rolloutStates() []RolloutState {
 	r := n.rollouts
 	now := n.now()
@@ -35,15 +35,15 @@
 		o := r.seen(s.Revision)
 		out = append(out, RolloutState{
 			Service: s.Service, Target: s.Target, Order: s.Revision, Phase: s.Phase.String(),
-			Age: (now - s.OrderedAt).Round(time.Millisecond).String(), For: s.TimeLimit.String(), Share: s.Share(now, r.canary), Sent: o.own.Sent,
-			Rank: o.rank, Status: o.status.State.String(), Waits: o.step.Reason, Judgement: o.judge.Latest(),
+			Age: (now - s.OrderedAt).Round(time.Millisecond).String(), TimeLimit: s.TimeLimit.String(), Share: s.Share(now, r.canary), Sent: o.own.Sent,
+			Rank: o.rank, Status: o.status.State.String(), WaitReason: o.step.Reason, Judgement: o.judge.Latest(),
 		})
 	}
 	return out
 }
 
-// rolloutCounter returns a counter of an order's service and version, which an
-// operator watches while it runs.
+// rolloutCounter returns a counter for a service and its target version, by which
+// operators follow a rollout.
 func (n *Node) rolloutCounter(service, target, name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter("node.rollouts."+service+"."+target+"."+name, n.registry)
 }
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -17,70 +17,72 @@
 	"quinceroad/transport/web"
 )
 
-// State is the dump of a node's state: what it believes, without keys.
+// State is the dump of a node's state for operators. It holds no keys. Renamed
+// fields keep their names in the JSON dump by tags.
 type State struct {
-	Name       string
-	Build      string
-	Level      uint32   // what this build understands
-	FleetLevel uint32   // what all that are alive understand
-	Waiting    []string // what needs a higher one
-	Uptime     string
-	Stopping   bool
-	InFlight   int64
-	Reads      bool   // follows the store for its hall
-	Wakes      int64  // after suspensions of the machine
-	Silent     bool   // the store did not answer when this instance last asked it
-	ListedAt   uint64 // store's revision up to which the replicas are known
-	Version    uint64 // of the configuration in force; 0: none
-	Routes     int
-	Replicas   map[string]int    // by service, those that may get work
-	Lives      int               // of replicas that say when they were born
-	Leaving    []string          // replicas, by their own word, or by signs lately
-	Resting    map[string]string // replicas that want nothing from this instance, and for how much longer
-	Limited    map[string]string // replicas that state how many requests a second they take, and who gives their turns
-	Emptied    []string          // halls whose replicas get nothing new
-	Cold       []string          // replicas that get little
-	LeftAlone  []string          // replicas taken for sick
-	Rollouts   []RolloutState    // that stand
-	Quarantine []QuarantineState // requests that replicas have ended under
-	Instances  []gossip.Instance
-	Cells      []CellState
-	Region     string                 // this node's; "" where nobody can place its hall
-	Regions    map[string]RegionState // by name; "" of halls that nobody can place
-	LinkedTo   int
-	Customers  map[string]customerCount // what became of their requests here
+	Name              string
+	Build             string
+	Level             uint32   // protocol level of this build
+	FleetLevel        uint32   // protocol level that all live instances support
+	PendingFeatures   []string `json:"Waiting"` // features that need a higher fleet level
+	Uptime            string
+	Stopping          bool
+	InFlight          int64
+	IsReader          bool   `json:"Reads"`    // watches the store on behalf of its hall
+	Resumes           int64  `json:"Wakes"`    // resumes after suspensions of the machine
+	StoreUnresponsive bool   `json:"Silent"`   // the store did not answer this instance's last probe
+	ListRevision      uint64 `json:"ListedAt"` // store revision of the replica list
+	ConfigVersion     uint64 `json:"Version"`  // version of the configuration in force; 0: none
+	Routes            int
+	Replicas          map[string]int    // by service: replicas that accept work
+	StartTimes        int               `json:"Lives"`     // number of replicas that report a start time
+	Draining          []string          `json:"Leaving"`   // replicas that announced a drain or recently showed signs of one
+	Backoffs          map[string]string `json:"Resting"`   // replicas that asked this instance for a backoff, and the time left
+	RateLimited       map[string]string `json:"Limited"`   // replicas with a rate limit: requests per second and the grantor
+	DrainedHalls      []string          `json:"Emptied"`   // halls whose replicas get no new requests
+	Warming           []string          `json:"Cold"`      // warming replicas, whose load is limited
+	Ejected           []string          `json:"LeftAlone"` // replicas ejected by outlier detection
+	Rollouts          []RolloutState    // active rollouts
+	Quarantine        []QuarantineState // requests that replicas crashed under
+	Instances         []gossip.Instance
+	Cells             []CellState
+	Region            string                   // region of this node; "": its hall belongs to no region
+	Regions           map[string]RegionState   // by name; "" holds halls that belong to no region
+	PeerLinks         int                      `json:"LinkedTo"`
+	Customers         map[string]customerCount // outcomes of their requests at this node
 }
 
 // RegionState is what a node knows of a region.
 type RegionState struct {
 	Instances int
-	Replicas  map[string]int // by service, those that may get work
+	Replicas  map[string]int // by service: replicas that accept work
 	Cells     int
-	Trip      string // of a question there and back, as it was lately
+	RoundTrip string `json:"Trip"` // recent round-trip time
 }
 
-// mostSharesTold bounds the dump: customers of each pool, beside those held.
+// mostSharesTold limits the customers of a pool in the dump; throttled ones are
+// listed in addition.
 const mostSharesTold = 10
 
 // CellState is a cell that this node has owned.
 type CellState struct {
 	Number  int
-	Jobs    int // admitted, their stages under way or their results not read yet
-	Calls   int // of pieces, under way
-	Streams int // at engines
+	Jobs    int // admitted jobs whose stages run or whose results are not read yet
+	Calls   int // batches in flight
+	Streams int // streams at engines
 	Pools   []pipeline.PoolState
-	Engines map[string]speed.Figures // by service, as observed and told
-	Shares  []shares.Row             // of the customers that ask for most, and of all that are held to one
+	Engines map[string]speed.Figures // by service: speeds, as measured and as reported by peers
+	Shares  []shares.Row             // customers with the highest demand, and all throttled ones
 }
 
-// These say why a node is not ready.
+// Reasons for which a node is not ready.
 var (
 	errNoConfiguration = errors.New("no configuration is known yet")
 	errNoReplicas      = errors.New("no list of replicas is known yet")
 	errStopping        = errors.New("this instance is stopping")
 )
 
-// listenAdmin serves metrics and the dump of state to operators.
+// listenAdmin serves metrics and the state dump to operators.
 func (n *Node) listenAdmin() error {
 	if n.settings.MetricsPort == 0 {
 		return nil
@@ -107,58 +109,58 @@
 	return nil
 }
 
-// State returns the dump.
+// State returns the current state.
 func (n *Node) State() State {
 	w := n.world.Load()
 	s := State{
-		Name:      n.settings.Name,
-		Build:     process.Build(),
-		Level:     thisLevel,
-		Uptime:    n.now().Round(time.Millisecond).String(),
-		Stopping:  n.stopping.Load(),
-		InFlight:  n.inFlight.Load(),
-		Reads:     n.reads.Load(),
-		Wakes:     n.counters.wakes.Count(),
-		Silent:    n.pulse.isSilent(),
-		ListedAt:  n.listAt(),
-		Replicas:  make(map[string]int, len(w.services)),
-		Resting:   make(map[string]string),
-		Instances: n.alive(),
-		LinkedTo:  n.links.Len(),
-		Customers: n.customers.counts(),
+		Name:              n.settings.Name,
+		Build:             process.Build(),
+		Level:             thisLevel,
+		Uptime:            n.now().Round(time.Millisecond).String(),
+		Stopping:          n.stopping.Load(),
+		InFlight:          n.inFlight.Load(),
+		IsReader:          n.reads.Load(),
+		Resumes:           n.counters.wakes.Count(),
+		StoreUnresponsive: n.pulse.isSilent(),
+		ListRevision:      n.listAt(),
+		Replicas:          make(map[string]int, len(w.services)),
+		Backoffs:          make(map[string]string),
+		Instances:         n.alive(),
+		PeerLinks:         n.links.Len(),
+		Customers:         n.customers.counts(),
 	}
 	n.statements.with(func(b *advisory.Tracker) {
-		s.Leaving = b.Draining()
+		s.Draining = b.Draining()
 		for life, until := range b.Backoffs(n.now()) {
-			s.Resting[life] = (until - n.now()).Round(time.Millisecond).String()
+			s.Backoffs[life] = (until - n.now()).Round(time.Millisecond).String()
 		}
 	})
-	s.Limited = n.limitedStates(w)
-	s.Leaving = append(s.Leaving, n.recentlyLeaving(mostLeavingTold)...)
+	s.RateLimited = n.limitedStates(w)
+	s.Draining = append(s.Draining, n.recentlyLeaving(mostLeavingTold)...)
 	s.FleetLevel = n.level.inForce()
-	s.Waiting = level.PendingFeatures(s.FleetLevel)
+	s.PendingFeatures = level.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
-	s.Emptied = n.emptied.Halls()
+	s.DrainedHalls = n.emptied.Halls()
 	n.followMu.Unlock()
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
 	for _, r := range w.all {
 		if r.StartMillis != 0 {
-			s.Lives++
+			s.StartTimes++
 		}
 		if r.WarmingUntil > n.now() {
-			s.Cold = append(s.Cold, r.ID)
+			s.Warming = append(s.Warming, r.ID)
 		}
 	}
 	if w.config != nil {
-		s.Version, s.Routes = w.config.Version, len(w.config.Routes)
+		s.ConfigVersion, s.Routes = w.config.Version, len(w.config.Routes)
 	}
 	for service, list := range w.services {
 		s.Replicas[service] = len(list)
 	}
 	s.Region, s.Regions = n.home, n.regionStates(w, s.Instances)
 	for id := range n.pausedReplicas() {
-		s.LeftAlone = append(s.LeftAlone, id)
+		s.Ejected = append(s.Ejected, id)
 	}
 	for _, c := range n.owner.all() {
 		c.mu.Lock()
@@ -178,7 +180,7 @@
 func (n *Node) regionStates(w *world, alive []gossip.Instance) map[string]RegionState {
 	out := make(map[string]RegionState)
 	for _, region := range w.places.Names() {
-		r := RegionState{Cells: w.cells(region), Trip: n.trip(region).String()}
+		r := RegionState{Cells: w.cells(region), RoundTrip: n.trip(region).String()}
 		r.Replicas = w.parts.takes[region]
 		for _, i := range alive {
 			if i.Region == region {
