--- a/cmd/node/alike_test.go
+++ b/cmd/node/alike_test.go
@@ -12,9 +12,10 @@
 	"quinceroad/platform"
 )
 
-// What two instances must compute alike is the same in all builds since 006aa26:
-// who owns a cell, which replicas it has, which instance a counter is of.
-func TestBuildsComputeAlike(t *testing.T) {
+// Instances of different builds must compute the same results: the owner of a cell, its
+// replicas, and the key of an instance's counters. The values are those of all builds
+// since 006aa26.
+func TestBuildsComputeTheSame(t *testing.T) {
 	is := is.New(t)
 	is.Equal(platform.Hash("a request's id"), uint64(17239341863301912574))
 	is.Equal(rendezvous.Weight("key", "n1"), uint64(17248766005804674344))
--- a/cmd/node/apart.go
+++ b/cmd/node/apart.go
@@ -34,7 +34,7 @@
 // misplaced reports whether the engine was chosen by what is no longer so.
 func (s *serving) misplaced() bool {
 	_, usable := s.ownersChoice()
-	return !usable || s.job.ended != s.node.endedUnder(s.fingerprint)
+	return !usable || s.job.ended != s.node.crashesUnder(s.fingerprint)
 }
 
 // crowded reports whether other suspects would be lost with the engine.
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -62,17 +62,17 @@
 		}
 		return errUnreached
 	}
-	defer n.rollouts.enter(&r, !s.movable())() // before it is asked whether the replica may get it
-	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
+	defer n.rollouts.startRequest(&r, !s.canMove())() // before it is asked whether the replica may get it
+	if !s.homes().Allows(r.Region) || !n.mayGet(s.service, r.ID) || !n.rollouts.tryRecordSend(n.world.Load().moves[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errUnreached
 	}
-	turn, ok := n.statements.begin(n.now(), r.ID)
+	turn, ok := n.advisories.begin(n.now(), r.ID)
 	if !ok {
 		conn.Close()
 		return errUnreached
 	}
-	defer func() { n.statements.end(turn) }()
+	defer func() { n.advisories.end(turn) }()
 	a := &attempt{serving: s, replica: r, conn: conn, sent: n.now(), asleep: n.clock.Asleep(), turn: turn}
 	token, ok := s.record.Dispatch()
 	if !ok {
@@ -81,19 +81,19 @@
 	}
 	a.token = token
 	if len(s.tried) > 0 {
-		n.counters.again.Inc(1)
+		n.counters.retries.Inc(1)
 	}
 	n.counters.attempts.Inc(1)
 	if n.distance(r.Hall) == regions.Remote {
-		n.counters.farAttempts.Inc(1)
-		n.counters.farBytes.requests.Inc(int64(len(s.req.Body)))
+		n.counters.remoteAttempts.Inc(1)
+		n.counters.remoteBytes.requests.Inc(int64(len(s.req.Body)))
 	}
 	s.tried[r.ID] = true
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	n.loads.Begin(r.ID)
-	n.judgeMu.Unlock()
-	if n.endedUnder(s.fingerprint) > 0 {
-		defer n.runsSuspect(s.fingerprint, r.ID)()
+	n.detectorMu.Unlock()
+	if n.crashesUnder(s.fingerprint) > 0 {
+		defer n.trackSuspect(s.fingerprint, r.ID)()
 	}
 	err = a.exchange(ctx, fetch)
 	a.finish(ctx, err)
@@ -110,7 +110,7 @@
 // countAnswer counts what comes from another region.
 func (a *attempt) countAnswer(bytes int) {
 	if a.node.distance(a.replica.Hall) == regions.Remote {
-		a.node.counters.farBytes.answers.Inc(int64(bytes))
+		a.node.counters.remoteBytes.answers.Inc(int64(bytes))
 	}
 }
 
@@ -152,7 +152,7 @@
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
 			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEvent, "chosen", a.chosen, "rest", a.head.Rest, "leaves", a.head.Leaves)
 	}
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	if err == nil && !suspended {
 		n.loads.End(a.replica.ID, took)
 	} else {
@@ -161,7 +161,7 @@
 	if a.head.Slots > 0 {
 		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	if a.head.Stranger || a.closesAtRefusal() {
 		n.sawLeaving(a.replica.ID, "answer")
 	}
@@ -175,14 +175,14 @@
 	}
 	switch says.Request {
 	case ending.RequestCleared:
-		n.answeredWhole(a.fingerprint)
+		n.recordCompleteAnswer(a.fingerprint)
 	case ending.RequestBlamed:
 		n.endedUnfinished(a.replica.ID, a.sent, a.fingerprint)
 	case ending.RequestProbe:
 		a.look = n.brokeOff(&a.replica, a.sent, a.fingerprint)
 	}
-	a.tellRollout(way, suspended, took)
-	if says.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
+	a.recordRollout(way, suspended, took)
+	if says.Request == ending.RequestProbe && a.canMove() && len(a.tried) < a.route.MaxAttempts {
 		n.awaitLook(ctx, a.look) // else there is nothing to wait for: it has its end at once
 	}
 }
@@ -192,7 +192,7 @@
 	_ = a.conn.SetDeadline(time.Now().Add(a.end - a.node.now() + time.Second)) // the context ends it; this is for what the context misses
 	stop := context.AfterFunc(ctx, a.conn.Close)
 	defer stop()
-	defer a.node.running.begin(a.replica.ID, func() { a.cutOff(errLifeOver) })()
+	defer a.node.activeRequests.add(a.replica.ID, func() { a.cutOff(errLifeOver) })()
 	watch := a.watch()
 	defer watch.Stop()
 
@@ -294,9 +294,9 @@
 		return 0
 	}
 	n := a.node
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	usual := n.loads.MeanAnswerTime(a.replica.ID)
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	switch {
 	case a.route.Kind == catalog.Repeatable:
 		return max(time.Duration(float64(a.route.Objective)*patienceShare), patienceTimes*usual)
@@ -333,7 +333,7 @@
 		return errCutOff
 	}
 	a.copyHead()
-	a.node.counters.status(status).Inc(1)
+	a.node.counters.answers(status).Inc(1)
 	a.w.WriteHeader(status)
 	_, _ = a.w.Write(body)
 	a.countAnswer(len(body))
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -68,14 +68,14 @@
 		m.day += time.Minute
 		n.leavingNews()
 		n.sweepStatements()
-		is.True(!n.replicaTakes("e1@7"))
+		is.True(!n.replicaAcceptsWork("e1@7"))
 	}
-	is.True(n.replicaTakes("e2"))
+	is.True(n.replicaAcceptsWork("e2"))
 	n.replicas.log.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 8,
 	})}, 102)
 	n.publish()
-	is.True(n.replicaTakes("e1@8"))
+	is.True(n.replicaAcceptsWork("e1@8"))
 	is.Equal(len(n.world.Load().services["llm"]), 1)
 }
 
@@ -132,10 +132,10 @@
 	}
 	for f := range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		trial, err := n.turn(ctx, quarantine.Fingerprint(f+1))
+		trial, err := n.acquireTrial(ctx, quarantine.Fingerprint(f+1))
 		cancel()
 		is.NoErr(err)
-		trial.end()
+		trial.release()
 	}
 	is.True(len(asked) <= 3) // each once
 }
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -102,18 +102,18 @@
 	replica := catalog.Replica{ID: a.Replica, Service: a.Service, Version: n.versionOf(a.Replica)}
 	ctx, over := context.WithCancel(ctx)
 	defer over()
-	defer n.running.begin(a.Replica, over)()
-	leave := n.rollouts.enter(&replica, false) // its pieces go to another replica
+	defer n.activeRequests.add(a.Replica, over)()
+	leave := n.rollouts.startRequest(&replica, false) // its pieces go to another replica
 	results, fate := n.runPieces(ctx, a)
 	if fate == pipeline.Broken || fate == pipeline.TimedOut && n.quarantine.hasEnded(a.Replica) {
 		fate = c.whyBroken(ctx, a, began)
 	}
 	if fate == pipeline.Answered {
-		c.leaveResults(a.Service, leave)
+		c.releaseAfterResults(a.Service, leave)
 	} else {
 		leave()
 	}
-	n.tellRolloutCall(&replica, wayOf(fate, results), n.clock.Asleep() != asleep, n.now()-began)
+	n.recordRolloutBatch(&replica, endingOf(fate, results), n.clock.Asleep() != asleep, n.now()-began)
 	c.log(a, results, n.now()-began)
 	c.mu.Lock()
 	if cancel := c.calls[a.ID]; cancel != nil {
@@ -121,17 +121,17 @@
 	}
 	delete(c.calls, a.ID)
 	c.mu.Unlock()
-	n.counters.calls.Inc(1)
-	n.counters.pieces.Inc(int64(len(a.Items)))
+	n.counters.batches.Inc(1)
+	n.counters.items.Inc(int64(len(a.Items)))
 	if fate != pipeline.Answered {
-		n.counters.lostCalls.Inc(1)
+		n.counters.lostBatches.Inc(1)
 		event.NodeCallLost.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
 	}
 	if fate == pipeline.WrongReplica {
 		n.sawLeaving(a.Replica, "stranger")
 	}
 	c.do(func(now time.Duration) []pipeline.Action {
-		if until, rests := n.statements.restsTo(now, a.Replica); rests {
+		if until, rests := n.advisories.restsTo(now, a.Replica); rests {
 			c.scheduler.SetBackoff(a.Replica, until)
 		}
 		return c.scheduler.FinishCall(now, a.ID, fate, results)
--- a/cmd/node/cold.go
+++ b/cmd/node/cold.go
@@ -33,7 +33,7 @@
 		return 0
 	}
 	until := row.coldUntil
-	if at, ok := n.emptied.ReturnedAt(row.replica.Hall); ok {
+	if at, ok := n.drainedHalls.ReturnedAt(row.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.Duration)
 	}
 	return until
@@ -42,17 +42,17 @@
 // allowsCold reports whether this instance may send a request to a cold replica of
 // a plain service now, given who takes requests; count counts it.
 func (n *Node) allowsCold(now time.Duration, s *catalog.Service, id string, instances []string, count bool) bool {
-	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.MaxPerSender(s.WarmUp.RequestsPerSecond))
+	quota := warmup.Quota(n.settings.Name, instances, id, n.warmUp.limit.MaxPerSender(s.WarmUp.RequestsPerSecond))
 	if quota == 0 {
 		return false
 	}
-	n.cold.mu.Lock()
-	defer n.cold.mu.Unlock()
-	if n.cold.window.NextAllowed(now, id, quota) > now {
+	n.warmUp.mu.Lock()
+	defer n.warmUp.mu.Unlock()
+	if n.warmUp.window.NextAllowed(now, id, quota) > now {
 		return false
 	}
 	if count {
-		n.cold.window.Record(now, id)
+		n.warmUp.window.Record(now, id)
 	}
 	return true
 }
@@ -61,7 +61,7 @@
 // what is known now: it may have waited since its replica was chosen. What goes
 // to a cold replica of a plain service is counted.
 func (n *Node) mayGet(s *catalog.Service, id string) bool {
-	if !n.replicaTakes(id) {
+	if !n.replicaAcceptsWork(id) {
 		return false
 	}
 	if s.WarmUp == nil || s.Engine != nil {
--- a/cmd/node/config_test.go
+++ b/cmd/node/config_test.go
@@ -12,9 +12,9 @@
 	"quinceroad/platform"
 )
 
-// Whatever versions come in whatever order, from the store and peers at once,
-// late, twice or broken, the one in force never falls and ends as the highest.
-func TestTheVersionInForceNeverFalls(t *testing.T) {
+// Versions arrive from the store and from peers concurrently, in any order, late, twice or
+// invalid. The version in force must never decrease and must end as the highest valid one.
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := New(&platform.Settings{Name: "n", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
 		versions := rapid.SliceOfN(rapid.IntRange(1, 30), 1, 60).Draw(t, "versions")
@@ -27,14 +27,14 @@
 					text = text[:len(text)/2]
 				}
 				n.offer([]byte(text), from)
-				now := n.version()
-				if now < last || !broken[i] && now < uint64(versions[i]) {
-					t.Errorf("%s offers %d, in force %d then %d", from, versions[i], last, now)
+				inForce := n.version()
+				if inForce < last || !broken[i] && inForce < uint64(versions[i]) {
+					t.Errorf("%s offers %d, in force %d then %d", from, versions[i], last, inForce)
 				}
 				if w := n.world.Load(); w.config != nil && w.config.Version < last {
 					t.Errorf("requests see %d after %d", w.config.Version, last)
 				}
-				last = now
+				last = inForce
 			}
 		}
 		var wait sync.WaitGroup
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestAnOlderConfigurationIsNotTaken(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n", Store: "127.0.0.1:1"}, hclog.NewNullLogger())
 	n.offer([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
--- a/cmd/node/counters.go
+++ b/cmd/node/counters.go
@@ -7,127 +7,129 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// counters are what the process counts beside its logs.
+// counters are the metrics of the process. The names under which they are
+// registered are stable.
 type counters struct {
-	registry      metrics.Registry
-	requests      metrics.Counter // taken from clients
-	attempts      metrics.Counter // sent to replicas
-	again         metrics.Counter // attempts after a request's first
-	connections   metrics.Counter // opened to replicas
-	calls         metrics.Counter // of pieces
-	pieces        metrics.Counter
-	lostCalls     metrics.Counter
-	jobs          metrics.Counter // admitted by this instance as an owner
-	jobsRefused   metrics.Counter
-	staged        metrics.Counter // milliseconds that stages took, of all jobs that were done
-	expected      metrics.Counter // milliseconds that these were expected to take
-	overran       metrics.Counter // jobs that took longer than expected
-	lentAsks      metrics.Counter // of owners in other regions, for requests that the own one did not take
-	lentRefused   metrics.Counter // of these
-	keptAsks      metrics.Counter // of owners in other regions, what is kept there of a prompt
-	keptFar       metrics.Counter // of these, that named an engine
-	farMoves      metrics.Counter // prompts that engines here fetch from other regions
-	farBytes      farBytes
-	farAttempts   metrics.Counter // sent to replicas in other regions
-	emptied       metrics.Counter // halls, as this instance learnt it
-	toldBusy      metrics.Counter // peers that were told to ask somebody else
-	logDropped    metrics.Counter
-	silences      metrics.Counter // of the store, as this instance heard it
-	givenUp       metrics.Counter // calls that a silent store had missed
-	brokenEntries metrics.Counter // of the list, that are no replica's own; each once until it is good or gone
-	livesOver     metrics.Counter // of replicas that have started again under their name
-	wakes         metrics.Counter // after suspensions of the machine
-	looks         metrics.Counter // at replicas, whether they have ended
-	condemned     metrics.Counter // requests that were not sent, as replicas have ended under them
-	noTurn        metrics.Counter // suspects that were refused while they were tried elsewhere
-	rests         metrics.Counter // that replicas asked for
-	paced         metrics.Counter // turns that were had at replicas which state a limit
-	pacedOut      metrics.Counter // asks for turns of which there was none
-	pacedAlone    metrics.Counter // turns of the own part of a limit, as nobody could be asked
-	wordsUnread   metrics.Counter // in answers of replicas, that nobody reads
+	registry            metrics.Registry
+	requests            metrics.Counter // requests accepted from clients
+	attempts            metrics.Counter // requests sent to replicas
+	retries             metrics.Counter // attempts after a request's first
+	connections         metrics.Counter // connections opened to replicas
+	batches             metrics.Counter // calls that carry items of stages
+	items               metrics.Counter // items in these calls
+	lostBatches         metrics.Counter
+	jobs                metrics.Counter // jobs admitted by this instance as an owner
+	jobsRefused         metrics.Counter
+	stageMillis         metrics.Counter // duration of the stages of all completed jobs, in milliseconds
+	expectedStageMillis metrics.Counter // expected duration of the same stages, in milliseconds
+	overrunJobs         metrics.Counter // jobs that took longer than expected
+	spilloverAsks       metrics.Counter // requests to owners in other regions, after the local owner refused
+	spilloverRefusals   metrics.Counter // of these, the refused ones
+	remoteCacheLookups  metrics.Counter // requests to owners in other regions for cached prompt prefixes
+	remoteCacheHits     metrics.Counter // of these, the ones that named an engine
+	remoteTransfers     metrics.Counter // prompt prefixes that engines here fetch from other regions
+	remoteBytes         remoteByteCounters
+	remoteAttempts      metrics.Counter // attempts at replicas in other regions
+	drainedHalls        metrics.Counter // drains of halls, as learned by this instance
+	busyReplies         metrics.Counter // replies that told a peer to ask another instance
+	logDropped          metrics.Counter
+	storeOutages        metrics.Counter // outages of the store, as observed by this instance
+	cancelledStoreCalls metrics.Counter // calls cancelled because the store was unresponsive when it got them
+	invalidEntries      metrics.Counter // invalid entries of the replica list; each counts once until it is valid or removed
+	replicaRestarts     metrics.Counter // replicas that restarted under the same name
+	resumes             metrics.Counter // resumes after suspensions of the machine
+	replicaProbes       metrics.Counter // probes whether a replica has ended
+	quarantined         metrics.Counter // requests refused because replicas crashed under them
+	trialsDenied        metrics.Counter // suspect requests refused because their trial ran elsewhere
+	backoffs            metrics.Counter // backoffs requested by replicas
+	sendGrants          metrics.Counter // grants received for replicas with a rate limit
+	sendGrantDenials    metrics.Counter // grant requests that were denied
+	localSendGrants     metrics.Counter // grants from this instance's own part of a limit, as no grantor could be reached
+	unknownFields       metrics.Counter // unknown fields in replicas' responses
 }
 
-// farBytes counts what this instance sends to other regions, and what it asks
-// for and gets from there, by kind: bodies of messages and answers.
-type farBytes struct {
-	heartbeats metrics.Counter
-	stages     metrics.Counter // questions to owners
-	kept       metrics.Counter // questions for kept prompts
-	pulls      metrics.Counter // configurations and lists of replicas, as received
-	requests   metrics.Counter // bodies sent to replicas
-	answers    metrics.Counter // bytes of answers passed on from there
+// remoteByteCounters count the bytes that this instance sends to other regions, and
+// those that it requests and receives from there, by kind: bodies of messages and
+// responses, without headers.
+type remoteByteCounters struct {
+	heartbeats   metrics.Counter
+	stages       metrics.Counter // requests to owners
+	cacheLookups metrics.Counter // requests for cached prefixes
+	pulls        metrics.Counter // received configurations and replica lists
+	requests     metrics.Counter // request bodies sent to replicas
+	answers      metrics.Counter // response bytes forwarded from there
 }
 
 func newCounters(r metrics.Registry) counters {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) }
 	return counters{
-		registry:    r,
-		requests:    counter("node.requests"),
-		attempts:    counter("node.attempts"),
-		again:       counter("node.attempts_again"),
-		connections: counter("node.connections"),
-		calls:       counter("node.calls"),
-		pieces:      counter("node.pieces"),
-		lostCalls:   counter("node.calls_lost"),
-		jobs:        counter("node.jobs"),
-		jobsRefused: counter("node.jobs_refused"),
-		staged:      counter("node.jobs_staged_ms"),
-		expected:    counter("node.jobs_expected_ms"),
-		overran:     counter("node.jobs_overran"),
-		lentAsks:    counter("node.regions.asks"),
-		lentRefused: counter("node.regions.asks_refused"),
-		keptAsks:    counter("node.regions.kept_asks"),
-		keptFar:     counter("node.regions.kept_found"),
-		farMoves:    counter("node.regions.moves"),
-		farBytes: farBytes{
-			heartbeats: counter("node.regions.bytes.heartbeats"),
-			stages:     counter("node.regions.bytes.stages"),
-			kept:       counter("node.regions.bytes.kept"),
-			pulls:      counter("node.regions.bytes.pulls"),
-			requests:   counter("node.regions.bytes.requests"),
-			answers:    counter("node.regions.bytes.answers"),
+		registry:            r,
+		requests:            counter("node.requests"),
+		attempts:            counter("node.attempts"),
+		retries:             counter("node.attempts_again"),
+		connections:         counter("node.connections"),
+		batches:             counter("node.calls"),
+		items:               counter("node.pieces"),
+		lostBatches:         counter("node.calls_lost"),
+		jobs:                counter("node.jobs"),
+		jobsRefused:         counter("node.jobs_refused"),
+		stageMillis:         counter("node.jobs_staged_ms"),
+		expectedStageMillis: counter("node.jobs_expected_ms"),
+		overrunJobs:         counter("node.jobs_overran"),
+		spilloverAsks:       counter("node.regions.asks"),
+		spilloverRefusals:   counter("node.regions.asks_refused"),
+		remoteCacheLookups:  counter("node.regions.kept_asks"),
+		remoteCacheHits:     counter("node.regions.kept_found"),
+		remoteTransfers:     counter("node.regions.moves"),
+		remoteBytes: remoteByteCounters{
+			heartbeats:   counter("node.regions.bytes.heartbeats"),
+			stages:       counter("node.regions.bytes.stages"),
+			cacheLookups: counter("node.regions.bytes.kept"),
+			pulls:        counter("node.regions.bytes.pulls"),
+			requests:     counter("node.regions.bytes.requests"),
+			answers:      counter("node.regions.bytes.answers"),
 		},
-		farAttempts:   counter("node.regions.attempts"),
-		emptied:       counter("node.halls_emptied"),
-		toldBusy:      counter("node.told_busy"),
-		logDropped:    counter("node.log_dropped"),
-		silences:      counter("node.store_silences"),
-		givenUp:       counter("node.store_calls_given_up"),
-		brokenEntries: counter("node.entries_broken"),
-		livesOver:     counter("node.lives_over"),
-		wakes:         counter("node.wakes"),
-		looks:         counter("node.quarantine.looks"),
-		condemned:     counter("node.quarantine.condemned"),
-		noTurn:        counter("node.quarantine.no_turn"),
-		rests:         counter("node.rests"),
-		paced:         counter("node.pace.turns"),
-		pacedOut:      counter("node.pace.none"),
-		pacedAlone:    counter("node.pace.alone"),
-		wordsUnread:   counter("node.words_unread"),
+		remoteAttempts:      counter("node.regions.attempts"),
+		drainedHalls:        counter("node.halls_emptied"),
+		busyReplies:         counter("node.told_busy"),
+		logDropped:          counter("node.log_dropped"),
+		storeOutages:        counter("node.store_silences"),
+		cancelledStoreCalls: counter("node.store_calls_given_up"),
+		invalidEntries:      counter("node.entries_broken"),
+		replicaRestarts:     counter("node.lives_over"),
+		resumes:             counter("node.wakes"),
+		replicaProbes:       counter("node.quarantine.looks"),
+		quarantined:         counter("node.quarantine.condemned"),
+		trialsDenied:        counter("node.quarantine.no_turn"),
+		backoffs:            counter("node.rests"),
+		sendGrants:          counter("node.pace.turns"),
+		sendGrantDenials:    counter("node.pace.none"),
+		localSendGrants:     counter("node.pace.alone"),
+		unknownFields:       counter("node.words_unread"),
 	}
 }
 
-// stated sets the gauges of how many replicas of each service have stated
-// something that holds.
-func (c *counters) stated(what string, by map[string]int64) {
-	prefix := "node.replicas_" + what + "."
+// setReplicaGauges sets the gauges of how many replicas of each service are in a
+// state that they announced themselves.
+func (c *counters) setReplicaGauges(state string, byService map[string]int64) {
+	prefix := "node.replicas_" + state + "."
 	c.registry.Each(func(name string, m any) {
-		if service, ok := strings.CutPrefix(name, prefix); ok && by[service] == 0 {
+		if service, ok := strings.CutPrefix(name, prefix); ok && byService[service] == 0 {
 			m.(metrics.Gauge).Update(0)
 		}
 	})
-	for service, count := range by {
+	for service, count := range byService {
 		metrics.GetOrRegisterGauge(prefix+service, c.registry).Update(count)
 	}
 }
 
-// held sets the gauge of how many customers are held to a share of how many of a
-// cell's pools.
-func (c *counters) held(cell, count int) {
+// setThrottled sets the gauge of throttled customers of a cell, counted once for
+// each pool that throttles them.
+func (c *counters) setThrottled(cell, count int) {
 	metrics.GetOrRegisterGauge("node.customers_held."+strconv.Itoa(cell), c.registry).Update(int64(count))
 }
 
-// status returns the counter of answers with that status.
-func (c *counters) status(code int) metrics.Counter {
+// answers returns the counter of responses with an HTTP status.
+func (c *counters) answers(code int) metrics.Counter {
 	return metrics.GetOrRegisterCounter("node.answers."+strconv.Itoa(code), c.registry)
 }
--- a/cmd/node/end.go
+++ b/cmd/node/end.go
@@ -18,7 +18,7 @@
 	if errors.Is(err, errLeft) {
 		panic(http.ErrAbortHandler)
 	}
-	if errors.Is(err, errCondemned) { // final: no refusal, which would invite to come again
+	if errors.Is(err, errQuarantined) { // final: no refusal, which would invite to come again
 		s.node.answerOwn(s.w, s.req, &answerError{status: http.StatusBadRequest, text: err.Error()})
 		return
 	}
@@ -41,7 +41,7 @@
 		if failed.why == pipeline.ReasonBackoff || failed.why == pipeline.ReasonShare {
 			after += spreadReturn()
 		}
-	case errors.Is(err, errEmptied), errors.Is(err, errCold), errors.Is(err, errNoRegion), errors.Is(err, errNoTurn):
+	case errors.Is(err, errEmptied), errors.Is(err, errCold), errors.Is(err, errNoRegion), errors.Is(err, errNoTrial):
 		after = backLater
 	}
 	left := s.req.Deadline - s.since()
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -8,12 +8,12 @@
 	"quinceroad/protocol/pb"
 )
 
-// empty takes in news of which halls are being emptied, by the store's or a
-// peer's word, and puts what they change into force at once.
-func (n *Node) empty(from string, take func(now time.Duration, v *evacuation.View) []evacuation.Change) {
+// changeDrainedHalls applies changes of the drained halls, from the store or a peer,
+// publishes a new world and announces the changes.
+func (n *Node) changeDrainedHalls(from string, apply func(now time.Duration, v *evacuation.View) []evacuation.Change) {
 	n.followMu.Lock()
-	changes := take(n.now(), n.emptied)
-	revision := n.emptied.Revision()
+	changes := apply(n.now(), n.drainedHalls)
+	revision := n.drainedHalls.Revision()
 	n.followMu.Unlock()
 	if len(changes) == 0 {
 		return
@@ -21,7 +21,7 @@
 	n.publish()
 	for _, c := range changes {
 		if c.Drained {
-			n.counters.emptied.Inc(1)
+			n.counters.drainedHalls.Inc(1)
 			event.NodeHallEmptied.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
 			continue
 		}
@@ -33,37 +33,38 @@
 	}
 }
 
-// emptiedNews is what this instance tells others of the halls.
-func (n *Node) emptiedNews() *pb.Evacuations {
+// evacuationUpdate returns the drained halls for heartbeats.
+func (n *Node) evacuationUpdate() *pb.Evacuations {
 	n.followMu.Lock()
-	news := n.emptied.Update(n.now())
+	update := n.drainedHalls.Update(n.now())
 	n.followMu.Unlock()
-	out := &pb.Evacuations{Revision: news.Revision, Emptied: news.Drained}
-	for _, r := range news.Returned {
+	out := &pb.Evacuations{Revision: update.Revision, Emptied: update.Drained}
+	for _, r := range update.Returned {
 		out.Returned = append(out.Returned, &pb.ReturnedHall{Hall: r.Hall, AgoMs: uint32(r.Age.Milliseconds())})
 	}
 	return out
 }
 
-// takeEmptied takes in what a peer tells of the halls.
-func (n *Node) takeEmptied(from string, e *pb.Evacuations) {
+// mergeEvacuations merges a peer's drained halls.
+func (n *Node) mergeEvacuations(from string, e *pb.Evacuations) {
 	if e == nil {
 		return
 	}
-	news := evacuation.Update{Revision: e.Revision, Drained: e.Emptied}
+	update := evacuation.Update{Revision: e.Revision, Drained: e.Emptied}
 	for _, r := range e.Returned {
-		news.Returned = append(news.Returned, evacuation.Return{Hall: r.Hall, Age: time.Duration(r.AgoMs) * time.Millisecond})
+		update.Returned = append(update.Returned, evacuation.Return{Hall: r.Hall, Age: time.Duration(r.AgoMs) * time.Millisecond})
 	}
-	n.empty(from, func(now time.Duration, v *evacuation.View) []evacuation.Change { return v.Merge(now, news) })
+	n.changeDrainedHalls(from, func(now time.Duration, v *evacuation.View) []evacuation.Change { return v.Merge(now, update) })
 }
 
-// replicaTakes reports whether a replica may get new work, by what is known now.
-func (n *Node) replicaTakes(id string) bool {
+// replicaAcceptsWork reports whether a replica may get new work, by the newest
+// information, which may be newer than the published world.
+func (n *Node) replicaAcceptsWork(id string) bool {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
-	if _, leaving := n.replicas.signs[id]; leaving || n.statements.hasLeft(id) {
+	if _, draining := n.replicas.signs[id]; draining || n.advisories.hasLeft(id) {
 		return false
 	}
-	row, known := n.replicas.lives[id]
-	return !known || row.replica.AcceptsWork() && !n.emptied.IsDrained(row.replica.Hall) && !n.rollouts.withholds(&row.replica)
+	row, listed := n.replicas.lives[id]
+	return !listed || row.replica.AcceptsWork() && !n.drainedHalls.IsDrained(row.replica.Hall) && !n.rollouts.withholdsWork(&row.replica)
 }
--- a/cmd/node/far.go
+++ b/cmd/node/far.go
@@ -111,8 +111,8 @@
 	for _, p := range shared {
 		ask.Parts = append(ask.Parts, &pb.PromptPart{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
-	n.counters.keptAsks.Inc(1)
-	n.counters.farBytes.kept.Inc(int64(proto.Size(ask)))
+	n.counters.remoteCacheLookups.Inc(1)
+	n.counters.remoteBytes.cacheLookups.Inc(int64(proto.Size(ask)))
 	reply := &pb.KeptReply{}
 	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, farFor)
 	n.noteHeard(region, err == nil)
@@ -121,26 +121,26 @@
 		return placement.CachedPrefix{}
 	}
 	if reply.Tokens > 0 {
-		n.counters.keptFar.Inc(1)
+		n.counters.remoteCacheHits.Inc(1)
 	}
 	return placement.CachedPrefix{Address: reply.Address, Tokens: int(reply.Tokens)}
 }
 
 func (n *Node) silentRegion(region string) bool {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
-	return n.lending.short.IsUnresponsive(n.now(), region)
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
+	return n.spillover.short.IsUnresponsive(n.now(), region)
 }
 
 // noteHeard takes in whether a region answered.
 func (n *Node) noteHeard(region string, heard bool) {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	if heard {
-		n.lending.short.RecordAnswer(region)
+		n.spillover.short.RecordAnswer(region)
 		return
 	}
-	n.lending.short.RecordNoAnswer(n.now(), region)
+	n.spillover.short.RecordNoAnswer(n.now(), region)
 }
 
 // answerKept tells another region's owner what engines of a cell keep.
--- a/cmd/node/follow.go
+++ b/cmd/node/follow.go
@@ -65,7 +65,7 @@
 	heard := false      // the store has answered this reader, and has not failed it since
 	for ctx.Err() == nil {
 		switch {
-		case f.known() && !n.reads.Load():
+		case f.known() && !n.isReader.Load():
 			heard = false
 			process.Pause(ctx, roleLook)
 			continue
@@ -88,7 +88,7 @@
 			}
 			continue
 		case errors.Is(err, errMissed):
-			n.counters.givenUp.Inc(1)
+			n.counters.cancelledStoreCalls.Inc(1)
 			event.NodeStoreGivenUp.Log(n.log, "topic", f.name, "waited", waited)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
@@ -203,7 +203,7 @@
 // knows nothing, waits for the news of those that read for others.
 func (n *Node) leavesFirstRead() bool {
 	n.takeRole(n.alive())
-	start := readers.Startup{Age: n.now(), KnowsPeers: n.met(), IsReader: n.reads.Load(), Jitter: n.spread}
+	start := readers.Startup{Age: n.now(), KnowsPeers: n.met(), IsReader: n.isReader.Load(), Jitter: n.jitter}
 	return !start.ShouldRead()
 }
 
@@ -223,7 +223,7 @@
 		return
 	}
 	reads := readers.IsReader(n.settings.Name, alive)
-	if n.reads.Swap(reads) == reads {
+	if n.isReader.Swap(reads) == reads {
 		return
 	}
 	n.gossipMu.Lock()
--- a/cmd/node/front.go
+++ b/cmd/node/front.go
@@ -131,7 +131,7 @@
 		platform.SetRetryAfter(w.Header(), own.after)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	n.counters.status(own.status).Inc(1)
+	n.counters.answers(own.status).Inc(1)
 	w.WriteHeader(own.status)
 	_, _ = io.WriteString(w, own.text+"\n")
 }
--- a/cmd/node/held.go
+++ b/cmd/node/held.go
@@ -42,5 +42,5 @@
 		}
 	}
 	c.held = held
-	c.owner.node.counters.held(c.number, len(held))
+	c.owner.node.counters.setThrottled(c.number, len(held))
 }
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -21,7 +21,7 @@
 	switch {
 	case h.Unclear != "":
 		n.noteUnread(from.service, h.Unclear, "answer")
-	case h.Limit.Stated, !from.aside && n.statements.paced.Load():
+	case h.Limit.Stated, !from.aside && n.advisories.paced.Load():
 		n.hearLimit(pace.Report{Incarnation: from.life, Limit: h.Limit}, itsOwn)
 	}
 }
@@ -31,7 +31,7 @@
 func (n *Node) hearLimit(w pace.Report, by string) {
 	var was pace.Limit
 	change, isNoted := pace.Unchanged, false
-	n.statements.withPaces(func(b *pace.Tracker) {
+	n.advisories.withPaces(func(b *pace.Tracker) {
 		was = b.Limit(w.Incarnation)
 		change = b.Record(n.now(), w)
 		isNoted = change != pace.Unchanged && b.ShouldLog(n.now(), w.Incarnation)
@@ -78,7 +78,7 @@
 // limitWord is what this instance knows of a replica's limit, as it is told.
 func (n *Node) limitWord(life string) *pb.ReplicaLimit {
 	out := &pb.ReplicaLimit{Id: life}
-	n.statements.withPaces(func(b *pace.Tracker) {
+	n.advisories.withPaces(func(b *pace.Tracker) {
 		for _, w := range b.Reports(n.now(), life) {
 			out = limitOf(w)
 		}
@@ -89,7 +89,7 @@
 // limitNews returns what is worth telling others of limits.
 func (n *Node) limitNews() []*pb.ReplicaLimit {
 	var out []*pb.ReplicaLimit
-	n.statements.withPaces(func(b *pace.Tracker) {
+	n.advisories.withPaces(func(b *pace.Tracker) {
 		for _, w := range b.Updates(n.now(), freshLimit, mostLimits) {
 			out = append(out, limitOf(w))
 		}
@@ -134,7 +134,7 @@
 
 // sweepLimits takes in what time and views have changed of limits.
 func (n *Node) sweepLimits() {
-	s := n.statements
+	s := n.advisories
 	was := s.unlimited
 	s.withPaces(func(b *pace.Tracker) { s.unlimited = b.Empty() })
 	if s.unlimited && was {
@@ -162,14 +162,14 @@
 		keeps := who.isSelf(&r)
 		s.withPaces(func(b *pace.Tracker) { b.SetGrantor(now, life, keeps) })
 	}
-	n.counters.stated("limited", limited)
+	n.counters.setReplicaGauges("limited", limited)
 }
 
 // limitedStates tells, for the dump, what replicas state that they take and who
 // gives their turns.
 func (n *Node) limitedStates(w *world) map[string]string {
 	var limited map[string]float64
-	n.statements.withPaces(func(b *pace.Tracker) { limited = b.Limits() })
+	n.advisories.withPaces(func(b *pace.Tracker) { limited = b.Limits() })
 	who := n.keepers()
 	out := make(map[string]string, len(limited))
 	for life, perSecond := range limited {
--- a/cmd/node/lives.go
+++ b/cmd/node/lives.go
@@ -7,55 +7,58 @@
 	"quinceroad/state/catalog"
 )
 
-// running keeps what this instance runs at replicas, by life, so that it can be
-// ended when that life is over: the connection may be silent for good.
-type running struct {
-	mu   sync.Mutex
-	ends map[string]map[*func()]struct{}
+// requestRegistry holds the requests of this instance in flight at replicas, by
+// incarnation, so that they can be cancelled when the incarnation has ended. Their
+// connections may otherwise never report an error.
+type requestRegistry struct {
+	mu      sync.Mutex
+	cancels map[string]map[*func()]struct{}
 }
 
-func newRunning() *running { return &running{ends: make(map[string]map[*func()]struct{})} }
+func newRequestRegistry() *requestRegistry {
+	return &requestRegistry{cancels: make(map[string]map[*func()]struct{})}
+}
 
-// begin notes that something runs in a life of a replica; end is called when
-// that life is over. The returned function says that it runs no more.
-func (r *running) begin(life string, end func()) (done func()) {
+// add registers a request at an incarnation of a replica. cancel is called when the
+// incarnation has ended. The returned function removes the request.
+func (r *requestRegistry) add(incarnation string, cancel func()) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ends[life] == nil {
-		r.ends[life] = make(map[*func()]struct{})
+	if r.cancels[incarnation] == nil {
+		r.cancels[incarnation] = make(map[*func()]struct{})
 	}
-	r.ends[life][&end] = struct{}{}
+	r.cancels[incarnation][&cancel] = struct{}{}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.ends[life], &end)
-		if len(r.ends[life]) == 0 {
-			delete(r.ends, life)
+		delete(r.cancels[incarnation], &cancel)
+		if len(r.cancels[incarnation]) == 0 {
+			delete(r.cancels, incarnation)
 		}
 	}
 }
 
-// over ends what runs in a life, and returns how much that was.
-func (r *running) over(life string) int {
+// cancel cancels the requests at an incarnation and returns their number.
+func (r *requestRegistry) cancel(incarnation string) int {
 	r.mu.Lock()
-	var all []func()
-	for end := range r.ends[life] {
-		all = append(all, *end)
+	var cancels []func()
+	for cancel := range r.cancels[incarnation] {
+		cancels = append(cancels, *cancel)
 	}
 	r.mu.Unlock()
-	for _, end := range all {
-		end()
+	for _, cancel := range cancels {
+		cancel()
 	}
-	return len(all)
+	return len(cancels)
 }
 
-// livesOver takes in that replicas have started again under their names: what
-// ran there is lost, and is known to be at once.
-func (n *Node) livesOver(replicas []catalog.Replica) {
+// handleRestarts handles replicas that restarted under the same name: requests that
+// ran in the previous incarnation are lost and are cancelled at once.
+func (n *Node) handleRestarts(replicas []catalog.Replica) {
 	for _, r := range replicas {
-		n.counters.livesOver.Inc(1)
+		n.counters.replicaRestarts.Inc(1)
 		n.lifeOver(r.ID)
 		n.clients.Drop(r.Address)
-		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.running.over(r.ID))
+		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.activeRequests.cancel(r.ID))
 	}
 }
--- a/cmd/node/look.go
+++ b/cmd/node/look.go
@@ -31,7 +31,7 @@
 // they were sent so long after the process began, and has it looked at.
 func (n *Node) brokeOff(r *catalog.Replica, sent time.Duration, requests ...quarantine.Fingerprint) *look {
 	life := n.quarantine.lifeAt(r.ID, sent)
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
 		for _, f := range requests {
 			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(life))...)
 		}
@@ -58,7 +58,7 @@
 // may be to blame: who sends one and leaves at once must not go unnoticed.
 func (n *Node) endedUnfinished(replica string, sent time.Duration, f quarantine.Fingerprint) {
 	life := quarantine.IncarnationOf(n.quarantine.lifeAt(replica, sent))
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordBroken(now, f, life)
 	})
 }
@@ -72,7 +72,7 @@
 
 // lifeAt names the life that a replica was in at a time: the listed one, or one
 // after it that the list has not told of yet.
-func (q *quarantined) lifeAt(listed string, at time.Duration) string {
+func (q *quarantineTracker) lifeAt(listed string, at time.Duration) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
@@ -92,14 +92,14 @@
 	return listed + "+" + strconv.Itoa(after)
 }
 
-func (q *quarantined) hasEnded(life string) bool {
+func (q *quarantineTracker) hasEnded(life string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.HasEnded(quarantine.IncarnationOf(life))
+	return q.tracker.HasEnded(quarantine.IncarnationOf(life))
 }
 
 // sawEnd counts the end of a life, unless it is known.
-func (q *quarantined) sawEnd(now time.Duration, listed, life string) {
+func (q *quarantineTracker) sawEnd(now time.Duration, listed, life string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
@@ -118,12 +118,12 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.looks[life]
+	l := q.probes[life]
 	if l != nil && n.now()-l.began < lookHolds {
 		return l
 	}
 	l = &look{life: life, done: make(chan struct{}), began: n.now()}
-	q.looks[life] = l
+	q.probes[life] = l
 	go n.lookAt(*r, l)
 	return l
 }
@@ -133,21 +133,21 @@
 func (n *Node) lookAt(r catalog.Replica, l *look) {
 	defer close(l.done)
 	life := l.life
-	n.counters.looks.Inc(1)
+	n.counters.replicaProbes.Inc(1)
 	err := n.lookOnce(r.Address)
 	for tries := 1; errors.Is(err, errNotLasting) && tries < mostLooks; tries++ {
 		err = n.lookOnce(r.Address)
 	}
 	switch {
 	case err == nil, errors.Is(err, errNotLasting):
-		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
+		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
 			b.RecordConnection(quarantine.IncarnationOf(life))
 			return nil
 		})
 	case errors.Is(err, syscall.ECONNREFUSED):
 		event.NodeReplicaEnded.Log(n.log, "replica", life, "service", r.Service, "sign", "its port refuses")
 		n.quarantine.sawEnd(n.now(), r.ID, life)
-		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 			return b.RecordEnd(now, quarantine.IncarnationOf(life))
 		})
 	}
@@ -172,7 +172,7 @@
 // lifeOver takes in that a replica has begun another life.
 func (n *Node) lifeOver(listed string) {
 	life := n.quarantine.lifeAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordEnd(now, quarantine.IncarnationOf(life))
 	})
 }
@@ -181,7 +181,7 @@
 // that it would leave.
 func (n *Node) gone(listed string) {
 	life := n.quarantine.lifeAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordRemoval(now, quarantine.IncarnationOf(life))
 	})
 }
--- a/cmd/node/main.go
+++ b/cmd/node/main.go
@@ -17,21 +17,21 @@
 	"quinceroad/transport/logsink"
 )
 
-// memoryShare is the part of an instance's memory that the process may fill
-// before it collects garbage at any price.
-const memoryShare = 0.5
+// memoryLimitShare is the share of an instance's memory that becomes the garbage
+// collector's soft memory limit.
+const memoryLimitShare = 0.5
 
-// collectAt is how far, in hundredths, the heap may grow between collections.
-const collectAt = 60
+// gcPercent is the heap growth, in percent, that triggers a garbage collection.
+const gcPercent = 60
 
 const bytesPerMB = 1 << 20
 
 const (
-	queuedLines = 2000                   // of the log, that wait for their reader
-	closeLogFor = 100 * time.Millisecond // that the last lines of the log may take
+	logQueueLines   = 2000                   // log lines that may wait to be written
+	logCloseTimeout = 100 * time.Millisecond // time to write the remaining log lines at exit
 )
 
-// Main is the main function of quince-node; it returns the exit code.
+// Main runs quince-node and returns its exit code.
 func Main(args []string) int {
 	flags := flag.NewFlagSet("quince-node", flag.ContinueOnError)
 	check := flags.Bool("check", false, "check the settings and exit")
@@ -60,16 +60,16 @@
 		fmt.Println("the settings are good")
 		return process.ExitOK
 	}
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(settings.MemoryMB * memoryShare * bytesPerMB))
-	sink := logsink.New(os.Stderr, queuedLines)
-	defer sink.Close(closeLogFor)
-	n := New(settings, logger(settings, *level, sink))
-	n.dropped = sink.Dropped
-	return run(n)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(settings.MemoryMB * memoryLimitShare * bytesPerMB))
+	sink := logsink.New(os.Stderr, logQueueLines)
+	defer sink.Close(logCloseTimeout)
+	n := New(settings, newLogger(settings, *level, sink))
+	n.droppedLines = sink.Dropped
+	return serveUntilStopped(n)
 }
 
-func logger(s *platform.Settings, level string, w io.Writer) hclog.Logger {
+func newLogger(s *platform.Settings, level string, w io.Writer) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:   "node",
 		Level:  hclog.LevelFromString(level),
@@ -77,8 +77,9 @@
 	}).With("instance", s.Name)
 }
 
-// run serves until a stop signal; a reload signal reads the settings again.
-func run(n *Node) int {
+// serveUntilStopped runs the node until SIGTERM or SIGINT. SIGHUP reloads the
+// settings. It returns the exit code.
+func serveUntilStopped(n *Node) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	if err := n.Start(); err != nil {
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -63,7 +63,7 @@
 	n.gossipMu.Lock()
 	to, m := n.members.Round(n.now(), newRandom())
 	n.gossipMu.Unlock()
-	n.send(to, m, n.speedsToTell(false), n.quarantineNews())
+	n.send(to, m, n.speedsToTell(false), n.quarantineUpdate())
 }
 
 // tellHall tells every instance of the own hall what this one knows.
@@ -110,8 +110,8 @@
 	}
 	leaving, said := n.leavingNews()
 	h := &pb.Heartbeat{
-		Leaving: leaving, LeavingStated: uint32(said), Sick: n.sick(), Changed: n.listChanged(), Evacuations: n.emptiedNews(),
-		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
+		Leaving: leaving, LeavingStated: uint32(said), Sick: n.sick(), Changed: n.listChanged(), Evacuations: n.evacuationUpdate(),
+		Rollouts: n.rolloutUpdate(), Speeds: speeds, Quarantine: cases, Limits: n.limitNews(),
 	}
 	for _, i := range m.Entries {
 		h.News = append(h.News, newsOf(i))
@@ -128,7 +128,7 @@
 	for _, addr := range to {
 		n.socket.Send(addr, b)
 		if n.isFarAddress(addr) {
-			n.counters.farBytes.heartbeats.Inc(int64(len(b)))
+			n.counters.remoteBytes.heartbeats.Inc(int64(len(b)))
 		}
 	}
 }
@@ -137,10 +137,10 @@
 const mostSickTold = 16
 
 func (n *Node) sick() []*pb.SickReplica {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	var out []*pb.SickReplica
-	for id, left := range n.judge.LocallyEjected(n.now()) {
+	for id, left := range n.detector.LocallyEjected(n.now()) {
 		for _, word := range n.spokenAll([]string{id}) {
 			if len(out) < mostSickTold {
 				out = append(out, &pb.SickReplica{Id: word, LeftMs: uint32(left.Milliseconds())})
@@ -154,10 +154,10 @@
 func (n *Node) pausedReplicas() map[string]bool {
 	w, now := n.world.Load(), n.now()
 	out := make(map[string]bool)
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	for _, r := range w.all {
-		if n.judge.IsEjected(now, r.ID) {
+		if n.detector.IsEjected(now, r.ID) {
 			out[r.ID] = true
 		}
 	}
@@ -205,10 +205,10 @@
 		n.tell()
 	}
 	if len(fresh) > 0 {
-		n.send(fresh, known, n.speedsToTell(true), n.allOfQuarantine()) // who has just started learns of the others at once
+		n.send(fresh, known, n.speedsToTell(true), n.quarantineSnapshot()) // who has just started learns of the others at once
 	}
-	n.takeEmptied(senderOf(h), h.Evacuations)
-	n.takeRollouts(h)
+	n.mergeEvacuations(senderOf(h), h.Evacuations)
+	n.mergeRollouts(h)
 	n.catchUp(now, h)
 	for i, id := range h.Leaving {
 		life, ok := n.lifeToldBy(h, id)
@@ -222,7 +222,7 @@
 	}
 	n.takeHearsay(now, h)
 	n.takeSpeeds(h.Speeds)
-	n.takeQuarantine(h.Quarantine)
+	n.mergeQuarantine(h.Quarantine)
 	n.takeLimits(senderOf(h), h.Limits)
 }
 
@@ -253,19 +253,19 @@
 // takeHearsay takes in which replicas a peer leaves alone.
 func (n *Node) takeHearsay(now time.Duration, h *pb.Heartbeat) {
 	var fresh []string
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	for _, s := range h.Sick {
 		id, ok := n.lifeToldBy(h, s.Id)
 		if !ok {
 			continue
 		}
-		before := n.judge.IsEjected(now, id)
-		n.judge.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
-		if !before && n.judge.IsEjected(now, id) {
+		before := n.detector.IsEjected(now, id)
+		n.detector.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
+		if !before && n.detector.IsEjected(now, id) {
 			fresh = append(fresh, id)
 		}
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	for _, id := range fresh {
 		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", "hearsay", "by", h.News[0].Name)
 	}
@@ -311,7 +311,7 @@
 	case frame.Kept:
 		_ = frame.Write(stream, frame.Reply, n.answerKept(first))
 	case frame.Trial:
-		n.arbitrate(first, stream)
+		n.serveTrial(first, stream)
 	case frame.Pace:
 		_ = frame.Write(stream, frame.Reply, n.answerPace(first, stream.RemoteAddr().String()))
 	case frame.Stages:
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -1,6 +1,7 @@
-// Package node is an instance's one process on the users' platform: it answers
-// clients, follows the configuration and the replicas, keeps touch with the
-// other instances, and owns pools when it is their turn. All instances are alike.
+// Package node is the single process of an instance on the platform. It serves
+// clients, watches the configuration and the replicas, exchanges heartbeats with
+// the other instances, and schedules the pools that it owns. All instances run the
+// same code.
 package node
 
 import (
@@ -35,107 +36,107 @@
 	"quinceroad/transport/web"
 )
 
-// Node is the process. Locks are taken in the order in which they stand here,
-// and nobody is called while one is held.
+// Node is the process of an instance. Locks are acquired in the order of these
+// fields. No remote call is made while one is held.
 type Node struct {
-	settings *platform.Settings       // as at the start; the seeds may change
-	seeds    atomic.Pointer[[]string] // IP:port of some instances' links, which may be gone
-	log      hclog.Logger
-	store    store
-	links    *link.Pool
-	traffic  link.Traffic
-	clients  *upstream.Client // of replicas
-	registry metrics.Registry
-	counters counters
-	clock    *clock.Clock // counts time asleep
-	places   *regions.Map
-	home     string                          // this instance's region
-	unplaced sync.Map                        // halls that a log line has said to be of no region
-	farHosts atomic.Pointer[map[string]bool] // of instances in other regions; nil: none is known
+	settings        *platform.Settings       // settings at startup; the seeds may change later
+	seeds           atomic.Pointer[[]string] // IP:port of the peer servers of some instances; they may no longer exist
+	log             hclog.Logger
+	store           store
+	links           *link.Pool
+	traffic         link.Traffic
+	clients         *upstream.Client // clients of replicas
+	registry        metrics.Registry
+	counters        counters
+	clock           *clock.Clock // includes the time during which the machine was suspended
+	places          *regions.Map
+	home            string                          // region of this instance
+	regionlessHalls sync.Map                        // halls without a region that have been logged
+	remoteHosts     atomic.Pointer[map[string]bool] // hosts of instances in other regions; nil: none known
 
-	world atomic.Pointer[world] // what requests are served from; never changed once set
+	world atomic.Pointer[world] // current snapshot for requests; a published world is immutable
 
-	followMu  sync.Mutex // guards what is followed, before it becomes a world
-	config    *catalog.Configuration
-	rawConfig *rawConfig
-	replicas  *replicaSet
-	emptied   *evacuation.View
+	followMu     sync.Mutex // guards the watched data from which a world is built
+	config       *catalog.Configuration
+	rawConfig    *rawConfig
+	replicas     *replicaSet
+	drainedHalls *evacuation.View
 
-	spread      float64     // 0 to 1, by its name: for what not all instances should do at the same moment
-	reads       atomic.Bool // this instance follows the store for others
-	storeFailed atomic.Bool // a call to the store has failed since the start
-	pulse       *pulse
-	configPull  pull
-	listPull    pull
-	telling     telling
+	jitter       float64     // 0 to 1, derived from the name, so that instances do not all act at the same moment
+	isReader     atomic.Bool // this instance watches the store on behalf of others
+	storeFailed  atomic.Bool // a call to the store has failed since startup
+	storeMonitor *pulse
+	configPull   pull
+	listPull     pull
+	peerUpdates  telling
 
 	gossipMu sync.Mutex
 	members  *gossip.View
 
-	speeds speeds // has a lock of its own
+	speeds speeds // has its own lock
 
-	cold     *coldness // has a lock of its own, which is taken last
-	rollouts *rollouts // the same
+	warmUp   *coldness // has its own lock, which is acquired last
+	rollouts *rollouts // has its own lock, which is acquired last
 
-	running    *running       // has a lock of its own, under which no other is taken
-	quarantine *quarantined   // has a lock of its own, under which no other is taken
-	statements *statements    // the same
-	level      fleetLevel     // the same
-	customers  customerCounts // the same
+	activeRequests *requestRegistry   // has its own lock; no other is acquired under it
+	quarantine     *quarantineTracker // has its own lock; no other is acquired under it
+	advisories     *statements        // has its own lock; no other is acquired under it
+	level          fleetLevel         // has its own lock; no other is acquired under it
+	customers      customerCounts     // has its own lock; no other is acquired under it
 
-	judgeMu   sync.Mutex
-	judge     *health.Detector
-	loads     *balancer.Table
-	rates     map[string]*serviceRates
-	lending   lending
-	deadlines deadlines
+	detectorMu sync.Mutex
+	detector   *health.Detector
+	loads      *balancer.Table
+	rates      map[string]*serviceRates
+	spillover  lending
+	deadlines  deadlines
 
 	owner *owner
 
-	stopping  atomic.Bool  // a stop signal came
-	stopBegan atomic.Int64 // when, as a time since the process began
-	stopPlan  shutdown.Plan
-	inFlight  atomic.Int64
-	socket    *datagram.Socket
-	peers     *link.Server
-	listeners listeners
-	admin     *web.Server
-	dropped   func() int64 // log lines, so far; nil: none are
-	told      int64        // dropped lines that were logged
-	cancel    context.CancelFunc
-	group     *errgroup.Group
+	stopping     atomic.Bool  // a stop was requested
+	stopStarted  atomic.Int64 // start of the stop, as nanoseconds since the process started
+	stopPlan     shutdown.Plan
+	inFlight     atomic.Int64
+	socket       *datagram.Socket
+	peerServer   *link.Server
+	listeners    listeners
+	admin        *web.Server
+	droppedLines func() int64 // log lines dropped so far; nil: the log drops none
+	loggedDrops  int64        // dropped lines that were counted and logged
+	cancel       context.CancelFunc
+	group        *errgroup.Group
 }
 
-// New returns a process that is not started.
+// New returns a node that is not started.
 func New(s *platform.Settings, log hclog.Logger) *Node {
 	return NewWithClock(s, log, clock.New())
 }
 
-// NewWith returns a process that goes by a clock.
+// NewWithClock returns a node that is not started and uses the given clock.
 func NewWithClock(s *platform.Settings, log hclog.Logger, c *clock.Clock) *Node {
 	n := &Node{
-		settings:   s,
-		log:        log,
-		store:      platform.NewStore(s.Store),
-		clients:    upstream.WithClock(c),
-		registry:   metrics.NewRegistry(),
-		clock:      c,
-		places:     regions.New(s.Regions),
-		replicas:   newReplicaSet(),
-		emptied:    evacuation.New(),
-		cold:       newColdness(s),
-		rollouts:   newRollouts(s),
-		running:    newRunning(),
-		quarantine: newQuarantined(spreadOf(s.Name)),
-		statements: newStatements(),
-		pulse:      newPulse(),
-		spread:     spreadOf(s.Name),
-		judge:      health.New(health.DefaultOptions()),
-		loads:      balancer.NewTable(),
-		rates:      make(map[string]*serviceRates),
-		deadlines:  make(deadlines),
-		lending:    newLending(),
-		stopPlan:   shutdown.NewPlan(s.StopFor),
+		settings:       s,
+		log:            log,
+		store:          platform.NewStore(s.Store),
+		clients:        upstream.WithClock(c),
+		registry:       metrics.NewRegistry(),
+		clock:          c,
+		places:         regions.New(s.Regions),
+		replicas:       newReplicaSet(),
+		drainedHalls:   evacuation.New(),
+		warmUp:         newColdness(s),
+		rollouts:       newRollouts(s),
+		activeRequests: newRequestRegistry(),
+		quarantine:     newQuarantineTracker(jitterOf(s.Name)),
+		advisories:     newStatements(),
+		storeMonitor:   newPulse(),
+		jitter:         jitterOf(s.Name),
+		detector:       health.New(health.DefaultOptions()),
+		loads:          balancer.NewTable(),
+		rates:          make(map[string]*serviceRates),
+		deadlines:      make(deadlines),
+		spillover:      newLending(),
+		stopPlan:       shutdown.NewPlan(s.StopFor),
 	}
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
@@ -158,20 +159,20 @@
 	return n
 }
 
-// spreadOf places an instance between 0 and 1 by its name.
-func spreadOf(name string) float64 { return float64(platform.Hash(name)%1000) / 1000 }
+// jitterOf derives a number from 0 to 1 from an instance's name.
+func jitterOf(name string) float64 { return float64(platform.Hash(name)%1000) / 1000 }
 
-// now is the time since the process began, which the decisions are given.
+// now returns the time since the process started. All decisions are made by this clock.
 func (n *Node) now() time.Duration { return n.clock.Now() }
 
-// Start listens and begins to follow the store and the peers.
+// Start listens and starts to watch the store and to exchange heartbeats with peers.
 func (n *Node) Start() error {
 	socket, err := datagram.Listen(n.members.Self().HeartbeatAddress)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	n.socket = socket
-	if n.peers, err = link.Listen(n.settings.Link, n.serveLink, &n.traffic); err != nil {
+	if n.peerServer, err = link.Listen(n.settings.Link, n.serveLink, &n.traffic); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := n.listen(); err != nil {
@@ -196,8 +197,8 @@
 	return nil
 }
 
-// Reload reads the settings again. Addresses are fixed for a process's life;
-// the seeds are taken over. A broken file changes nothing.
+// Reload reads the settings again and applies the seeds. Addresses stay the same
+// until the process ends. An invalid file changes nothing.
 func (n *Node) Reload() {
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -209,13 +210,13 @@
 	n.tellSeeds()
 }
 
-// Stop is a planned stop: the instance leaves the answers for addresses, takes
-// requests until clients have had time to notice, and ends when nothing is in
-// flight or the time is over.
+// Stop shuts the node down gracefully: it announces that it leaves, so that clients
+// are no longer given its address, accepts requests until clients have had time to
+// notice, and ends when nothing is in flight or the time limit is reached.
 func (n *Node) Stop() {
 	start := n.now()
 	event.NodeStopping.Log(n.log, "in_flight", n.inFlight.Load())
-	n.stopBegan.Store(int64(start))
+	n.stopStarted.Store(int64(start))
 	n.stopping.Store(true)
 	n.gossipMu.Lock()
 	n.members.SetLeaving()
@@ -223,74 +224,74 @@
 	n.tell()
 	time.Sleep(n.stopPlan.RequestsUntil)
 	for n.inFlight.Load() > 0 && n.now()-start < n.stopPlan.End {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	event.NodeStopped.Log(n.log, "in_flight", n.inFlight.Load())
 	n.Kill()
 }
 
-// Kill ends the process's work at once, as a loss of power would.
+// Kill stops the node at once, without draining, like a power loss.
 func (n *Node) Kill() {
 	n.cancel()
 	n.listeners.close()
 	if n.admin != nil {
-		n.admin.Stop(adminStop)
+		n.admin.Stop(adminStopTimeout)
 	}
 	n.socket.Close()
-	n.peers.Stop()
+	n.peerServer.Stop()
 	n.links.Stop()
 }
 
-// takes reports whether a request is taken although a stop may be under way.
-func (n *Node) takes(stream bool) bool {
-	return !n.stopping.Load() || n.stopPlan.Accepts(n.now()-time.Duration(n.stopBegan.Load()), stream)
+// acceptsRequest reports whether a new request is accepted, also during a stop.
+func (n *Node) acceptsRequest(stream bool) bool {
+	return !n.stopping.Load() || n.stopPlan.Accepts(n.now()-time.Duration(n.stopStarted.Load()), stream)
 }
 
 const (
-	stopPoll  = 20 * time.Millisecond // between looks whether a stop may end
-	adminStop = 10 * time.Millisecond // that a question for figures may still take
+	stopPollInterval = 20 * time.Millisecond // interval between checks whether a stop is complete
+	adminStopTimeout = 10 * time.Millisecond // time for admin requests in flight to finish
 )
 
-// housekeeping forgets what is no longer of use.
+// housekeeping periodically removes state that is no longer needed.
 func (n *Node) housekeeping(ctx context.Context) {
-	process.Every(ctx, housekeepingEach, func() {
+	process.Every(ctx, housekeepingInterval, func() {
 		w := n.world.Load()
-		known := make(map[string]bool, len(w.all))
+		listed := make(map[string]bool, len(w.all))
 		addresses := make(map[string]bool, len(w.all))
 		for _, r := range w.all {
-			known[r.ID] = true
+			listed[r.ID] = true
 			addresses[r.Address] = true
 		}
 		n.clock.Look()
 		n.logDropped()
-		n.rollouts.forget()
-		n.forgetQuarantine()
+		n.rollouts.prune()
+		n.pruneQuarantine()
 		n.clients.Forget(addresses)
 		n.links.Sweep(time.Now())
-		n.judgeMu.Lock()
-		defer n.judgeMu.Unlock()
-		n.judge.Prune(n.now(), forgetAfter)
-		n.loads.Prune(func(id string) bool { return known[id] })
+		n.detectorMu.Lock()
+		defer n.detectorMu.Unlock()
+		n.detector.Prune(n.now(), pruneAfter)
+		n.loads.Prune(func(id string) bool { return listed[id] })
 	})
 }
 
-// logDropped counts and logs the log lines that were dropped.
+// logDropped counts and logs how many log lines were dropped since the last call.
 func (n *Node) logDropped() {
-	if n.dropped == nil {
+	if n.droppedLines == nil {
 		return
 	}
-	now := n.dropped()
-	if now == n.told {
+	dropped := n.droppedLines()
+	if dropped == n.loggedDrops {
 		return
 	}
-	n.counters.logDropped.Inc(now - n.told)
-	event.NodeLogDropped.Log(n.log, "lines", now-n.told)
-	n.told = now
+	n.counters.logDropped.Inc(dropped - n.loggedDrops)
+	event.NodeLogDropped.Log(n.log, "lines", dropped-n.loggedDrops)
+	n.loggedDrops = dropped
 }
 
 const (
-	housekeepingEach = 2 * time.Second // rare against all that it forgets
-	forgetAfter      = time.Minute
+	housekeepingInterval = 2 * time.Second // short compared with the lifetimes of the state that it removes
+	pruneAfter           = time.Minute
 )
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -160,10 +160,10 @@
 func (r *ownedRequest) compare(v pipeline.Decision) {
 	n := r.cell.owner.node
 	took := n.now() - r.began
-	n.counters.staged.Inc(took.Milliseconds())
-	n.counters.expected.Inc(v.Expected.Milliseconds())
+	n.counters.stageMillis.Inc(took.Milliseconds())
+	n.counters.expectedStageMillis.Inc(v.Expected.Milliseconds())
 	if took > v.Expected {
-		n.counters.overran.Inc(1)
+		n.counters.overrunJobs.Inc(1)
 	}
 	if n.log.IsDebug() {
 		event.NodeStagesDone.Log(n.log, "request", r.ask.RequestId, "took", took, "expected", v.Expected, "stages", v.Explain())
@@ -185,17 +185,17 @@
 	r.request.ID = c.next
 	r.request.ResultBytes = ready.BytesByHall
 	r.request.Slack -= now - r.began
-	choice, ok := r.choose(now, sick, w.aside(r.request.Service, r.ask.Newer))
+	choice, ok := r.choose(now, sick, w.excludedByRollout(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
-		choice, ok = r.choose(now, sick, w.aside(r.request.Service, false))
+		choice, ok = r.choose(now, sick, w.excludedByRollout(r.request.Service, false))
 	}
 	if !ok {
 		return reply
 	}
 	c.engines.Begin(now, r.request, choice)
-	reply.Paced = n.statements.limits(choice.Replica.ID)
+	reply.Paced = n.advisories.limits(choice.Replica.ID)
 	if choice.FetchFrom != "" && choice.FetchFrom == r.request.RemoteCache.Address {
-		n.counters.farMoves.Inc(1)
+		n.counters.remoteTransfers.Inc(1)
 	}
 	reply.Engine, reply.Fetch, reply.Beside = n.spoken(choice.Replica.ID, r.ask), choice.FetchFrom, uint32(choice.ConcurrentSuspects)
 	return reply
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -47,8 +47,8 @@
 		c = &cell{
 			owner:        o,
 			number:       number,
-			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.cold.limit), pipeline.WithSendGrants(cellTurns{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
-			engines:      placement.New(o.node.placing(), o.node.cold.limit).WithSendGrants(cellTurns{o.node}),
+			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.warmUp.limit), pipeline.WithSendGrants(cellTurns{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
+			engines:      placement.New(o.node.placing(), o.node.warmUp.limit).WithSendGrants(cellTurns{o.node}),
 			waiting:      make(map[uint64]chan pipeline.Action),
 			calls:        make(map[uint64]context.CancelFunc),
 			turns:        make(map[string]*pace.Queue),
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -94,12 +94,12 @@
 // with, or one that its keeper gives.
 func (s *serving) hasTurn(ctx context.Context, r *catalog.Replica) bool {
 	n := s.node
-	if !n.statements.paced.Load() {
+	if !n.advisories.paced.Load() {
 		return true
 	}
 	if s.job != nil && s.job.paced && s.job.engine == r.ID {
 		s.job.paced = false // it serves once
-		n.counters.paced.Inc(1)
+		n.counters.sendGrants.Inc(1)
 		return true
 	}
 	return n.takePace(ctx, r)
@@ -107,24 +107,24 @@
 
 // takePace has a turn at a replica, if that states a limit.
 func (n *Node) takePace(ctx context.Context, r *catalog.Replica) bool {
-	if !n.statements.limits(r.ID) {
+	if !n.advisories.limits(r.ID) {
 		return true
 	}
 	free, err := n.askPace(ctx, r)
 	now := n.now()
 	switch {
 	case err == nil && free == 0:
-		n.counters.paced.Inc(1)
+		n.counters.sendGrants.Inc(1)
 		return true
 	case err == nil:
-		n.statements.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+max(free, restLook)) })
+		n.advisories.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+max(free, restLook)) })
 	case errors.Is(err, errNotKeeper):
-		n.statements.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+keeperLost) })
+		n.advisories.withPaces(func(b *pace.Tracker) { b.RecordDenial(r.ID, now+keeperLost) })
 	default:
 		n.logAside("turn at a limited replica", r.ID, err)
 		return n.takeAlone(r.ID)
 	}
-	n.counters.pacedOut.Inc(1)
+	n.counters.sendGrantDenials.Inc(1)
 	return false
 }
 
@@ -133,7 +133,7 @@
 func (n *Node) promise(service string, rest *restError) time.Duration {
 	perSecond := 0.0
 	replicas, instances := n.world.Load().services[service], n.size()
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range replicas {
@@ -145,13 +145,13 @@
 // takeAlone has a turn of this instance's own part of a limit.
 func (n *Node) takeAlone(life string) bool {
 	instances, now, ok := n.size(), n.now(), false
-	n.statements.withPaces(func(b *pace.Tracker) {
+	n.advisories.withPaces(func(b *pace.Tracker) {
 		if ok = b.TryLocalGrant(now, life, instances); !ok {
 			b.RecordDenial(life, now+keeperLost)
 		}
 	})
 	if ok {
-		n.counters.pacedAlone.Inc(1)
+		n.counters.localSendGrants.Inc(1)
 	}
 	return ok
 }
@@ -212,7 +212,7 @@
 // givePace gives a turn of a replica, or says how long there is none.
 func (n *Node) givePace(r *catalog.Replica) (free time.Duration, ok bool) {
 	now := n.now()
-	n.statements.withPaces(func(b *pace.Tracker) {
+	n.advisories.withPaces(func(b *pace.Tracker) {
 		b.SetGrantor(now, r.ID, true)
 		if ok = b.TryGrant(now, r.ID); !ok {
 			free = max(b.NextGrant(now, r.ID)-now, time.Microsecond)
@@ -239,8 +239,8 @@
 
 // countAside counts a call beside requests: it is made, and requests wait for it.
 func (n *Node) countAside(life string) {
-	if n.statements.limits(life) {
-		n.statements.withPaces(func(b *pace.Tracker) { b.Consume(n.now(), life) })
+	if n.advisories.limits(life) {
+		n.advisories.withPaces(func(b *pace.Tracker) { b.Consume(n.now(), life) })
 	}
 }
 
@@ -257,11 +257,11 @@
 type cellTurns struct{ node *Node }
 
 // Any reports whether any replica states a limit.
-func (t cellTurns) HasLimits() bool { return t.node.statements.paced.Load() }
+func (t cellTurns) HasLimits() bool { return t.node.advisories.paced.Load() }
 
 // Free returns when a replica may get the next request.
 func (t cellTurns) NextGrant(now time.Duration, life string) (free time.Duration) {
-	t.node.statements.withPaces(func(b *pace.Tracker) {
+	t.node.advisories.withPaces(func(b *pace.Tracker) {
 		b.SetGrantor(now, life, true)
 		free = b.NextGrant(now, life)
 	})
@@ -270,11 +270,11 @@
 
 // Gap returns the time between two requests at a replica; 0: it takes any number.
 func (t cellTurns) Interval(life string) (gap time.Duration) {
-	t.node.statements.withPaces(func(b *pace.Tracker) { gap = b.Interval(life) })
+	t.node.advisories.withPaces(func(b *pace.Tracker) { gap = b.Interval(life) })
 	return gap
 }
 
 // Spend counts a request that goes to a replica.
 func (t cellTurns) Consume(now time.Duration, life string) {
-	t.node.statements.withPaces(func(b *pace.Tracker) { b.Consume(now, life) })
+	t.node.advisories.withPaces(func(b *pace.Tracker) { b.Consume(now, life) })
 }
--- a/cmd/node/pace_test.go
+++ b/cmd/node/pace_test.go
@@ -26,7 +26,7 @@
 	word := pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 1.2, Stated: true}}
 	n.hearLimit(word, "peer")
 	n.takeLimits("peer", n.limitNews())
-	n.statements.withPaces(func(b *pace.Tracker) { is.Equal(b.Limit("r"), word.Limit) })
+	n.advisories.withPaces(func(b *pace.Tracker) { is.Equal(b.Limit("r"), word.Limit) })
 }
 
 // Whatever a peer tells of limits ends nothing and holds nobody.
@@ -37,7 +37,7 @@
 	n.takeLimits("peer", []*pb.ReplicaLimit{
 		nil, {}, {Id: long, PerSecond: 1}, {Id: "a", PerSecond: -1}, {Id: "b", PerSecond: math.NaN()}, {Id: "c", PerSecond: math.Inf(1)}, {Id: "d", Ended: true},
 	})
-	is.True(!n.statements.paced.Load())
+	is.True(!n.advisories.paced.Load())
 	for _, first := range [][]byte{nil, {0xff}, []byte("no message")} {
 		is.True(n.answerPace(first, "peer").Elsewhere)
 	}
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -54,8 +54,8 @@
 		TokensOut: uint32(s.req.TokensOut),
 		SlackUs:   (s.route.Objective - s.since()).Microseconds(),
 		Again:     s.came() || s.redone > 0 || len(s.tried) > 0,
-		Newer:     s.mayNewer(s.node.world.Load()),
-		Ended:     uint32(s.node.endedUnder(s.fingerprint)),
+		Newer:     s.allowsTarget(s.node.world.Load()),
+		Ended:     uint32(s.node.crashesUnder(s.fingerprint)),
 
 		Fingerprint: uint64(s.fingerprint),
 		Customer:    nameOf(s.customer),
@@ -106,11 +106,11 @@
 	if len(listed) == 0 && len(world.services[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoRegion
 	}
-	newer, older := s.sides(world, listed)
+	newer, older := s.splitByTarget(world, listed)
 	ableNew, restNew := s.mayAll(now, s.able(now, newer))
 	ableOld, restOld := s.mayAll(now, s.able(now, older))
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	fit := s.fit(now, ableNew, len(newer))
 	if len(fit) == 0 {
 		fit = s.fit(now, ableOld, len(older))
@@ -118,7 +118,7 @@
 	if len(fit) == 0 {
 		return catalog.Replica{}, "", s.none(world, append(ableNew, ableOld...), sooner(restNew, restOld))
 	}
-	fit = n.apart(fit)
+	fit = n.withoutSuspects(fit)
 	if s.service.Engine == nil {
 		return n.loads.PickReplica(now, n.distance, fit, newRandom()), "", nil
 	}
@@ -137,7 +137,7 @@
 	for _, r := range able {
 		switch {
 		case s.avoid[r.ID] || s.tried[r.ID]:
-		case s.node.judge.IsEjected(now, r.ID):
+		case s.node.detector.IsEjected(now, r.ID):
 			sick = append(sick, r)
 		default:
 			fit = append(fit, r)
@@ -198,9 +198,9 @@
 func (s *serving) mayUseChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.with(func(b *advisory.Tracker) {
+	n.advisories.with(func(b *advisory.Tracker) {
 		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.paced {
-			ok = n.statements.paces.NextGrant(n.now(), s.job.engine) <= n.now()
+			ok = n.advisories.paces.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
@@ -219,11 +219,11 @@
 	})
 	n := s.node
 	now := n.now()
-	n.judgeMu.Lock()
-	before := n.judge.IsEjected(now, id)
-	n.judge.Record(now, id, sign, usual)
-	after := n.judge.IsEjected(now, id)
-	n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	before := n.detector.IsEjected(now, id)
+	n.detector.Record(now, id, sign, usual)
+	after := n.detector.IsEjected(now, id)
+	n.detectorMu.Unlock()
 	switch {
 	case sign == health.Full: // said by the replica with each request
 	case after && !before:
--- a/cmd/node/pieces.go
+++ b/cmd/node/pieces.go
@@ -31,7 +31,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "call of pieces", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
-	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
+	if !n.replicaAcceptsWork(c.Replica) || !n.rollouts.tryRecordSend(n.world.Load().moves[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
 	status, head, data, err := n.call(ctx, ownCall{address: c.Address, replica: c.Name, from: stater{life: c.Replica, service: c.Service}, work: true, method: fasthttp.MethodPost, path: path, body: body})
@@ -144,7 +144,7 @@
 		cn.Close()
 		return 0, platform.Head{}, nil, errStated
 	}
-	defer n.statements.end(turn)
+	defer n.advisories.end(turn)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
@@ -183,9 +183,9 @@
 // allows it: one that leaves is still told what nobody reads any more.
 func (n *Node) mayCall(c ownCall) (advisory.Attempt, bool) {
 	if c.work {
-		return n.statements.begin(n.now(), c.from.life)
+		return n.advisories.begin(n.now(), c.from.life)
 	}
-	if _, rests := n.statements.restsTo(n.now(), c.from.life); rests {
+	if _, rests := n.advisories.restsTo(n.now(), c.from.life); rests {
 		return advisory.Attempt{}, false
 	}
 	n.countAside(c.from.life)
--- a/cmd/node/places.go
+++ b/cmd/node/places.go
@@ -163,9 +163,9 @@
 // and for the request itself.
 func (s *serving) worthAsking(region string) bool {
 	n := s.node
-	n.judgeMu.Lock()
-	short := n.lending.short.LikelyRefuses(n.now(), region, s.rank)
-	n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	short := n.spillover.short.LikelyRefuses(n.now(), region, s.rank)
+	n.detectorMu.Unlock()
 	left := s.route.Objective - s.expects.engine - s.since()
 	return !short && left > 2*n.trip(region)
 }
@@ -180,9 +180,9 @@
 	if region == n.home {
 		return 0
 	}
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
-	return n.lending.trips.Estimate(region)
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
+	return n.spillover.trips.Estimate(region)
 }
 
 // noteLending takes in what a region said to a request's stages.
@@ -190,23 +190,23 @@
 	n := s.node
 	var refused *refusedError
 	isRefused := errors.As(failure, &refused)
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	switch {
 	case isRefused:
-		n.lending.short.RecordRefusal(n.now(), region, s.rank)
-		n.lending.trips.Observe(region, took)
+		n.spillover.short.RecordRefusal(n.now(), region, s.rank)
+		n.spillover.trips.Observe(region, took)
 	case errors.Is(failure, errOwnerLost):
-		n.lending.short.RecordNoAnswer(n.now(), region)
+		n.spillover.short.RecordNoAnswer(n.now(), region)
 	case failure == nil:
-		n.lending.short.RecordAnswer(region)
+		n.spillover.short.RecordAnswer(region)
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	if region == n.home {
 		return
 	}
-	n.counters.lentAsks.Inc(1)
+	n.counters.spilloverAsks.Inc(1)
 	if isRefused {
-		n.counters.lentRefused.Inc(1)
+		n.counters.spilloverRefusals.Inc(1)
 	}
 	event.NodeRegionAsked.Log(n.log, "request", s.req.ID, "region", region, "refused", isRefused, "error", failure, "took", took)
 }
@@ -223,7 +223,7 @@
 		}
 	}
 	for hall, count := range replicas {
-		if _, said := n.unplaced.LoadOrStore(hall, true); !said {
+		if _, said := n.regionlessHalls.LoadOrStore(hall, true); !said {
 			event.NodeHallUnplaced.Log(n.log, "hall", hall, "replicas", count)
 		}
 	}
@@ -237,12 +237,12 @@
 			far[host] = true
 		}
 	}
-	n.farHosts.Store(&far)
+	n.remoteHosts.Store(&far)
 }
 
 // isFarAddress reports whether an instance's address is in another region.
 func (n *Node) isFarAddress(addr string) bool {
-	far := n.farHosts.Load()
+	far := n.remoteHosts.Load()
 	if far == nil || len(*far) == 0 {
 		return false
 	}
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -77,9 +77,9 @@
 // regions dearer.
 func (n *Node) patience(from *pb.InstanceNews, has bool) time.Duration {
 	switch {
-	case !has && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.reads.Load():
+	case !has && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.isReader.Load():
 		return 0
-	case !has && n.reads.Load():
+	case !has && n.isReader.Load():
 		return firstPatience // it is reading the store
 	}
 	if from.Region != n.home {
@@ -101,8 +101,8 @@
 		return
 	}
 	defer n.configPull.done()
-	n.takeEmptied(addr, answer.Evacuations) // before what may be sent where is known
-	n.takeRolloutOrders(addr, answer.Rollouts)
+	n.mergeEvacuations(addr, answer.Evacuations) // before what may be sent where is known
+	n.mergeRolloutOrders(addr, answer.Rollouts)
 	if len(answer.Declaration) == 0 {
 		return
 	}
@@ -117,7 +117,7 @@
 // countPull counts what a peer of another region has told.
 func (n *Node) countPull(addr string, answer proto.Message) {
 	if n.isFarAddress(addr) {
-		n.counters.farBytes.pulls.Inc(int64(proto.Size(answer)))
+		n.counters.remoteBytes.pulls.Inc(int64(proto.Size(answer)))
 	}
 }
 
@@ -144,11 +144,11 @@
 		return &pb.Config{}
 	}
 	packed := raw.forPeers()
-	if !n.telling.may(n.now(), len(packed), n.settings.LinkBytes) {
-		n.counters.toldBusy.Inc(1)
+	if !n.peerUpdates.may(n.now(), len(packed), n.settings.LinkBytes) {
+		n.counters.busyReplies.Inc(1)
 		return &pb.Config{Busy: true}
 	}
-	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.emptiedNews(), Rollouts: n.rolloutNews()}
+	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.evacuationUpdate(), Rollouts: n.rolloutUpdate()}
 }
 
 func (n *Node) pullReplicas(addr string, have uint64) {
@@ -192,13 +192,13 @@
 	n.followMu.Lock()
 	changed := n.replicas.log.LastChange()
 	n.followMu.Unlock()
-	answer, size := n.telling.made(ask.Have, changed)
+	answer, size := n.peerUpdates.made(ask.Have, changed)
 	if answer == nil {
 		answer, size = n.makeAnswer(ask.Have)
-		n.telling.keep(ask.Have, changed, answer, size)
+		n.peerUpdates.keep(ask.Have, changed, answer, size)
 	}
-	if !n.telling.may(n.now(), size, n.settings.LinkBytes) {
-		n.counters.toldBusy.Inc(1)
+	if !n.peerUpdates.may(n.now(), size, n.settings.LinkBytes) {
+		n.counters.busyReplies.Inc(1)
 		return &pb.ReplicaChanges{Busy: true}
 	}
 	return answer
--- a/cmd/node/pulse.go
+++ b/cmd/node/pulse.go
@@ -70,15 +70,15 @@
 func (n *Node) feelPulse(ctx context.Context) {
 	var since time.Duration // when the silence began
 	process.Every(ctx, pulseEach, func() {
-		if !n.reads.Load() && !n.blind() {
+		if !n.isReader.Load() && !n.blind() {
 			return
 		}
 		err := n.store.Answers(pulseFor)
 		n.sees(err == nil)
-		switch news := n.pulse.note(err == nil); {
+		switch news := n.storeMonitor.note(err == nil); {
 		case news && err != nil:
 			since = n.now()
-			n.counters.silences.Inc(1)
+			n.counters.storeOutages.Inc(1)
 			event.NodeStoreSilent.Log(n.log, "error", err)
 		case news:
 			event.NodeStoreAnswers.Log(n.log, "after", n.now()-since)
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -12,75 +12,75 @@
 )
 
 const (
-	tellEach = 20 * time.Millisecond // between messages for changes alone: what a replica's end changes comes within a few ms
+	quarantineAnnounceInterval = 20 * time.Millisecond // minimum interval between extra announcements: a replica's end causes several changes within a few ms
 
-	quarantineTurns = 1000 // among how many the instances' first turns are spread
+	quarantineOffsets = 1000 // number of offsets among which instances start their repeated announcements
 )
 
-var errCondemned = errors.New(event.WhyCondemned)
+var errQuarantined = errors.New(event.WhyCondemned)
 
-// quarantined is what an instance knows of requests that crash replicas.
-type quarantined struct {
-	mu     sync.Mutex
-	book   *quarantine.Tracker
-	told   time.Duration                                  // when others were last told of a change alone
-	looks  map[string]*look                               // by life
-	ends   map[string]*lifeEnds                           // by listed life
-	trials map[quarantine.Fingerprint]chan struct{}       // under way, as their arbiter; closed when one ends
-	places map[string]map[quarantine.Fingerprint]struct{} // by replica: suspects that this instance runs there
+// quarantineTracker holds what an instance knows of requests that crash replicas.
+type quarantineTracker struct {
+	mu          sync.Mutex
+	tracker     *quarantine.Tracker
+	announcedAt time.Duration                                  // time of the last extra announcement
+	probes      map[string]*look                               // by incarnation
+	ends        map[string]*lifeEnds                           // by listed incarnation
+	trials      map[quarantine.Fingerprint]chan struct{}       // trials that run with this instance as arbiter; closed at their end
+	suspects    map[string]map[quarantine.Fingerprint]struct{} // by replica: suspect requests that this instance runs there
 }
 
-func newQuarantined(spread float64) *quarantined {
-	return &quarantined{
-		book:   quarantine.New(quarantine.DefaultOptions(), int(spread*quarantineTurns)),
-		looks:  make(map[string]*look),
-		ends:   make(map[string]*lifeEnds),
-		trials: make(map[quarantine.Fingerprint]chan struct{}),
-		places: make(map[string]map[quarantine.Fingerprint]struct{}),
+func newQuarantineTracker(jitter float64) *quarantineTracker {
+	return &quarantineTracker{
+		tracker:  quarantine.New(quarantine.DefaultOptions(), int(jitter*quarantineOffsets)),
+		probes:   make(map[string]*look),
+		ends:     make(map[string]*lifeEnds),
+		trials:   make(map[quarantine.Fingerprint]chan struct{}),
+		suspects: make(map[string]map[quarantine.Fingerprint]struct{}),
 	}
 }
 
-// verdict returns what is held of a request.
+// verdict returns the verdict on a request.
 func (n *Node) verdict(f quarantine.Fingerprint) quarantine.Verdict {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.Check(n.now(), f)
+	return q.tracker.Check(n.now(), f)
 }
 
-// endedUnder returns how many replicas have ended under a request.
-func (n *Node) endedUnder(f quarantine.Fingerprint) int {
+// crashesUnder returns how many replicas have crashed under a request.
+func (n *Node) crashesUnder(f quarantine.Fingerprint) int {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	e, _ := q.book.Lookup(n.now(), f)
+	e, _ := q.tracker.Lookup(n.now(), f)
 	return len(e.Ended)
 }
 
-// noteQuarantine runs one event of the book, logs what it changes and tells the others.
-func (n *Node) noteQuarantine(why string, step func(b *quarantine.Tracker, now time.Duration) []quarantine.Change) {
+// updateQuarantine applies an event to the tracker, logs the changes and announces them.
+func (n *Node) updateQuarantine(cause string, apply func(b *quarantine.Tracker, now time.Duration) []quarantine.Change) {
 	q := n.quarantine
 	q.mu.Lock()
-	changes := step(q.book, n.now())
+	changes := apply(q.tracker, n.now())
 	q.mu.Unlock()
 	for _, c := range changes {
-		n.logQuarantine(c, why)
+		n.logQuarantineChange(c, cause)
 	}
-	if len(changes) > 0 && why != fromPeer {
-		n.tellQuarantine()
+	if len(changes) > 0 && cause != causePeer {
+		n.announceQuarantine()
 	}
 }
 
-// tellQuarantine tells others at once, as the next replica may end within less
-// than a round of heartbeats; of many changes in a row the first, the rest goes
-// with the next round.
-func (n *Node) tellQuarantine() {
+// announceQuarantine announces changes to peers at once, as the next replica may crash
+// before the next heartbeat. Within quarantineAnnounceInterval only the first change
+// is sent at once; the others go with the next heartbeat.
+func (n *Node) announceQuarantine() {
 	q := n.quarantine
 	now := n.now()
 	q.mu.Lock()
-	due := now-q.told >= tellEach
+	due := now-q.announcedAt >= quarantineAnnounceInterval
 	if due {
-		q.told = now
+		q.announcedAt = now
 	}
 	q.mu.Unlock()
 	if due {
@@ -88,141 +88,142 @@
 	}
 }
 
-// What a change of the quarantine follows from, for logs.
+// Causes of quarantine changes, for logs.
 const (
-	fromEnd      = "a replica's end"
-	fromAnswer   = "a whole answer"
-	fromOperator = "an operator"
-	fromPeer     = "a peer"
-	fromAge      = "age"
+	causeReplicaEnd = "a replica's end"
+	causeAnswer     = "a whole answer"
+	causeOperator   = "an operator"
+	causePeer       = "a peer"
+	causeAge        = "age"
 )
 
-func (n *Node) logQuarantine(c quarantine.Change, why string) {
+func (n *Node) logQuarantineChange(c quarantine.Change, cause string) {
 	if c.Before == c.After && c.After != quarantine.Suspect {
 		return
 	}
 	switch c.After {
 	case quarantine.Unsuspected:
-		event.NodeAcquits.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", why)
+		event.NodeAcquits.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", cause)
 	case quarantine.Suspect:
-		event.NodeSuspects.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
+		event.NodeSuspects.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
 	case quarantine.Quarantined:
-		event.NodeCondemns.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
+		event.NodeCondemns.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
 	}
 }
 
-// answeredWhole takes in that a request got a whole answer.
-func (n *Node) answeredWhole(f quarantine.Fingerprint) {
-	n.noteQuarantine(fromAnswer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.RecordSuccess(now, f) })
+// recordCompleteAnswer records that a request got a complete answer.
+func (n *Node) recordCompleteAnswer(f quarantine.Fingerprint) {
+	n.updateQuarantine(causeAnswer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.RecordSuccess(now, f) })
 }
 
-// quarantineNews is what a heartbeat tells of suspects and condemned requests.
-func (n *Node) quarantineNews() []*pb.QuarantineCase {
+// quarantineUpdate returns the suspect and quarantined requests for a heartbeat.
+func (n *Node) quarantineUpdate() []*pb.QuarantineCase {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return casesOf(q.book.Announce(n.now()))
+	return caseMessages(q.tracker.Announce(n.now()))
 }
 
-// allOfQuarantine is what an instance that has just started is told.
-func (n *Node) allOfQuarantine() []*pb.QuarantineCase {
+// quarantineSnapshot returns all cases, for an instance that has just started.
+func (n *Node) quarantineSnapshot() []*pb.QuarantineCase {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return casesOf(q.book.Snapshot(n.now()))
+	return caseMessages(q.tracker.Snapshot(n.now()))
 }
 
-func casesOf(entries []quarantine.Entry) []*pb.QuarantineCase {
+func caseMessages(entries []quarantine.Entry) []*pb.QuarantineCase {
 	var out []*pb.QuarantineCase
 	for _, e := range entries {
-		out = append(out, caseOf(e))
+		out = append(out, caseMessage(e))
 	}
 	return out
 }
 
-func (n *Node) takeQuarantine(cases []*pb.QuarantineCase) {
+func (n *Node) mergeQuarantine(cases []*pb.QuarantineCase) {
 	for _, c := range cases {
-		n.noteQuarantine(fromPeer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Merge(now, entryOf(c)) })
+		n.updateQuarantine(causePeer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Merge(now, entryOf(c)) })
 	}
 }
 
-func caseOf(e quarantine.Entry) *pb.QuarantineCase {
+func caseMessage(e quarantine.Entry) *pb.QuarantineCase {
 	c := &pb.QuarantineCase{Fingerprint: uint64(e.Fingerprint), AgeS: uint32(e.Age.Seconds())}
-	for _, life := range e.Ended {
-		c.Ended = append(c.Ended, uint32(life))
+	for _, inc := range e.Ended {
+		c.Ended = append(c.Ended, uint32(inc))
 	}
-	for _, life := range e.Cleared {
-		c.Cleared = append(c.Cleared, uint32(life))
+	for _, inc := range e.Cleared {
+		c.Cleared = append(c.Cleared, uint32(inc))
 	}
 	return c
 }
 
 func entryOf(c *pb.QuarantineCase) quarantine.Entry {
 	e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(c.GetFingerprint()), Age: time.Duration(c.GetAgeS()) * time.Second}
-	for _, life := range c.GetEnded() {
-		e.Ended = append(e.Ended, quarantine.Incarnation(life))
+	for _, inc := range c.GetEnded() {
+		e.Ended = append(e.Ended, quarantine.Incarnation(inc))
 	}
-	for _, life := range c.GetCleared() {
-		e.Cleared = append(e.Cleared, quarantine.Incarnation(life))
+	for _, inc := range c.GetCleared() {
+		e.Cleared = append(e.Cleared, quarantine.Incarnation(inc))
 	}
 	return e
 }
 
-// forgetQuarantine drops what is old.
-func (n *Node) forgetQuarantine() {
-	n.noteQuarantine(fromAge, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Expire(now) })
+// pruneQuarantine removes expired cases, probes and crash counts.
+func (n *Node) pruneQuarantine() {
+	n.updateQuarantine(causeAge, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Expire(now) })
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for id, l := range q.looks {
-		if n.now()-l.began > lookHolds {
-			delete(q.looks, id)
+	for id, probe := range q.probes {
+		if n.now()-probe.began > lookHolds {
+			delete(q.probes, id)
 		}
 	}
 	for id, e := range q.ends {
-		if n.now()-e.last > forgetAfter {
+		if n.now()-e.last > pruneAfter {
 			delete(q.ends, id)
 		}
 	}
 }
 
-// runsSuspect notes where this instance runs a suspect; the returned function
-// ends that.
-func (n *Node) runsSuspect(f quarantine.Fingerprint, replica string) (ends func()) {
+// trackSuspect records that this instance runs a suspect request at a replica. The
+// caller must call finish when the request has ended.
+func (n *Node) trackSuspect(f quarantine.Fingerprint, replica string) (finish func()) {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.places[replica] == nil {
-		q.places[replica] = make(map[quarantine.Fingerprint]struct{})
+	if q.suspects[replica] == nil {
+		q.suspects[replica] = make(map[quarantine.Fingerprint]struct{})
 	}
-	q.places[replica][f] = struct{}{}
+	q.suspects[replica][f] = struct{}{}
 	return func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		delete(q.places[replica], f)
-		if len(q.places[replica]) == 0 {
-			delete(q.places, replica)
+		delete(q.suspects[replica], f)
+		if len(q.suspects[replica]) == 0 {
+			delete(q.suspects, replica)
 		}
 	}
 }
 
-// apart returns the replicas at which this instance runs no suspect, if there
-// are any: whoever is beside a request that ends its replica is lost with it.
-func (n *Node) apart(all []catalog.Replica) []catalog.Replica {
+// withoutSuspects returns the replicas at which this instance runs no suspect request,
+// or all if there are none: requests concurrent with one that crashes its replica are
+// lost with it.
+func (n *Node) withoutSuspects(replicas []catalog.Replica) []catalog.Replica {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.places) == 0 {
-		return all
+	if len(q.suspects) == 0 {
+		return replicas
 	}
 	var out []catalog.Replica
-	for _, r := range all {
-		if len(q.places[r.ID]) == 0 {
+	for _, r := range replicas {
+		if len(q.suspects[r.ID]) == 0 {
 			out = append(out, r)
 		}
 	}
 	if len(out) == 0 {
-		return all
+		return replicas
 	}
 	return out
 }
--- a/cmd/node/quarantine_state.go
+++ b/cmd/node/quarantine_state.go
@@ -22,28 +22,28 @@
 	defer q.mu.Unlock()
 	now := n.now()
 	var out []QuarantineState
-	for _, e := range q.book.All(now) {
+	for _, e := range q.tracker.All(now) {
 		out = append(out, QuarantineState{
-			Fingerprint: e.Fingerprint.String(), Verdict: q.book.Verdict(e.Fingerprint).String(),
+			Fingerprint: e.Fingerprint.String(), Verdict: q.tracker.Verdict(e.Fingerprint).String(),
 			Ended: len(e.Ended), Cleared: len(e.Cleared), LastRequested: e.Age.Round(time.Second).String(),
 		})
 	}
 	return out
 }
 
-// acquit takes an operator's word that a request may be sent again.
-func (n *Node) acquit(fingerprint string) error {
+// releaseFingerprint releases a request from quarantine by an operator's order.
+func (n *Node) releaseFingerprint(fingerprint string) error {
 	f, err := quarantine.ParseFingerprint(fingerprint)
 	if err != nil {
 		return fmt.Errorf("%q is no fingerprint", fingerprint)
 	}
-	known := false
-	n.noteQuarantine(fromOperator, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	found := false
+	n.updateQuarantine(causeOperator, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		changes := b.Release(now, f)
-		known = len(changes) > 0
+		found = len(changes) > 0
 		return changes
 	})
-	if !known {
+	if !found {
 		return fmt.Errorf("nothing speaks against %s here", f)
 	}
 	return nil
--- a/cmd/node/quarantine_test.go
+++ b/cmd/node/quarantine_test.go
@@ -12,18 +12,18 @@
 	"quinceroad/protocol/pb"
 )
 
-// Where no replica ends, nothing is told; a hundred condemned requests cost a
-// heartbeat no more than what is told in turn.
-func TestWhatTheQuarantineCostsAHeartbeat(t *testing.T) {
+// Without crashes the quarantine adds nothing to a heartbeat. With a hundred quarantined
+// requests, only the bounded number of cases that are repeated in rotation.
+func TestQuarantineHeartbeatSize(t *testing.T) {
 	is := is.New(t)
 	n := nodeOfTwo()
-	size := func() int { return proto.Size(&pb.Heartbeat{Quarantine: n.quarantineNews()}) }
+	size := func() int { return proto.Size(&pb.Heartbeat{Quarantine: n.quarantineUpdate()}) }
 	is.Equal(size(), 0)
 	for f := 1; f <= 100; f++ {
-		n.noteQuarantine(fromPeer, func(b *quarantine.Tracker, now time.Duration) (out []quarantine.Change) {
-			for life := range 3 {
-				out = append(out, b.RecordBroken(now, quarantine.Fingerprint(f), quarantine.IncarnationOf(fmt.Sprint(f, life)))...)
-				out = append(out, b.RecordEnd(now, quarantine.IncarnationOf(fmt.Sprint(f, life)))...)
+		n.updateQuarantine(causePeer, func(b *quarantine.Tracker, now time.Duration) (out []quarantine.Change) {
+			for replica := range 3 {
+				out = append(out, b.RecordBroken(now, quarantine.Fingerprint(f), quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
+				out = append(out, b.RecordEnd(now, quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
 			}
 			return out
 		})
@@ -32,11 +32,11 @@
 			is.True(size() <= 60)
 		}
 	}
-	news := size()
+	initial := size()
 	for range 100 {
-		n.quarantineNews()
+		n.quarantineUpdate()
 	}
-	t.Logf("%d bytes for a hundred while they are news, %d then", news, size())
-	is.True(news <= 1000)
+	t.Logf("%d bytes for a hundred while they are news, %d then", initial, size())
+	is.True(initial <= 1000)
 	is.True(size() <= 300)
 }
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -33,7 +33,7 @@
 	}
 	process.Pause(ctx, registerAfter)
 	for ctx.Err() == nil {
-		if lease == 0 && !n.reads.Load() {
+		if lease == 0 && !n.isReader.Load() {
 			process.Pause(ctx, roleLook)
 			continue
 		}
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -44,14 +44,14 @@
 // when what they state forbids all of them that this one has not met yet.
 func (s *serving) mayAll(now time.Duration, all []catalog.Replica) (may []catalog.Replica, err error) {
 	first, fresh, paced := advisory.Never, false, false
-	s.node.statements.with(func(b *advisory.Tracker) {
-		if b.Empty() && !s.node.statements.paces.HasLimits() {
+	s.node.advisories.with(func(b *advisory.Tracker) {
+		if b.Empty() && !s.node.advisories.paces.HasLimits() {
 			may, fresh = all, true
 			return
 		}
 		for _, r := range all {
 			met := s.avoid[r.ID] || s.tried[r.ID]
-			ok, from := s.node.statements.mayLocked(now, r.ID)
+			ok, from := s.node.advisories.mayLocked(now, r.ID)
 			if ok {
 				may = append(may, r)
 				fresh = fresh || !met
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -13,97 +13,98 @@
 	"quinceroad/state/catalog"
 )
 
-// rollouts is what this instance knows of the roll-outs that are ordered, what
-// it sends in them, and what it has seen of the versions.
+// rollouts holds the rollout orders known to this instance, the traffic that it
+// sends in them, and its observations of the versions.
 type rollouts struct {
-	canary float64 // share of a version that is not trusted
-	slack  float64 // requests beside that
+	canaryShare float64 // share of requests for a version that is not promoted yet
+	canarySlack float64 // number of requests allowed beyond that share
 
-	mu     sync.Mutex
-	view   *rollout.View
-	ledger *rollout.Ledger
-	orders map[uint64]*orderSeen // by revision
-	others map[string]bool       // services that replicas of another version than the ordered one could serve
-	moved  map[string]bool       // services whose requests all go to the new version, in the world in force
-	open   map[string]bool       // services whose new pool replicas may get a call
-	held   map[string]*held      // by replica
+	mu           sync.Mutex
+	view         *rollout.View
+	ledger       *rollout.Ledger
+	orders       map[uint64]*rolloutProgress // by revision of the order
+	othersReady  map[string]bool             // services for which replicas of other versions than the target accept work
+	fullyShifted map[string]bool             // services whose requests all go to the target version in the current world
+	batchAllowed map[string]bool             // pool services whose target replicas may get a full batch
+	inFlight     map[string]*replicaInFlight // by replica id
 }
 
-// orderSeen is what is seen of one order.
-type orderSeen struct {
-	own     rollout.Report // rows of this life
-	reports *rollout.Reports
-	judge   *rollout.Judge
-	status  rollout.Status
-	calling bool          // a call to the store is under way
-	due     time.Duration // since when the same step is due
-	wait    time.Duration // after the last failed call, doubled by each
-	pause   time.Duration // until the next call
-	step    rollout.Step
-	logged  time.Duration // the judgement, last
-	rank    int           // among those who judge
+// rolloutProgress is the progress of one order as seen by this instance.
+type rolloutProgress struct {
+	ownReport   rollout.Report // counts of this incarnation
+	reports     *rollout.Reports
+	judge       *rollout.Judge
+	status      rollout.Status
+	callPending bool          // a call to the store is in flight
+	stepSince   time.Duration // time since which the same step is due
+	backoff     time.Duration // retry backoff, doubled by each failed store call
+	retryPause  time.Duration // wait before the next store call
+	step        rollout.Step
+	loggedAt    time.Duration // time at which the judgement was last logged
+	rank        int           // rank of this instance among the judges; -1: not a judge
 }
 
 func newRollouts(s *platform.Settings) *rollouts {
 	return &rollouts{
-		canary: s.CanaryShare,
-		slack:  s.CanarySlack,
-		view:   rollout.NewView(),
-		ledger: rollout.NewLedger(newRandom().Float64()),
-		orders: make(map[uint64]*orderSeen),
-		others: make(map[string]bool),
-		moved:  make(map[string]bool),
-		open:   make(map[string]bool),
-		held:   make(map[string]*held),
+		canaryShare:  s.CanaryShare,
+		canarySlack:  s.CanarySlack,
+		view:         rollout.NewView(),
+		ledger:       rollout.NewLedger(newRandom().Float64()),
+		orders:       make(map[uint64]*rolloutProgress),
+		othersReady:  make(map[string]bool),
+		fullyShifted: make(map[string]bool),
+		batchAllowed: make(map[string]bool),
+		inFlight:     make(map[string]*replicaInFlight),
 	}
 }
 
-// seen returns what is seen of an order. It needs mu.
-func (r *rollouts) seen(order uint64) *orderSeen {
+// progress returns the progress of an order, which it creates if needed. The caller
+// holds mu.
+func (r *rollouts) progress(order uint64) *rolloutProgress {
 	o := r.orders[order]
 	if o == nil {
-		o = &orderSeen{
-			own:     rollout.Report{Rows: make(map[rollout.RowKey]*rollout.Tally)},
-			reports: rollout.NewReports(),
-			judge:   rollout.NewJudge(),
-			rank:    -1,
+		o = &rolloutProgress{
+			ownReport: rollout.Report{Rows: make(map[rollout.RowKey]*rollout.Tally)},
+			reports:   rollout.NewReports(),
+			judge:     rollout.NewJudge(),
+			rank:      -1,
 		}
 		r.orders[order] = o
 	}
 	return o
 }
 
-// ordered reports whether a roll-out of a service stands.
-func (r *rollouts) ordered(service string) bool {
+// isActive reports whether a service has an active rollout.
+func (r *rollouts) isActive(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.view.Current(service)
 	return ok
 }
 
-// startedAgain takes in that replicas have started again, by the world in which
-// their last life served.
-func (r *rollouts) startedAgain(now time.Duration, w *world, replicas []catalog.Replica) {
+// recordRestarts records restarts of replicas that got requests in a rollout. w is
+// the world in which their previous incarnation served.
+func (r *rollouts) recordRestarts(now time.Duration, w *world, replicas []catalog.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range replicas {
 		x := &replicas[i]
-		if m := w.moves[x.Service]; m != nil && m.chosen[x.ID] {
+		if m := w.moves[x.Service]; m != nil && m.selected[x.ID] {
 			r.view.RecordRestart(now, x.Service, x.Version)
 		}
 	}
 }
 
-// forget drops what was seen of orders that are no longer known.
-func (r *rollouts) forget() {
+// prune removes the progress of orders that are no longer known.
+func (r *rollouts) prune() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ledger.Prune(r.view.Has)
-	maps.DeleteFunc(r.orders, func(order uint64, _ *orderSeen) bool { return !r.view.Has(order) })
+	maps.DeleteFunc(r.orders, func(order uint64, _ *rolloutProgress) bool { return !r.view.Has(order) })
 }
 
-// replaceRollouts takes in the orders as they were read whole at a revision. One
-// that can't be read stands as it was known before.
+// replaceRollouts applies a full list of the orders, read at a store revision. For
+// an entry that can't be parsed, the order known before stays in force.
 func (n *Node) replaceRollouts(items []platform.Item, at uint64) {
 	orders := make([]rollout.Order, 0, len(items))
 	for i := range items {
@@ -120,11 +121,11 @@
 		}
 		n.rollouts.mu.Unlock()
 	}
-	n.order(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Replace(now, orders, at) })
+	n.changeRollouts(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Replace(now, orders, at) })
 }
 
-// applyRollouts takes in what a watch brought, after which all up to a revision
-// is known.
+// applyRollouts applies changes from a watch. Afterwards all changes up to a
+// revision are known.
 func (n *Node) applyRollouts(items []platform.Item, at uint64) {
 	var entries []rollout.Entry
 	for i := range items {
@@ -142,22 +143,23 @@
 		}
 		entries = append(entries, e)
 	}
-	n.order(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Apply(now, entries, at) })
+	n.changeRollouts(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Apply(now, entries, at) })
 }
 
-// order takes in news of roll-outs and puts what they change into force at once.
-func (n *Node) order(from string, take func(now time.Duration, v *rollout.View) []rollout.Change) {
+// changeRollouts applies changes of rollout orders, publishes a new world and
+// announces the changes to peers.
+func (n *Node) changeRollouts(from string, apply func(now time.Duration, v *rollout.View) []rollout.Change) {
 	r := n.rollouts
 	now := n.now()
 	r.mu.Lock()
-	changes := take(now, r.view)
+	changes := apply(now, r.view)
 	r.mu.Unlock()
 	if len(changes) == 0 {
 		return
 	}
 	n.publish()
 	for _, c := range changes {
-		n.logRollout(now, from, &c)
+		n.logRolloutChange(now, from, &c)
 	}
 	n.tell()
 	if from == fromStore || from == n.settings.Name {
@@ -165,7 +167,7 @@
 	}
 }
 
-func (n *Node) logRollout(now time.Duration, from string, c *rollout.Change) {
+func (n *Node) logRolloutChange(now time.Duration, from string, c *rollout.Change) {
 	switch {
 	case c.New:
 		event.RolloutOrdered.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "for", c.TimeLimit, "from", from)
@@ -177,9 +179,8 @@
 	}
 }
 
-// rolloutNews is what this instance tells others of the roll-outs; nil until one
-// was ordered.
-func (n *Node) rolloutNews() *pb.Rollouts {
+// rolloutUpdate returns the rollout orders for heartbeats; nil until the first order.
+func (n *Node) rolloutUpdate() *pb.Rollouts {
 	r := n.rollouts
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,9 +188,9 @@
 		return nil
 	}
 	now := n.now()
-	news := r.view.Update(now)
-	out := &pb.Rollouts{Revision: news.Revision}
-	for _, s := range news.Orders {
+	update := r.view.Update(now)
+	out := &pb.Rollouts{Revision: update.Revision}
+	for _, s := range update.Orders {
 		out.Orders = append(out.Orders, &pb.RolloutOrder{
 			Service: s.Service, Target: s.Target, Revision: s.Revision, ForMs: s.TimeLimit.Milliseconds(), AgeMs: uint32(s.OrderedAt.Milliseconds()),
 			Phase: uint32(s.Phase), PhaseMs: uint32(s.PhaseSince.Milliseconds()), Ended: s.Ended,
@@ -198,12 +199,12 @@
 	return out
 }
 
-// takeRollouts takes in what a peer tells of the roll-outs.
-func (n *Node) takeRollouts(h *pb.Heartbeat) {
+// mergeRollouts merges the rollout orders and reports of a peer's heartbeat.
+func (n *Node) mergeRollouts(h *pb.Heartbeat) {
 	if h.Rollouts == nil {
 		return
 	}
-	n.takeRolloutOrders(senderOf(h), h.Rollouts)
+	n.mergeRolloutOrders(senderOf(h), h.Rollouts)
 	if len(h.News) == 0 {
 		return
 	}
@@ -212,20 +213,20 @@
 	defer r.mu.Unlock()
 	for _, p := range h.Rollouts.Reports {
 		if !r.view.Has(p.Order) {
-			continue // what is told later holds it all
+			continue // later reports contain all counts
 		}
-		r.seen(p.Order).reports.Merge(h.News[0].Name, h.News[0].Incarnation, reportOf(p))
+		r.progress(p.Order).reports.Merge(h.News[0].Name, h.News[0].Incarnation, reportOf(p))
 	}
 }
 
-// takeRolloutOrders takes in which roll-outs are ordered, and what is said of them.
-func (n *Node) takeRolloutOrders(from string, p *pb.Rollouts) {
+// mergeRolloutOrders merges a peer's rollout orders and their phases.
+func (n *Node) mergeRolloutOrders(from string, p *pb.Rollouts) {
 	if p == nil {
 		return
 	}
-	news := rollout.Update{Revision: p.Revision}
+	update := rollout.Update{Revision: p.Revision}
 	for _, o := range p.Orders {
-		news.Orders = append(news.Orders, rollout.OrderState{
+		update.Orders = append(update.Orders, rollout.OrderState{
 			Order:      rollout.Order{Service: o.Service, Target: o.Target, Revision: o.Revision, TimeLimit: time.Duration(o.ForMs) * time.Millisecond},
 			OrderedAt:  time.Duration(o.AgeMs) * time.Millisecond,
 			Phase:      rollout.Phase(min(o.Phase, uint32(rollout.Done))),
@@ -233,46 +234,47 @@
 			Ended:      o.Ended,
 		})
 	}
-	n.order(from, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Merge(now, news) })
+	n.changeRollouts(from, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Merge(now, update) })
 }
 
-// rowsTold of a report go into one message, so that it is one packet: some 75
-// bytes each where all buckets hold answers.
-const rowsTold = 12
+// maxReportRows is the maximum number of rows in a message, so that it fits one
+// packet. A row with answers in all latency buckets takes about 75 bytes.
+const maxReportRows = 12
 
-// reportNews returns the messages that tell a report.
-func reportNews(order uint64, rep rollout.Report) []*pb.RolloutReport {
+// reportMessages splits a report into messages.
+func reportMessages(order uint64, rep rollout.Report) []*pb.RolloutReport {
 	var out []*pb.RolloutReport
-	var part *pb.RolloutReport
-	add := func() {
-		part = &pb.RolloutReport{
+	var message *pb.RolloutReport
+	addMessage := func() {
+		message = &pb.RolloutReport{
 			Order: order, Count: rep.Sequence, Moved: rep.FullyShifted, Bound: uint32(rep.Pinned), InFlight: uint32(rep.InFlight),
 			LongestMs: uint32(rep.LongestRequest.Milliseconds()), Sent: uint32(rep.Sent),
 		}
-		out = append(out, part)
+		out = append(out, message)
 	}
-	add()
+	addMessage()
 	for k, t := range rep.Rows {
-		if len(part.Rows) == rowsTold {
-			add()
+		if len(message.Rows) == maxReportRows {
+			addMessage()
 		}
-		part.Rows = append(part.Rows, rowNews(k, t))
+		message.Rows = append(message.Rows, rowMessage(k, t))
 	}
 	return out
 }
 
-func rowNews(k rollout.RowKey, t *rollout.Tally) *pb.RolloutRow {
-	last := 0
+func rowMessage(k rollout.RowKey, t *rollout.Tally) *pb.RolloutRow {
+	used := 0
 	for b, c := range t.Latencies {
 		if c > 0 {
-			last = b + 1
+			used = b + 1
 		}
 	}
-	return &pb.RolloutRow{Route: k.Route, Replica: k.Replica, Failed: t.Failed, Ended: t.ReplicaEnds, Times: slices.Clone(t.Latencies[:last])}
+	return &pb.RolloutRow{Route: k.Route, Replica: k.Replica, Failed: t.Failed, Ended: t.ReplicaEnds, Times: slices.Clone(t.Latencies[:used])}
 }
 
-// reportOf reads a report. Its rows keep the names that the sender gave them: a name
-// that stood for another life with each birth would count its answers once for each.
+// reportOf decodes a report. Its rows keep the replica names of the sender: if they
+// were mapped to the incarnation that is listed now, each restart of a replica would
+// count its answers again.
 func reportOf(p *pb.RolloutReport) rollout.Report {
 	out := rollout.Report{
 		Sequence: p.Count, FullyShifted: p.Moved, Pinned: int(p.Bound), InFlight: int(p.InFlight),
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -11,119 +11,119 @@
 	"quinceroad/state/catalog"
 )
 
-// rolloutAnswer is what became of a request in a roll-out.
+// rolloutAnswer is the outcome of a request in a rollout.
 type rolloutAnswer struct {
-	route   string
-	replica *catalog.Replica
-	says    ending.VersionEvidence
-	took    time.Duration // until the answer began
-	lasted  time.Duration // of one that can't go on elsewhere; 0: it can
+	route     string
+	replica   *catalog.Replica
+	evidence  ending.VersionEvidence
+	latency   time.Duration // time until the response began
+	pinnedFor time.Duration // duration of a request that can't move to another replica; 0: it can
 }
 
-// answered counts an answer in its service's roll-out, if there is one. A cold
-// replica is slow whatever its version.
-func (n *Node) answered(a *rolloutAnswer) {
+// recordRolloutAnswer counts an answer in the rollout of its service, if there is
+// one. Answers of warming replicas don't count, as these are slow whatever their
+// version.
+func (n *Node) recordRolloutAnswer(a *rolloutAnswer) {
 	r := n.rollouts
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Rejected || a.says == ending.VersionNone || a.says == ending.VersionAnswer && a.replica.WarmingUntil > n.now() {
+	if !ok || s.Phase >= rollout.Rejected || a.evidence == ending.VersionNone || a.evidence == ending.VersionAnswer && a.replica.WarmingUntil > n.now() {
 		return
 	}
-	own := &r.seen(s.Revision).own
+	own := &r.progress(s.Revision).ownReport
 	if a.replica.Version == s.Target {
-		n.countAnswered(&s, a.says)
+		n.countTargetAnswer(&s, a.evidence)
 	}
 	k := rollout.RowKey{Route: a.route}
 	if a.replica.Version == s.Target {
 		k.Replica = a.replica.ID
 	} else {
-		own.LongestRequest = max(own.LongestRequest, a.lasted)
+		own.LongestRequest = max(own.LongestRequest, a.pinnedFor)
 	}
 	t := own.Rows[k]
 	if t == nil {
 		t = &rollout.Tally{}
 		own.Rows[k] = t
 	}
-	if a.says == ending.VersionReplicaEnd {
+	if a.evidence == ending.VersionReplicaEnd {
 		t.AddReplicaEnd()
 		return
 	}
-	t.Add(a.took, a.says == ending.VersionFailure)
+	t.Add(a.latency, a.evidence == ending.VersionFailure)
 }
 
-// countAnswered counts for operators what became of a request at the new version.
-func (n *Node) countAnswered(s *rollout.OrderState, says ending.VersionEvidence) {
-	if says == ending.VersionReplicaEnd {
+// countTargetAnswer updates the metrics of a request's outcome at the target version.
+func (n *Node) countTargetAnswer(s *rollout.OrderState, evidence ending.VersionEvidence) {
+	if evidence == ending.VersionReplicaEnd {
 		n.rolloutCounter(s.Service, s.Target, "ended").Inc(1)
 		return
 	}
 	n.rolloutCounter(s.Service, s.Target, "answers").Inc(1)
-	if says == ending.VersionFailure {
+	if evidence == ending.VersionFailure {
 		n.rolloutCounter(s.Service, s.Target, "failed").Inc(1)
 	}
 }
 
-// movable reports whether the request, broken off at its replica, goes on at
-// another one.
-func (s *serving) movable() bool {
+// canMove reports whether the request can continue at another replica after its
+// connection broke.
+func (s *serving) canMove() bool {
 	return s.route.Kind == catalog.Repeatable || s.route.Kind == catalog.Stream && s.route.Resumable
 }
 
-// tellRollout counts how the attempt went in its service's roll-out. Of one that
-// broke off it is only known once its replica was looked at whether the replica
-// had ended.
-func (a *attempt) tellRollout(way ending.Kind, suspended bool, took time.Duration) {
+// recordRollout counts the outcome of the attempt in its service's rollout. If the
+// connection broke, it first awaits the probe that shows whether the replica ended.
+func (a *attempt) recordRollout(kind ending.Kind, suspended bool, latency time.Duration) {
 	n := a.node
-	if !n.rollouts.ordered(a.service.Name) {
+	if !n.rollouts.isActive(a.service.Name) {
 		return
 	}
-	out := &rolloutAnswer{route: a.route.Name, replica: &a.replica, says: way.ForVersion(suspended), took: took}
-	if !a.movable() {
-		out.lasted = took
+	answer := &rolloutAnswer{route: a.route.Name, replica: &a.replica, evidence: kind.ForVersion(suspended), latency: latency}
+	if !a.canMove() {
+		answer.pinnedFor = latency
 	}
 	if a.began != 0 {
-		out.took = a.began - a.sent
+		answer.latency = a.began - a.sent
 	}
-	if way != ending.ConnectionBroken {
-		n.answered(out)
+	if kind != ending.ConnectionBroken {
+		n.recordRolloutAnswer(answer)
 		return
 	}
-	l := a.look
+	probe := a.look
 	go func() {
-		if n.awaitLook(context.Background(), l) {
-			out.says = ending.ReplicaCrashed.Evidence().Version
+		if n.awaitLook(context.Background(), probe) {
+			answer.evidence = ending.ReplicaCrashed.Evidence().Version
 		}
-		n.answered(out)
+		n.recordRolloutAnswer(answer)
 	}()
 }
 
-// versionOf returns the version of a replica's software, "" when it is not known.
+// versionOf returns the software version of a replica, or "" if it is not known.
 func (n *Node) versionOf(id string) string {
 	n.followMu.Lock()
 	defer n.followMu.Unlock()
 	return n.replicas.lives[id].replica.Version
 }
 
-// leaveResults ends a call of pieces whose results lie at its replica: in a
-// roll-out the replica is needed as long as they are kept.
-func (c *cell) leaveResults(service string, leave func()) {
+// releaseAfterResults releases a batch that has left results at its replica. In a
+// rollout the replica counts as in use for as long as these results are kept.
+func (c *cell) releaseAfterResults(service string, release func()) {
 	w := c.owner.node.world.Load()
 	if w.moves[service] == nil || w.config == nil || w.config.Services[service] == nil || w.config.Services[service].Pool == nil {
-		leave()
+		release()
 		return
 	}
-	time.AfterFunc(w.config.Services[service].Pool.ResultTTL, leave)
+	time.AfterFunc(w.config.Services[service].Pool.ResultTTL, release)
 }
 
-// tellRolloutCall counts how a call of pieces went in its pool's roll-out.
-func (n *Node) tellRolloutCall(r *catalog.Replica, way ending.Kind, suspended bool, took time.Duration) {
-	n.answered(&rolloutAnswer{replica: r, says: way.ForVersion(suspended), took: took})
+// recordRolloutBatch counts the outcome of a batch in its pool's rollout.
+func (n *Node) recordRolloutBatch(r *catalog.Replica, kind ending.Kind, suspended bool, latency time.Duration) {
+	n.recordRolloutAnswer(&rolloutAnswer{replica: r, evidence: kind.ForVersion(suspended), latency: latency})
 }
 
-// wayOf tells how a call of pieces ended.
-func wayOf(fate pipeline.Outcome, results []pipeline.Result) ending.Kind {
-	switch fate {
+// endingOf returns how a batch ended.
+func endingOf(outcome pipeline.Outcome, results []pipeline.Result) ending.Kind {
+	switch outcome {
 	case pipeline.Answered:
 		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.ItemFailed }) {
 			return ending.Failed
@@ -137,7 +137,7 @@
 		return ending.Unreachable
 	case pipeline.Broken:
 		return ending.ConnectionBroken
-	case pipeline.Crashed: // also where its end was told before the connection broke
+	case pipeline.Crashed: // also if the replica's end was reported before the connection broke
 		return ending.ReplicaCrashed
 	}
 	return ending.ResponseTimeout
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -9,149 +9,149 @@
 	"quinceroad/state/catalog"
 )
 
-// move is a roll-out as requests are parted by it. It is never changed once made.
-type move struct {
-	order  uint64
-	target string
-	share  float64         // of this instance's requests, that the version gets
-	newer  map[string]bool // replicas of the version
-	chosen map[string]bool // those of them that get requests
-	older  int             // replicas of other versions that are listed, but for those of versions that get nothing
+// trafficShift is a rollout as applied to requests in a world. It is immutable.
+type trafficShift struct {
+	order          uint64
+	target         string
+	share          float64         // share of this instance's requests that goes to the target version
+	targetReplicas map[string]bool // replicas of the target version
+	selected       map[string]bool // target replicas that get requests
+	otherCount     int             // listed replicas of other versions, except versions that get no requests
 }
 
-// held is what this instance has under way at a replica.
-type held struct {
+// replicaInFlight counts the requests of this instance in flight at a replica.
+type replicaInFlight struct {
 	service string
 	version string
-	all     int
-	bound   int // that can't go on elsewhere
+	total   int
+	pinned  int // requests that can't move to another replica
 }
 
-// part puts the roll-outs into a world that is being made: what each service's
-// version gets, and which replicas get nothing.
-func (r *rollouts) part(now time.Duration, w *world) {
+// applyTo applies the rollouts to a world that is being built: the traffic share of
+// each service's target version, and the replicas that get no work.
+func (r *rollouts) applyTo(now time.Duration, w *world) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.Empty() {
 		return
 	}
-	w.moves = make(map[string]*move)
-	clear(r.others)
-	clear(r.moved)
+	w.moves = make(map[string]*trafficShift)
+	clear(r.othersReady)
+	clear(r.fullyShifted)
 	for _, s := range r.view.Active() {
 		if s.IsFinished(now) {
 			continue
 		}
-		m := &move{order: s.Revision, target: s.Target, share: s.Share(now, r.canary), newer: make(map[string]bool)}
+		m := &trafficShift{order: s.Revision, target: s.Target, share: s.Share(now, r.canaryShare), targetReplicas: make(map[string]bool)}
 		var ready []string
 		for _, x := range w.all {
 			switch {
 			case x.Service != s.Service:
 			case x.Version == s.Target:
-				m.newer[x.ID] = true
+				m.targetReplicas[x.ID] = true
 				if x.AcceptsWork() {
 					ready = append(ready, x.ID)
 				}
 			case !r.view.Withheld(x.Service, x.Version, false, false):
-				m.older++
-				r.others[s.Service] = r.others[s.Service] || x.AcceptsWork()
+				m.otherCount++
+				r.othersReady[s.Service] = r.othersReady[s.Service] || x.AcceptsWork()
 			}
 		}
-		m.chosen = s.SelectReplicas(now, r.canary, ready)
+		m.selected = s.SelectReplicas(now, r.canaryShare, ready)
 		w.moves[s.Service] = m
-		r.moved[s.Service] = m.share >= 1
+		r.fullyShifted[s.Service] = m.share >= 1
 	}
 	for i := range w.all {
 		x := &w.all[i]
-		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.others[x.Service], r.moved[x.Service]) || r.poolHeld(w, x)
+		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.othersReady[x.Service], r.fullyShifted[x.Service]) || r.isHeldFromPool(w, x)
 	}
 }
 
-// poolHeld reports whether a pool's scheduler is to pass over a new replica for now.
-func (r *rollouts) poolHeld(w *world, x *catalog.Replica) bool {
+// isHeldFromPool reports whether a pool's scheduler must not use a target replica for now.
+func (r *rollouts) isHeldFromPool(w *world, x *catalog.Replica) bool {
 	m := w.moves[x.Service]
-	if m == nil || m.older == 0 || m.share >= 1 || !m.newer[x.ID] || w.config == nil {
+	if m == nil || m.otherCount == 0 || m.share >= 1 || !m.targetReplicas[x.ID] || w.config == nil {
 		return false
 	}
 	s := w.config.Services[x.Service]
-	return s != nil && s.Pool != nil && (!m.chosen[x.ID] || !r.open[x.Service])
+	return s != nil && s.Pool != nil && (!m.selected[x.ID] || !r.batchAllowed[x.Service])
 }
 
-// withholds reports whether a replica gets nothing by a roll-out.
-func (r *rollouts) withholds(x *catalog.Replica) bool {
+// withholdsWork reports whether a rollout keeps all work from a replica.
+func (r *rollouts) withholdsWork(x *catalog.Replica) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.view.Empty() && r.view.Withheld(x.Service, x.Version, r.others[x.Service], r.moved[x.Service])
+	return !r.view.Empty() && r.view.Withheld(x.Service, x.Version, r.othersReady[x.Service], r.fullyShifted[x.Service])
 }
 
-// mayNewer reports whether so many requests on a route may go to a service's new
-// version now.
-func (r *rollouts) mayNewer(m *move, route string, n int) bool {
-	if m == nil || len(m.chosen) == 0 {
+// allowsTarget reports whether count requests on a route may go to a service's
+// target version now.
+func (r *rollouts) allowsTarget(m *trafficShift, route string, count int) bool {
+	if m == nil || len(m.selected) == 0 {
 		return false
 	}
-	if m.older == 0 {
-		return true // there is nothing else
+	if m.otherCount == 0 {
+		return true // no replicas of other versions exist
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Allows(m.order, route, m.share, n)
+	return r.ledger.Allows(m.order, route, m.share, count)
 }
 
-// maySend reports, right before the send, whether requests on a route may go to
-// a replica, and counts them.
-func (r *rollouts) maySend(m *move, route, replica string, n int) bool {
+// tryRecordSend reports whether requests on a route may go to a replica, and counts
+// them if so. It is called right before they are sent.
+func (r *rollouts) tryRecordSend(m *trafficShift, route, replica string, count int) bool {
 	if m == nil {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	newer := m.newer[replica]
-	if newer && m.older > 0 && !r.ledger.Allows(m.order, route, m.share, n) {
+	toTarget := m.targetReplicas[replica]
+	if toTarget && m.otherCount > 0 && !r.ledger.Allows(m.order, route, m.share, count) {
 		return false
 	}
-	r.ledger.Record(m.order, route, m.share, n, newer)
-	r.seen(m.order).own.Sent += n
+	r.ledger.Record(m.order, route, m.share, count, toTarget)
+	r.progress(m.order).ownReport.Sent += count
 	return true
 }
 
-// enter counts a request that is about to be sent to a replica; the function
-// that it returns must be called when it has ended.
-func (r *rollouts) enter(x *catalog.Replica, bound bool) (leave func()) {
+// startRequest counts a request that is about to be sent to a replica. The caller
+// must call finish when the request has ended.
+func (r *rollouts) startRequest(x *catalog.Replica, pinned bool) (finish func()) {
 	id, service, version := x.ID, x.Service, x.Version
-	add := func(x int) {
+	add := func(delta int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		h := r.held[id]
+		h := r.inFlight[id]
 		if h == nil {
-			h = &held{service: service, version: version}
-			r.held[id] = h
+			h = &replicaInFlight{service: service, version: version}
+			r.inFlight[id] = h
 		}
-		h.all += x
-		if bound {
-			h.bound += x
+		h.total += delta
+		if pinned {
+			h.pinned += delta
 		}
-		if h.all == 0 {
-			delete(r.held, id)
+		if h.total == 0 {
+			delete(r.inFlight, id)
 		}
 	}
 	add(1)
 	return func() { add(-1) }
 }
 
-// report returns what this life has to tell of an order. It needs mu.
-func (r *rollouts) report(s *rollout.OrderState) rollout.Report {
-	o := r.seen(s.Revision)
-	o.own.Sequence++
-	rep := o.own
-	rep.FullyShifted = r.moved[s.Service]
-	for _, h := range r.held {
+// buildReport returns this incarnation's next report on an order. The caller holds mu.
+func (r *rollouts) buildReport(s *rollout.OrderState) rollout.Report {
+	o := r.progress(s.Revision)
+	o.ownReport.Sequence++
+	rep := o.ownReport
+	rep.FullyShifted = r.fullyShifted[s.Service]
+	for _, h := range r.inFlight {
 		if h.service == s.Service && h.version != s.Target {
-			rep.InFlight += h.all
-			rep.Pinned += h.bound
+			rep.InFlight += h.total
+			rep.Pinned += h.pinned
 		}
 	}
-	rep.Rows = maps.Clone(o.own.Rows)
+	rep.Rows = maps.Clone(o.ownReport.Rows)
 	for k, t := range rep.Rows {
 		c := *t
 		rep.Rows[k] = &c
@@ -159,50 +159,51 @@
 	return rep
 }
 
-// sides parts replicas of the request's service in a roll-out: the new ones that
-// it may go to, and the old ones.
-func (s *serving) sides(w *world, all []catalog.Replica) (newer, older []catalog.Replica) {
+// splitByTarget splits replicas of the request's service by its rollout: those of the
+// target version that the request may go to, and those of other versions.
+func (s *serving) splitByTarget(w *world, replicas []catalog.Replica) (target, others []catalog.Replica) {
 	m := w.moves[s.service.Name]
 	if m == nil {
-		return nil, all
+		return nil, replicas
 	}
-	may := s.mayNewer(w)
-	for _, r := range all {
+	allowed := s.allowsTarget(w)
+	for _, r := range replicas {
 		switch {
-		case !m.newer[r.ID]:
-			older = append(older, r)
-		case may && m.chosen[r.ID]:
-			newer = append(newer, r)
+		case !m.targetReplicas[r.ID]:
+			others = append(others, r)
+		case allowed && m.selected[r.ID]:
+			target = append(target, r)
 		}
 	}
-	return newer, older
+	return target, others
 }
 
-// mayNewer reports whether the request may go to its service's new version. One
-// that comes again goes to an old replica, where there is one.
-func (s *serving) mayNewer(w *world) bool {
+// allowsTarget reports whether the request may go to its service's target version.
+// Until all requests go there, a retry goes to a replica of another version if there is
+// one.
+func (s *serving) allowsTarget(w *world) bool {
 	m := w.moves[s.service.Name]
 	if m == nil {
 		return false
 	}
-	if m.share < 1 && m.older > 0 && len(s.tried)+len(s.avoid) > 0 {
+	if m.share < 1 && m.otherCount > 0 && len(s.tried)+len(s.avoid) > 0 {
 		return false
 	}
-	return s.node.rollouts.mayNewer(m, s.route.Name, 1)
+	return s.node.rollouts.allowsTarget(m, s.route.Name, 1)
 }
 
-// aside returns the engines of a service that a request is kept from by a roll-out.
-func (w *world) aside(service string, newer bool) []string {
+// excludedByRollout returns the engines of a service that a rollout keeps a request from.
+func (w *world) excludedByRollout(service string, allowTarget bool) []string {
 	m := w.moves[service]
-	if m == nil || m.older == 0 {
+	if m == nil || m.otherCount == 0 {
 		return nil
 	}
-	if !newer {
-		return slices.Collect(maps.Keys(m.newer))
+	if !allowTarget {
+		return slices.Collect(maps.Keys(m.targetReplicas))
 	}
 	var out []string
 	for _, r := range w.services[service] {
-		if !m.chosen[r.ID] {
+		if !m.selected[r.ID] {
 			out = append(out, r.ID)
 		}
 	}
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -18,88 +18,88 @@
 )
 
 const (
-	lookEach     = 100 * time.Millisecond // between looks at the roll-outs: a quarter of a step of their shares
-	judges       = 3                      // instances that judge an order; two may be lost at once and it goes on at the next heartbeat
-	leadPatience = 700 * time.Millisecond // that the next in line waits for the one before it: three heartbeats
-	logJudged    = time.Second            // between log lines of a judgement
+	rolloutInterval      = 100 * time.Millisecond // interval of rollout updates: a quarter of the interval at which shares increase
+	maxJudges            = 3                      // instances that judge an order; a rollout survives the loss of two at once until the next heartbeat
+	leadTimeout          = 700 * time.Millisecond // time after which the next judge takes over from the one before it: three heartbeats
+	judgementLogInterval = time.Second            // interval between log lines of an unchanged verdict
 )
 
-// followRollouts keeps the roll-outs going while any is ordered: shares that
-// change with time, reports to those who judge, judgement, and the next step.
+// followRollouts drives the active rollouts: it updates shares that change with
+// time, sends reports to the judges, judges, and takes the next step.
 func (n *Node) followRollouts(ctx context.Context) {
-	look := 0
-	shares := make(map[string]rolloutShare)
-	process.Every(ctx, lookEach, func() {
+	ticks := 0
+	loggedShares := make(map[string]loggedShare)
+	process.Every(ctx, rolloutInterval, func() {
 		n.rollouts.mu.Lock()
-		standing := n.rollouts.view.Active()
-		led := n.rollouts.view.Unfinished(n.now())
+		active := n.rollouts.view.Active()
+		unfinished := n.rollouts.view.Unfinished(n.now())
 		n.rollouts.mu.Unlock()
-		if len(standing)+len(led) == 0 {
+		if len(active)+len(unfinished) == 0 {
 			return
 		}
-		if n.openPools(standing) || n.sharesChange(standing, shares) {
+		if n.updateBatchAllowed(active) || n.sharesChanged(active, loggedShares) {
 			n.publish()
-			n.logShares(standing, shares)
+			n.logShareChanges(active, loggedShares)
 		}
-		look++
+		ticks++
 		alive := n.alive()
-		for i := range led {
-			s := &led[i]
+		for i := range unfinished {
+			s := &unfinished[i]
 			ranked := rankJudges(s.Service, alive)
-			if look%int(beatEach/lookEach) == 0 && s.Phase < rollout.Rejected {
-				n.reportTo(s, ranked)
+			if ticks%int(beatEach/rolloutInterval) == 0 && s.Phase < rollout.Rejected {
+				n.sendRolloutReport(s, ranked)
 			}
-			n.lead(s, ranked)
+			n.leadRollout(s, ranked)
 		}
 	})
 }
 
-// rolloutShare is how a service's requests are parted.
-type rolloutShare struct {
-	order  uint64
-	share  float64
-	chosen int
+// loggedShare is the traffic share of a service's rollout that was last logged.
+type loggedShare struct {
+	order    uint64
+	share    float64
+	selected int
 }
 
-// sharesChange reports whether the world in force parts requests by older shares.
-func (n *Node) sharesChange(standing []rollout.OrderState, shares map[string]rolloutShare) bool {
+// sharesChanged reports whether the current world uses outdated shares.
+func (n *Node) sharesChanged(active []rollout.OrderState, logged map[string]loggedShare) bool {
 	now, w := n.now(), n.world.Load()
-	for i := range standing {
-		m := w.moves[standing[i].Service]
-		if standing[i].IsFinished(now) {
+	for i := range active {
+		m := w.moves[active[i].Service]
+		if active[i].IsFinished(now) {
 			if m != nil {
 				return true
 			}
 			continue
 		}
-		if m == nil || m.order != standing[i].Revision || m.share != standing[i].Share(now, n.rollouts.canary) {
+		if m == nil || m.order != active[i].Revision || m.share != active[i].Share(now, n.rollouts.canaryShare) {
 			return true
 		}
-		if old := shares[standing[i].Service]; old.order != m.order || old.share != m.share || old.chosen != len(m.chosen) {
+		if old := logged[active[i].Service]; old.order != m.order || old.share != m.share || old.selected != len(m.selected) {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) logShares(standing []rollout.OrderState, shares map[string]rolloutShare) {
+func (n *Node) logShareChanges(active []rollout.OrderState, logged map[string]loggedShare) {
 	w := n.world.Load()
-	for i := range standing {
-		m := w.moves[standing[i].Service]
+	for i := range active {
+		m := w.moves[active[i].Service]
 		if m == nil {
 			continue
 		}
-		now := rolloutShare{order: m.order, share: m.share, chosen: len(m.chosen)}
-		if shares[standing[i].Service] != now {
-			shares[standing[i].Service] = now
-			event.RolloutShare.Log(n.log, "service", standing[i].Service, "target", m.target, "order", m.order, "share", m.share, "replicas", len(m.chosen))
+		now := loggedShare{order: m.order, share: m.share, selected: len(m.selected)}
+		if logged[active[i].Service] != now {
+			logged[active[i].Service] = now
+			event.RolloutShare.Log(n.log, "service", active[i].Service, "target", m.target, "order", m.order, "share", m.share, "replicas", len(m.selected))
 		}
 	}
 }
 
-// openPools finds out for which pools their new version may get a whole call,
-// and reports whether that has changed.
-func (n *Node) openPools(standing []rollout.OrderState) bool {
+// updateBatchAllowed updates for which pools the target version may get a full
+// batch, and reports whether that has changed.
+func (n *Node) updateBatchAllowed(active []rollout.OrderState) bool {
 	w := n.world.Load()
 	if w.config == nil {
 		return false
@@ -108,40 +108,40 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
-	for _, s := range standing {
+	for _, s := range active {
 		service, m := w.config.Services[s.Service], w.moves[s.Service]
 		if service == nil || service.Pool == nil || m == nil {
 			continue
 		}
-		open := r.ledger.Allows(m.order, "", m.share, service.Pool.MaxBatch)
-		changed = changed || open != r.open[s.Service]
-		r.open[s.Service] = open
+		allowed := r.ledger.Allows(m.order, "", m.share, service.Pool.MaxBatch)
+		changed = changed || allowed != r.batchAllowed[s.Service]
+		r.batchAllowed[s.Service] = allowed
 	}
 	return changed
 }
 
-// rankJudges returns the instances that judge a service's roll-outs, the one that leads first.
+// rankJudges returns the instances that judge a service's rollouts, the leader first.
 func rankJudges(service string, alive []gossip.Instance) []gossip.Instance {
 	out := slices.DeleteFunc(slices.Clone(alive), func(i gossip.Instance) bool { return i.Leaving })
 	slices.SortFunc(out, func(a, b gossip.Instance) int {
 		return cmp.Compare(rendezvous.Weight(service, b.Name), rendezvous.Weight(service, a.Name))
 	})
-	return out[:min(len(out), judges)]
+	return out[:min(len(out), maxJudges)]
 }
 
-// reportTo tells those who judge an order what this instance has seen of it.
-func (n *Node) reportTo(s *rollout.OrderState, ranked []gossip.Instance) {
+// sendRolloutReport sends this instance's report on an order to its judges.
+func (n *Node) sendRolloutReport(s *rollout.OrderState, ranked []gossip.Instance) {
 	n.gossipMu.Lock()
 	self := newsOf(n.members.Self())
 	n.gossipMu.Unlock()
 	n.rollouts.mu.Lock()
-	parts := reportNews(s.Revision, n.rollouts.report(s))
+	messages := reportMessages(s.Revision, n.rollouts.buildReport(s))
 	n.rollouts.mu.Unlock()
-	for _, part := range parts {
-		h := &pb.Heartbeat{News: []*pb.InstanceNews{self}, Rollouts: &pb.Rollouts{Reports: []*pb.RolloutReport{part}}}
+	for _, message := range messages {
+		h := &pb.Heartbeat{News: []*pb.InstanceNews{self}, Rollouts: &pb.Rollouts{Reports: []*pb.RolloutReport{message}}}
 		b, err := datagram.Encode(h)
 		if err != nil {
-			event.NodeMessageBroken.Log(n.log, "what", "report of a roll-out", "from", n.settings.Name, "error", err)
+			event.NodeMessageBroken.Log(n.log, "what", "rollout report", "from", n.settings.Name, "error", err)
 			return
 		}
 		for _, i := range ranked {
@@ -152,69 +152,69 @@
 	}
 }
 
-// lead judges an order and takes its next step, if this instance is one of those
-// who do. Two that believe to lead do no harm: phases only rise, and a status is
-// written under a condition.
-func (n *Node) lead(s *rollout.OrderState, ranked []gossip.Instance) {
+// leadRollout judges an order and takes its next step if this instance is one of its
+// judges. Two leaders at once do no harm: phases never decrease, and the status is
+// written by compare-and-swap.
+func (n *Node) leadRollout(s *rollout.OrderState, ranked []gossip.Instance) {
 	r := n.rollouts
 	now := n.now()
 	rank := slices.IndexFunc(ranked, func(i gossip.Instance) bool { return i.Name == n.settings.Name })
 	r.mu.Lock()
-	o := r.seen(s.Revision)
-	isNew := rank != o.rank
+	o := r.progress(s.Revision)
+	rankChanged := rank != o.rank
 	o.rank = rank
 	ended := s.Phase >= rollout.Rejected && o.status.Ended()
 	r.mu.Unlock()
-	if isNew {
+	if rankChanged {
 		event.RolloutLeads.Log(n.log, "service", s.Service, "order", s.Revision, "rank", rank)
 	}
 	if rank < 0 || ended {
 		return
 	}
-	facts := n.rolloutFacts(now, s)
-	step := rollout.Decide(now, facts)
-	if step.SetPhase == rollout.Rejected { // whoever sees it says so
-		n.say(s, rollout.Rejected)
+	inputs := n.rolloutInputs(now, s)
+	step := rollout.Decide(now, inputs)
+	if step.SetPhase == rollout.Rejected { // any judge may reject, not only the leader
+		n.setRolloutPhase(s, rollout.Rejected)
 	}
 	r.mu.Lock()
 	if step.ReadStatus != o.step.ReadStatus || step.SetPhase != o.step.SetPhase || step.WriteState != o.step.WriteState {
-		o.due = now
+		o.stepSince = now
 	}
-	waits := step.Reason != o.step.Reason && step.Reason != ""
+	newReason := step.Reason != o.step.Reason && step.Reason != ""
 	o.step = step
-	acts := now-o.due >= max(time.Duration(rank)*leadPatience, o.pause) && !o.calling
-	calls := acts && (step.ReadStatus || step.WriteState != rollout.None)
-	o.calling = o.calling || calls
+	due := now-o.stepSince >= max(time.Duration(rank)*leadTimeout, o.retryPause) && !o.callPending
+	callStore := due && (step.ReadStatus || step.WriteState != rollout.None)
+	o.callPending = o.callPending || callStore
 	r.mu.Unlock()
-	if waits && rank == 0 {
+	if newReason && rank == 0 {
 		event.RolloutWaits.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "why", step.Reason, "age", now-s.OrderedAt)
 	}
-	if acts && step.SetPhase > s.Phase {
-		n.say(s, step.SetPhase)
+	if due && step.SetPhase > s.Phase {
+		n.setRolloutPhase(s, step.SetPhase)
 	}
-	if calls {
-		go n.callRollout(*s, facts.Status, step)
+	if callStore {
+		go n.syncRolloutStatus(*s, inputs.Status, step)
 	}
 }
 
-func (n *Node) say(s *rollout.OrderState, w rollout.Phase) {
-	n.order(n.settings.Name, func(now time.Duration, v *rollout.View) []rollout.Change { return v.SetPhase(now, s.Revision, w) })
+func (n *Node) setRolloutPhase(s *rollout.OrderState, phase rollout.Phase) {
+	n.changeRollouts(n.settings.Name, func(now time.Duration, v *rollout.View) []rollout.Change { return v.SetPhase(now, s.Revision, phase) })
 }
 
-// rolloutFacts gathers what is known of an order, and judges it.
-func (n *Node) rolloutFacts(now time.Duration, s *rollout.OrderState) *rollout.Inputs {
+// rolloutInputs collects the inputs for the decision on an order, and judges it.
+func (n *Node) rolloutInputs(now time.Duration, s *rollout.OrderState) *rollout.Inputs {
 	w := n.world.Load()
 	r := n.rollouts
 	alive := n.alive()
-	f := &rollout.Inputs{Order: *s, Slack: r.slack}
-	f.Configured = w.config != nil && w.config.Services[s.Service] != nil
+	in := &rollout.Inputs{Order: *s, Slack: r.canarySlack}
+	in.Configured = w.config != nil && w.config.Services[s.Service] != nil
 	for _, x := range w.all {
 		switch {
 		case x.Service != s.Service || x.Draining || x.HallDrained:
 		case x.Version != s.Target:
-			f.OldReady++
+			in.OldReady++
 		case x.WarmingUntil <= now:
-			f.NewReady++
+			in.NewReady++
 		}
 	}
 	n.gossipMu.Lock()
@@ -222,65 +222,65 @@
 	n.gossipMu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.seen(s.Revision)
-	o.reports.Merge(self.Name, self.Incarnation, r.report(s))
+	o := r.progress(s.Revision)
+	o.reports.Merge(self.Name, self.Incarnation, r.buildReport(s))
 	rows, sent, longest := o.reports.Sums()
-	f.Status, f.Sent, f.LongestRequest = o.status, sent, longest
+	in.Status, in.Sent, in.LongestRequest = o.status, sent, longest
 	for _, i := range alive {
 		rep, ok := o.reports.Latest(i.Name, i.Incarnation)
 		if !ok || !rep.FullyShifted {
-			f.Lagging++
+			in.Lagging++
 		}
-		f.Pinned += rep.Pinned
-		f.InFlight += rep.InFlight
+		in.Pinned += rep.Pinned
+		in.InFlight += rep.InFlight
 	}
-	before := o.judge.Latest()
-	f.Judgement = o.judge.Observe(now, rows, s.Phase == rollout.Promoted)
-	if f.Judgement.Verdict != before.Verdict || now-o.logged >= logJudged && s.Phase < rollout.Rejected {
-		o.logged = now
-		n.logJudgement(now, s, &f.Judgement)
+	previous := o.judge.Latest()
+	in.Judgement = o.judge.Observe(now, rows, s.Phase == rollout.Promoted)
+	if in.Judgement.Verdict != previous.Verdict || now-o.loggedAt >= judgementLogInterval && s.Phase < rollout.Rejected {
+		o.loggedAt = now
+		n.logJudgement(now, s, &in.Judgement)
 	}
-	return f
+	return in
 }
 
 func (n *Node) logJudgement(now time.Duration, s *rollout.OrderState, j *rollout.Judgement) {
-	x := j.Worst()
+	worst := j.Worst()
 	event.RolloutJudged.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "verdict", j.Verdict, "why", j.Reason,
-		"route", x.Route, "new", x.New, "new_bad", x.NewBad, "old", x.Old, "old_bad", x.OldBad, "granted", x.GrantedRate,
-		"against", x.Against, "accepted", x.Accepted, "age", now-s.OrderedAt)
+		"route", worst.Route, "new", worst.New, "new_bad", worst.NewBad, "old", worst.Old, "old_bad", worst.OldBad, "granted", worst.GrantedRate,
+		"against", worst.Against, "accepted", worst.Accepted, "age", now-s.OrderedAt)
 }
 
-// callRollout reads or writes an order's status. After a write it is read
-// again, whatever became of it, before anything else is decided.
-func (n *Node) callRollout(s rollout.OrderState, status rollout.Status, step rollout.Step) {
-	did := "read"
+// syncRolloutStatus reads or writes an order's status in the store. After a write,
+// successful or not, it reads the status again before the next decision.
+func (n *Node) syncRolloutStatus(s rollout.OrderState, status rollout.Status, step rollout.Step) {
+	operation := "read"
 	var err error
 	if step.ReadStatus {
 		status, err = n.store.RolloutStatus(s.Order)
 	} else {
-		did = "write " + step.WriteState.String()
+		operation = "write " + step.WriteState.String()
 		err = n.store.WriteRollout(s, status, step.WriteState)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
-			n.logRolloutCall(&s, did, status, err)
+			n.logRolloutStatus(&s, operation, status, err)
 		}
 		status, err = n.store.RolloutStatus(s.Order)
 	}
-	n.logRolloutCall(&s, did, status, err)
+	n.logRolloutStatus(&s, operation, status, err)
 	r := n.rollouts
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.seen(s.Revision)
-	o.status, o.calling = status, false
-	o.due, o.pause = n.now(), 0
+	o := r.progress(s.Revision)
+	o.status, o.callPending = status, false
+	o.stepSince, o.retryPause = n.now(), 0
 	if err != nil {
-		o.wait = min(max(2*o.wait, retryFirst), retryMost)
-		o.pause = o.wait
+		o.backoff = min(max(2*o.backoff, retryFirst), retryMost)
+		o.retryPause = o.backoff
 		return
 	}
-	o.wait = 0
+	o.backoff = 0
 }
 
-func (n *Node) logRolloutCall(s *rollout.OrderState, did string, status rollout.Status, err error) {
-	event.RolloutStatus.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "did", did,
+func (n *Node) logRolloutStatus(s *rollout.OrderState, operation string, status rollout.Status, err error) {
+	event.RolloutStatus.Log(n.log, "service", s.Service, "target", s.Target, "order", s.Revision, "did", operation,
 		"state", status.State, "revision", status.Revision, "error", err)
 }
--- a/cmd/node/rollout_state.go
+++ b/cmd/node/rollout_state.go
@@ -32,10 +32,10 @@
 	defer r.mu.Unlock()
 	var out []RolloutState
 	for _, s := range r.view.Active() {
-		o := r.seen(s.Revision)
+		o := r.progress(s.Revision)
 		out = append(out, RolloutState{
 			Service: s.Service, Target: s.Target, Order: s.Revision, Phase: s.Phase.String(),
-			Age: (now - s.OrderedAt).Round(time.Millisecond).String(), TimeLimit: s.TimeLimit.String(), Share: s.Share(now, r.canary), Sent: o.own.Sent,
+			Age: (now - s.OrderedAt).Round(time.Millisecond).String(), TimeLimit: s.TimeLimit.String(), Share: s.Share(now, r.canaryShare), Sent: o.ownReport.Sent,
 			Rank: o.rank, Status: o.status.State.String(), WaitReason: o.step.Reason, Judgement: o.judge.Latest(),
 		})
 	}
--- a/cmd/node/rollout_test.go
+++ b/cmd/node/rollout_test.go
@@ -22,8 +22,9 @@
 	return w
 }
 
-// An order back to the version that runs, while another one was being rolled out: there is nothing else, so it gets everything.
-func TestAnOrderBackServes(t *testing.T) {
+// An order back to the running version during a rollout of another one: no other version
+// may serve, so the running one must get all requests in every phase.
+func TestOrderBackToRunningVersionServes(t *testing.T) {
 	is := is.New(t)
 	r := newRollouts(&platform.Settings{CanaryShare: 0.1, CanarySlack: 50})
 	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
@@ -32,37 +33,38 @@
 	for _, phase := range []rollout.Phase{rollout.Pending, rollout.Canary, rollout.Promoted} {
 		r.view.SetPhase(3, 5, phase)
 		w := worldOf("v1", "v1", "v2")
-		r.part(4, w)
+		r.applyTo(4, w)
 		for _, x := range w.all {
 			is.Equal(x.AcceptsWork(), x.Version == "v1")
 		}
 		for range 10 {
-			is.True(r.mayNewer(w.moves["s"], "a", 1))
-			is.True(r.maySend(w.moves["s"], "a", "r0", 1))
+			is.True(r.allowsTarget(w.moves["s"], "a", 1))
+			is.True(r.tryRecordSend(w.moves["s"], "a", "r0", 1))
 		}
 	}
 }
 
-// All old replicas of a service in one hall that is emptied: the new version still gets no more than its part.
-func TestEmptiedOldReplicasDoNotOpenTheGate(t *testing.T) {
+// If all old replicas of a service are in a drained hall, the new version must still get
+// no more than its share.
+func TestDrainedOldReplicasDoNotRaiseShare(t *testing.T) {
 	is := is.New(t)
 	r := newRollouts(&platform.Settings{CanaryShare: 0.1, CanarySlack: 50})
 	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	r.view.SetPhase(1, 3, rollout.Canary)
 	w := worldOf("v1", "v2", "v2")
 	w.all[0].HallDrained = true
-	r.part(4, w)
+	r.applyTo(4, w)
 	sent := 0
 	for range 100 {
-		if r.maySend(w.moves["s"], "a", "r1", 1) {
+		if r.tryRecordSend(w.moves["s"], "a", "r1", 1) {
 			sent++
 		}
 	}
 	is.True(sent <= 1)
 }
 
-// A report of many rows is told in parts that each fit a packet, all of it.
-func TestALongReportFits(t *testing.T) {
+// A report with many rows is split into messages that each fit a packet, without loss.
+func TestLongReportFitsPackets(t *testing.T) {
 	is := is.New(t)
 	rep := rollout.Report{Sequence: 1, Rows: make(map[rollout.RowKey]*rollout.Tally)}
 	for i := range 200 {
@@ -73,7 +75,7 @@
 		rep.Rows[rollout.RowKey{Route: "claim-dossier-review", Replica: fmt.Sprint("i-7f3a91c2-", i)}] = tally
 	}
 	reports := rollout.NewReports()
-	for _, p := range reportNews(3, rep) {
+	for _, p := range reportMessages(3, rep) {
 		is.True(proto.Size(p) < packFrom)
 		reports.Merge("n1", 1, reportOf(p))
 	}
@@ -81,21 +83,21 @@
 	is.Equal(len(rows), 200)
 }
 
-// A peer tells the same of a replica in each report while the replica starts again
-// and again: it is counted once.
-func TestAReportIsCountedOnceWhateverStartsAgain(t *testing.T) {
+// A peer repeats the same report while the replica restarts several times: its answers
+// must be counted once.
+func TestReportIsCountedOnceAcrossRestarts(t *testing.T) {
 	is := is.New(t)
 	n := nodeOfTwo()
 	n.rollouts.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	rep := rollout.Report{Sequence: 1, Rows: map[rollout.RowKey]*rollout.Tally{{Route: "a", Replica: "v0"}: {Failed: 1}}}
-	told := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: reportNews(3, rep)}}
-	for _, life := range []string{"v0", "v0@1", "v0@2", "v0@3"} {
+	heartbeat := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: reportMessages(3, rep)}}
+	for _, incarnation := range []string{"v0", "v0@1", "v0@2", "v0@3"} {
 		w := *n.world.Load()
-		w.lifeByName = map[string]string{"v0": life}
+		w.lifeByName = map[string]string{"v0": incarnation}
 		n.world.Store(&w)
-		n.takeRollouts(told)
+		n.mergeRollouts(heartbeat)
 	}
-	rows, _, _ := n.rollouts.seen(3).reports.Sums()
+	rows, _, _ := n.rollouts.progress(3).reports.Sums()
 	failed := 0
 	for _, tally := range rows {
 		failed += int(tally.Failed)
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -50,7 +50,7 @@
 	record      *outcome.Record
 	end         time.Duration          // by when it must be answered, by the process's clock
 	look        *look                  // whether the replica of its last attempt has ended; nil: nobody asked
-	trial       *trial                 // its turn, once it is a suspect
+	trial       *trialLease            // its turn, once it is a suspect
 	fingerprint quarantine.Fingerprint // of what its caller repeats when it comes again
 
 	job     *stageJob
@@ -132,7 +132,7 @@
 			s.rank = customer.Priority*rankStep + route.Priority
 		}
 	}
-	if !n.takes(route.Kind == catalog.Stream) {
+	if !n.acceptsRequest(route.Kind == catalog.Stream) {
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
 	s.service = world.config.Services[route.PickService(platform.Hash(req.ID))]
@@ -173,8 +173,8 @@
 func (s *serving) rates(f func(*serviceRates)) {
 	n := s.node
 	instances := float64(n.size())
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	r := n.rates[s.service.Name]
 	if r == nil {
 		slack := n.settings.RetrySlack * shareOfSlack / instances
@@ -195,8 +195,8 @@
 // came reports whether the client's deadline says that it came back.
 func (s *serving) came() bool {
 	n := s.node
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	return n.deadlines.cameBack(s.route.Name, s.req.Deadline)
 }
 
@@ -253,9 +253,9 @@
 func (s *serving) clear(ctx context.Context) error {
 	verdict := s.node.verdict(s.fingerprint)
 	if verdict == quarantine.Suspect && s.trial == nil {
-		t, err := s.node.turn(ctx, s.fingerprint)
+		t, err := s.node.acquireTrial(ctx, s.fingerprint)
 		if err != nil {
-			s.node.counters.noTurn.Inc(1)
+			s.node.counters.trialsDenied.Inc(1)
 			return err
 		}
 		s.trial = t
@@ -263,8 +263,8 @@
 		event.NodeTries.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
 	}
 	if verdict == quarantine.Quarantined {
-		s.node.counters.condemned.Inc(1)
-		return errCondemned
+		s.node.counters.quarantined.Inc(1)
+		return errQuarantined
 	}
 	return nil
 }
@@ -276,11 +276,11 @@
 	switch {
 	case t == nil:
 	case l == nil:
-		t.end()
+		t.release()
 	default:
 		go func() {
 			s.node.awaitLook(context.Background(), l)
-			t.end()
+			t.release()
 		}()
 	}
 }
@@ -311,7 +311,7 @@
 		s.redone++
 		return s.redone <= mostRedone && s.mayRepeat()
 	case errors.Is(err, errNotRun):
-		if _, rests := s.node.statements.restsTo(s.node.now(), s.replica); !rests { // else it may run the request after that
+		if _, rests := s.node.advisories.restsTo(s.node.now(), s.replica); !rests { // else it may run the request after that
 			s.avoid[s.replica] = true
 		}
 		s.unsent++
--- a/cmd/node/silence_test.go
+++ b/cmd/node/silence_test.go
@@ -136,7 +136,7 @@
 		s := newFakeStore()
 		n.store = s
 		ctx, cancel := context.WithCancel(context.Background())
-		n.reads.Store(true)
+		n.isReader.Store(true)
 		var loops sync.WaitGroup
 		for _, loop := range []func(context.Context){n.followIntent, n.followReplicas, n.feelPulse} {
 			loops.Go(func() { loop(ctx) })
@@ -183,10 +183,10 @@
 func TestWhoBeginsToReadInASilenceIsNotLate(t *testing.T) {
 	for phase := time.Duration(0); phase < pulseEach; phase += 100 * time.Millisecond {
 		follower(t, func(t *testing.T, n *Node, s *fakeStore) {
-			n.reads.Store(false)
+			n.isReader.Store(false)
 			time.Sleep(10*time.Second + phase) // what it had asked as a reader has ended
 			s.setSilent(true)
-			n.reads.Store(true)
+			n.isReader.Store(true)
 			time.Sleep(300 * time.Millisecond)
 			s.setSilent(false)
 			s.write(2)
@@ -232,7 +232,7 @@
 		s.setSilent(true)
 		time.Sleep(pulseEach + pulseFor + roleLook)
 		is.True(blind())
-		n.reads.Store(false) // another one has taken over
+		n.isReader.Store(false) // another one has taken over
 		time.Sleep(time.Minute)
 		is.True(blind())
 		s.setSilent(false)
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -154,7 +154,7 @@
 		}
 		var refused *refusedError
 		var failed *failedError
-		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errNarrowed) || errors.Is(err, errCondemned) || ctx.Err() != nil {
+		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errNarrowed) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
 			return nil, err
 		}
 		event.NodeOwnerLost.Log(n.log, "owner", to.Name, "request", ask.RequestId, "error", err)
@@ -205,7 +205,7 @@
 		return n.askSelf(ctx, w)
 	}
 	if to.Region != n.home {
-		n.counters.farBytes.stages.Inc(int64(proto.Size(w.ask)))
+		n.counters.remoteBytes.stages.Inc(int64(proto.Size(w.ask)))
 	}
 	stream, err := n.links.Open(to.PeerAddress, frame.Stages, w.ask)
 	if err != nil {
@@ -263,7 +263,7 @@
 			case r.Failed != "":
 				job.end()
 				if r.Failed == whyCondemned {
-					return nil, errCondemned
+					return nil, errQuarantined
 				}
 				return nil, &failedError{why: r.Failed, after: time.Duration(r.RetryAfterUs) * time.Microsecond}
 			case r.Admitted:
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -60,9 +60,9 @@
 	RoundTrip string `json:"Trip"` // recent round-trip time
 }
 
-// mostSharesTold limits the customers of a pool in the dump; throttled ones are
+// maxReportedShares limits the customers of a pool in the dump; throttled ones are
 // listed in addition.
-const mostSharesTold = 10
+const maxReportedShares = 10
 
 // CellState is a cell that this node has owned.
 type CellState struct {
@@ -87,7 +87,7 @@
 	if n.settings.MetricsPort == 0 {
 		return nil
 	}
-	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, Acquit: n.acquit}
+	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, Acquit: n.releaseFingerprint}
 	server, err := web.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort)), admin.Handler, func(p any) {
 		event.NodePanicked.Log(n.log, "panic", p)
 	})
@@ -119,9 +119,9 @@
 		Uptime:            n.now().Round(time.Millisecond).String(),
 		Stopping:          n.stopping.Load(),
 		InFlight:          n.inFlight.Load(),
-		IsReader:          n.reads.Load(),
-		Resumes:           n.counters.wakes.Count(),
-		StoreUnresponsive: n.pulse.isSilent(),
+		IsReader:          n.isReader.Load(),
+		Resumes:           n.counters.resumes.Count(),
+		StoreUnresponsive: n.storeMonitor.isSilent(),
 		ListRevision:      n.listAt(),
 		Replicas:          make(map[string]int, len(w.services)),
 		Backoffs:          make(map[string]string),
@@ -129,10 +129,10 @@
 		PeerLinks:         n.links.Len(),
 		Customers:         n.customers.counts(),
 	}
-	n.statements.with(func(b *advisory.Tracker) {
-		s.Draining = b.Draining()
-		for life, until := range b.Backoffs(n.now()) {
-			s.Backoffs[life] = (until - n.now()).Round(time.Millisecond).String()
+	n.advisories.with(func(t *advisory.Tracker) {
+		s.Draining = t.Draining()
+		for incarnation, until := range t.Backoffs(n.now()) {
+			s.Backoffs[incarnation] = (until - n.now()).Round(time.Millisecond).String()
 		}
 	})
 	s.RateLimited = n.limitedStates(w)
@@ -140,7 +140,7 @@
 	s.FleetLevel = n.level.inForce()
 	s.PendingFeatures = level.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
-	s.DrainedHalls = n.emptied.Halls()
+	s.DrainedHalls = n.drainedHalls.Halls()
 	n.followMu.Unlock()
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
@@ -165,12 +165,12 @@
 	for _, c := range n.owner.all() {
 		c.mu.Lock()
 		engines := make(map[string]speed.Figures)
-		for service, known := range c.engines.Speeds() {
-			engines[service] = known.Figures()
+		for service, engineSpeed := range c.engines.Speeds() {
+			engines[service] = engineSpeed.Figures()
 		}
 		s.Cells = append(s.Cells, CellState{
 			Number: c.number, Jobs: c.scheduler.Jobs(), Calls: len(c.calls), Streams: c.engines.Running(), Pools: c.scheduler.Pools(n.now()),
-			Engines: engines, Shares: c.scheduler.TopCustomers(n.now(), mostSharesTold),
+			Engines: engines, Shares: c.scheduler.TopCustomers(n.now(), maxReportedShares),
 		})
 		c.mu.Unlock()
 	}
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -100,7 +100,7 @@
 	if h.Rest > 0 {
 		n.takeRest(from, h.Rest)
 	} else {
-		n.statements.with(func(b *advisory.Tracker) { b.RecordAnswer(turn) })
+		n.advisories.with(func(b *advisory.Tracker) { b.RecordAnswer(turn) })
 	}
 	return h
 }
@@ -108,8 +108,8 @@
 // noteUnread takes in a word of a service's replicas that nobody reads: it may ask
 // for something, and is to be noticed before it costs.
 func (n *Node) noteUnread(service, name, where string) {
-	n.counters.wordsUnread.Inc(1)
-	s := n.statements
+	n.counters.unknownFields.Inc(1)
+	s := n.advisories
 	s.mu.Lock()
 	word, isNew := s.unread.Record(service, name)
 	s.mu.Unlock()
@@ -122,7 +122,7 @@
 // nothing more from anybody for as long as it is listed.
 func (n *Node) takeLeaving(life, by string) {
 	isNew := false
-	n.statements.with(func(b *advisory.Tracker) { isNew = b.RecordDrain(n.now(), life) })
+	n.advisories.with(func(b *advisory.Tracker) { isNew = b.RecordDrain(n.now(), life) })
 	if !isNew {
 		return
 	}
@@ -134,12 +134,12 @@
 // Others may have been told nothing, or their own: to them it is a hint.
 func (n *Node) takeRest(from stater, length time.Duration) {
 	now, isNew := n.now(), false
-	n.statements.with(func(b *advisory.Tracker) { isNew = b.RecordBackoff(now, from.life, length) })
-	n.judgeMu.Lock()
-	n.judge.RecordBackoff(now, from.life, length)
-	n.judgeMu.Unlock()
+	n.advisories.with(func(b *advisory.Tracker) { isNew = b.RecordBackoff(now, from.life, length) })
+	n.detectorMu.Lock()
+	n.detector.RecordBackoff(now, from.life, length)
+	n.detectorMu.Unlock()
 	if isNew {
-		n.counters.rests.Inc(1)
+		n.counters.backoffs.Inc(1)
 		event.NodeReplicaRests.Log(n.log, "replica", from.life, "service", from.service, "for", length)
 	}
 }
@@ -151,7 +151,7 @@
 
 // sweepStatements takes in what time has changed of statements.
 func (n *Node) sweepStatements() {
-	s := n.statements
+	s := n.advisories
 	n.sweepLimits()
 	was := s.quiet
 	s.with(func(b *advisory.Tracker) { s.quiet = b.Empty() })
@@ -185,8 +185,8 @@
 	for _, life := range changes.Removed {
 		event.NodeReplicaLeft.Log(n.log, "replica", life)
 	}
-	n.counters.stated("leaving", leaving)
-	n.counters.stated("resting", resting)
+	n.counters.setReplicaGauges("leaving", leaving)
+	n.counters.setReplicaGauges("resting", resting)
 }
 
 // restingReplicas returns the replicas of a service that want nothing from this
@@ -194,7 +194,7 @@
 func (n *Node) restingReplicas(service string) []string {
 	now := n.now()
 	resting := make(map[string]time.Duration)
-	n.statements.with(func(b *advisory.Tracker) { resting = b.Backoffs(now) })
+	n.advisories.with(func(b *advisory.Tracker) { resting = b.Backoffs(now) })
 	if len(resting) == 0 {
 		return nil
 	}
@@ -212,7 +212,7 @@
 // for all of them.
 func (n *Node) heldFree(f pipeline.Free) bool {
 	now := n.now()
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until, rests := s.book.BackoffUntil(now, f.Replica)
@@ -237,7 +237,7 @@
 
 // freeHeld frees what was kept for a replica.
 func (n *Node) freeHeld(life string) {
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	f := s.free[life]
 	delete(s.free, life)
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -44,7 +44,7 @@
 			a.stream.headSent = true
 			a.first = a.since()
 			a.copyHead()
-			a.node.counters.status(a.x.Header.StatusCode()).Inc(1)
+			a.node.counters.answers(a.x.Header.StatusCode()).Inc(1)
 			a.w.WriteHeader(a.x.Header.StatusCode())
 		}
 		if first && a.job != nil {
--- a/cmd/node/telling_test.go
+++ b/cmd/node/telling_test.go
@@ -53,10 +53,10 @@
 	is.NoErr(err)
 	is.True(opened.Whole)
 	is.Equal(len(opened.Entries), 3000)
-	n.telling.left = 0 // as if it had waited
+	n.peerUpdates.left = 0 // as if it had waited
 	is.True(asked(t, n, 0) == first)
 	n.replicas.log.ApplyChanges([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
-	n.telling.left = 0
+	n.peerUpdates.left = 0
 	opened, err = openChanges(asked(t, n, 0))
 	is.NoErr(err)
 	is.Equal(len(opened.Entries), 3001)
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -16,7 +16,7 @@
 // being emptied, and which roll-outs are ordered.
 func (n *Node) followIntent(ctx context.Context) {
 	var at atomic.Uint64
-	f := follow{node: n, back: n.pulse.back, name: "intent", known: func() bool { return n.version() > 0 }}
+	f := follow{node: n, back: n.storeMonitor.back, name: "intent", known: func() bool { return n.version() > 0 }}
 	f.read = func() (func(), error) {
 		intent, err := n.store.Intent()
 		return func() {
@@ -37,7 +37,7 @@
 // takeIntent takes in what operators want as it was read whole. The halls and
 // the roll-outs come first: nothing is sent before a configuration is in force.
 func (n *Node) takeIntent(i platform.Intent) {
-	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
+	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Replace(now, i.Emptied, i.At)
 	})
 	n.replaceRollouts(i.Rollouts, i.At)
@@ -53,7 +53,7 @@
 			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Gone})
 		}
 	}
-	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
+	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Apply(now, entries, at)
 	})
 	n.applyRollouts(items, at)
@@ -107,7 +107,7 @@
 }
 
 func (n *Node) followReplicas(ctx context.Context) {
-	f := follow{node: n, back: n.pulse.back, name: "replicas", known: n.listKnown, resumes: true}
+	f := follow{node: n, back: n.storeMonitor.back, name: "replicas", known: n.listKnown, resumes: true}
 	f.read = func() (func(), error) {
 		items, at, err := n.store.Replicas()
 		return func() {
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -20,52 +20,54 @@
 	"quinceroad/protocol/pb"
 )
 
-// A suspect is tried at one place at a time over all instances: one of them,
-// by rendezvous over those heard of, is the arbiter of a fingerprint and gives
-// the turns. Two arbiters for a moment cost one more replica, no promise.
+// A suspect request is tried by one instance at a time. The arbiter of its
+// fingerprint, chosen by rendezvous hashing over the live instances, grants the trial
+// lease. If instances briefly disagree on the arbiter, one more replica may crash, but
+// no guarantee is broken.
 
 const (
-	trialWait    = time.Second // that a request waits for its turn: an answer's usual time, and callers wait longer
-	mostArbiters = 2           // asked for one turn
+	trialTimeout     = time.Second // wait for a trial lease: the usual duration of an answer; callers wait longer
+	maxArbitersAsked = 2           // arbiters asked for one trial lease
 )
 
-var errNoTurn = errors.New("the request is being tried elsewhere, as replicas have ended under it")
+var errNoTrial = errors.New("the request is being tried elsewhere, as replicas have ended under it")
 
-// trial is a suspect's turn; end gives it back and tells what it has shown.
-type trial struct{ end func() }
+// trialLease is the right to run a suspect request; release returns it and reports
+// the result to the arbiter.
+type trialLease struct{ release func() }
 
-// turn waits for the turn of a suspect.
-func (n *Node) turn(ctx context.Context, f quarantine.Fingerprint) (*trial, error) {
-	ctx, cancel := context.WithTimeout(ctx, trialWait)
+// acquireTrial waits for the trial lease of a suspect request.
+func (n *Node) acquireTrial(ctx context.Context, f quarantine.Fingerprint) (*trialLease, error) {
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	err := errNoTurn
+	err := errNoTrial
 	asked := 0
 	for _, arbiter := range n.arbiters(f) {
-		if asked == mostArbiters || ctx.Err() != nil {
+		if asked == maxArbitersAsked || ctx.Err() != nil {
 			break
 		}
 		if n.level.knowsNoTurns(arbiter) {
 			continue
 		}
-		var t *trial
-		if t, err = n.askTurn(ctx, arbiter, f); err == nil {
+		var t *trialLease
+		if t, err = n.requestTrial(ctx, arbiter, f); err == nil {
 			return t, nil
 		}
-		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // its build ends what it does not know
+		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // builds without trials close unknown streams
 			n.level.learnNoTurns(arbiter)
 			continue
 		}
 		asked++
-		if errors.Is(err, errNoTurn) {
+		if errors.Is(err, errNoTrial) {
 			return nil, err
 		}
-		event.NodeAsideFails.Log(n.log, "what", "turn of a suspect", "to", arbiter.Name, "error", err)
+		event.NodeAsideFails.Log(n.log, "what", "trial lease", "to", arbiter.Name, "error", err)
 	}
-	return nil, errors.Join(errNoTurn, err)
+	return nil, errors.Join(errNoTrial, err)
 }
 
-// arbiters returns the instances that are heard of, the arbiter of a
-// fingerprint first and then who follows it.
+// arbiters returns the live instances in the order in which they are arbiters of a
+// fingerprint.
 func (n *Node) arbiters(f quarantine.Fingerprint) []gossip.Instance {
 	key := strconv.FormatUint(uint64(f), 16)
 	all := n.alive()
@@ -82,9 +84,9 @@
 	return all
 }
 
-// askTurn asks an arbiter and waits until it gives the turn.
-func (n *Node) askTurn(ctx context.Context, arbiter gossip.Instance, f quarantine.Fingerprint) (*trial, error) {
-	ask := &pb.TrialAsk{Known: n.knownOf(f)}
+// requestTrial asks an arbiter for a trial lease and waits until it is granted.
+func (n *Node) requestTrial(ctx context.Context, arbiter gossip.Instance, f quarantine.Fingerprint) (*trialLease, error) {
+	ask := &pb.TrialAsk{Known: n.quarantineCase(f)}
 	stream, err := n.openTrial(arbiter, ask)
 	if err != nil {
 		return nil, err
@@ -95,13 +97,13 @@
 	if !stop() || err != nil {
 		_ = stream.Close()
 		if ctx.Err() != nil {
-			return nil, errNoTurn
+			return nil, errNoTrial
 		}
 		return nil, err
 	}
-	n.takeQuarantine([]*pb.QuarantineCase{reply.Known})
-	return &trial{end: sync.OnceFunc(func() {
-		_ = frame.Write(stream, frame.Trial, n.knownOf(f)) // a loss is made up for by heartbeats
+	n.mergeQuarantine([]*pb.QuarantineCase{reply.Known})
+	return &trialLease{release: sync.OnceFunc(func() {
+		_ = frame.Write(stream, frame.Trial, n.quarantineCase(f)) // if it is lost, heartbeats carry the same result
 		_ = stream.Close()
 	})}, nil
 }
@@ -111,80 +113,81 @@
 	if arbiter.Name != n.settings.Name {
 		return n.links.Open(arbiter.PeerAddress, frame.Trial, ask)
 	}
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	first, err := proto.Marshal(ask)
 	if err != nil {
 		return nil, err
 	}
 	go func() {
-		defer far.Close()
-		n.arbitrate(first, far)
+		defer serverEnd.Close()
+		n.serveTrial(first, serverEnd)
 	}()
-	return near, nil
+	return clientEnd, nil
 }
 
-func (n *Node) knownOf(f quarantine.Fingerprint) *pb.QuarantineCase {
+func (n *Node) quarantineCase(f quarantine.Fingerprint) *pb.QuarantineCase {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	e, ok := q.book.Lookup(n.now(), f)
+	e, ok := q.tracker.Lookup(n.now(), f)
 	if !ok {
 		e.Fingerprint = f
 	}
-	return caseOf(e)
+	return caseMessage(e)
 }
 
-// arbitrate gives a suspect's turn to an instance that asks, once nobody else
-// has it, and holds it until that one's stream ends.
-func (n *Node) arbitrate(first []byte, stream net.Conn) {
+// serveTrial grants the trial lease of a suspect request to a peer once no one else
+// holds it. The lease lasts until the peer's stream ends.
+func (n *Node) serveTrial(first []byte, stream net.Conn) {
 	ask := &pb.TrialAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "ask for a turn", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageBroken.Log(n.log, "what", "trial request", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	f := quarantine.Fingerprint(ask.GetKnown().GetFingerprint())
-	n.takeQuarantine([]*pb.QuarantineCase{ask.Known})
-	shown := make(chan *pb.QuarantineCase, 1)
-	go func() { // also sees that the asker has gone
-		defer close(shown)
+	n.mergeQuarantine([]*pb.QuarantineCase{ask.Known})
+	result := make(chan *pb.QuarantineCase, 1)
+	go func() { // also ends when the peer disconnects
+		defer close(result)
 		c := &pb.QuarantineCase{}
 		if frame.Read(stream, c) == nil {
-			shown <- c
+			result <- c
 		}
 	}()
-	if !n.takeTurn(f, shown) {
+	if !n.startTrial(f, result) {
 		return
 	}
-	defer n.giveTurn(f)
-	if frame.Write(stream, frame.Reply, &pb.TrialReply{Known: n.knownOf(f)}) != nil {
+	defer n.endTrial(f)
+	if frame.Write(stream, frame.Reply, &pb.TrialReply{Known: n.quarantineCase(f)}) != nil {
 		return
 	}
-	if c, ok := <-shown; ok {
-		n.takeQuarantine([]*pb.QuarantineCase{c})
+	if c, ok := <-result; ok {
+		n.mergeQuarantine([]*pb.QuarantineCase{c})
 	}
 }
 
-// takeTurn waits for a fingerprint's turn, unless the asker goes.
-func (n *Node) takeTurn(f quarantine.Fingerprint, gone <-chan *pb.QuarantineCase) bool {
+// startTrial waits until no other trial of a fingerprint runs. It returns false if the
+// peer disconnects first.
+func (n *Node) startTrial(f quarantine.Fingerprint, cancelled <-chan *pb.QuarantineCase) bool {
 	q := n.quarantine
 	for {
 		q.mu.Lock()
-		held := q.trials[f]
-		if held == nil {
+		running := q.trials[f]
+		if running == nil {
 			q.trials[f] = make(chan struct{})
 			q.mu.Unlock()
 			return true
 		}
 		q.mu.Unlock()
 		select {
-		case <-held:
-		case <-gone:
+		case <-running:
+		case <-cancelled:
 			return false
 		}
 	}
 }
 
-func (n *Node) giveTurn(f quarantine.Fingerprint) {
+func (n *Node) endTrial(f quarantine.Fingerprint) {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -18,7 +18,7 @@
 // limits. It refuses one that would be late by that, and reports that it did not.
 func (r *ownedRequest) wantsTurn(send func(*pb.StagesReply) error) bool {
 	c, n := r.cell, r.cell.owner.node
-	if !n.statements.paced.Load() {
+	if !n.advisories.paced.Load() {
 		return true
 	}
 	now := n.now()
@@ -54,7 +54,7 @@
 // cells' included: else its instance finds one there.
 func (n *Node) allLimited(r *ownedRequest) bool {
 	for _, e := range n.world.Load().services[r.request.Service] {
-		if !r.request.Avoid[e.ID] && !n.statements.limits(e.ID) {
+		if !r.request.Avoid[e.ID] && !n.advisories.limits(e.ID) {
 			return false
 		}
 	}
--- a/cmd/node/wake.go
+++ b/cmd/node/wake.go
@@ -11,8 +11,8 @@
 // were begun before and may never be answered, and the others should hear that
 // this instance is back before they ask the next one.
 func (n *Node) woke(gap time.Duration) {
-	n.counters.wakes.Inc(1)
+	n.counters.resumes.Inc(1)
 	event.NodeWoke.Log(n.log, "after", gap)
-	n.pulse.missed()
+	n.storeMonitor.missed()
 	n.tell()
 }
--- a/cmd/node/world.go
+++ b/cmd/node/world.go
@@ -21,7 +21,7 @@
 	sizes      map[string]int               // of the services, those included whose hall is being emptied
 	all        []catalog.Replica            // the leaving ones included
 	lifeByName map[string]string            // of replicas that say when they were born
-	moves      map[string]*move             // by service: roll-outs
+	moves      map[string]*trafficShift     // by service: roll-outs
 	parting    sync.Once
 	parts      parts // of pools and engines; made when they are asked for
 	places     *regions.Map
@@ -126,8 +126,8 @@
 // done once followMu, which it needs, is free.
 func (n *Node) putInForce() (published func()) {
 	now := n.now()
-	changed := n.replicas.refresh(now, n.statements.hasLeft)
-	n.rollouts.startedAgain(now, n.world.Load(), changed.over)
+	changed := n.replicas.refresh(now, n.advisories.hasLeft)
+	n.rollouts.recordRestarts(now, n.world.Load(), changed.over)
 	w := n.makeWorld()
 	cold := n.replicas.newlyCold(now, w.all)
 	n.world.Store(w)
@@ -136,9 +136,9 @@
 		for _, r := range changed.gone {
 			n.gone(r.ID)
 		}
-		n.livesOver(changed.over)
+		n.handleRestarts(changed.over)
 		for _, id := range changed.broken {
-			n.counters.brokenEntries.Inc(1)
+			n.counters.invalidEntries.Inc(1)
 			event.NodeEntryBroken.Log(n.log, "name", id)
 		}
 		for _, r := range cold {
@@ -157,11 +157,11 @@
 	}
 	for id, row := range n.replicas.lives {
 		r := row.replica
-		if _, ok := n.replicas.signs[id]; ok || n.statements.hasLeft(id) {
+		if _, ok := n.replicas.signs[id]; ok || n.advisories.hasLeft(id) {
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
-		r.HallDrained = n.emptied.IsDrained(r.Hall)
+		r.HallDrained = n.drainedHalls.IsDrained(r.Hall)
 		r.WarmingUntil = n.coldUntil(w.config, &row)
 		w.all = append(w.all, r)
 		if r.StartMillis != 0 {
@@ -171,7 +171,7 @@
 			w.sizes[r.Service]++
 		}
 	}
-	n.rollouts.part(n.now(), w)
+	n.rollouts.applyTo(n.now(), w)
 	for _, r := range w.all {
 		if r.AcceptsWork() {
 			w.services[r.Service] = append(w.services[r.Service], r)
@@ -224,7 +224,7 @@
 // leavingNews returns the replicas whose leaving is worth telling others, and how
 // many of these, the first ones, have stated it themselves.
 func (n *Node) leavingNews() (out []string, said int) {
-	n.statements.with(func(b *advisory.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
+	n.advisories.with(func(b *advisory.Tracker) { out = b.Updates(n.now(), tellLeavingFor, mostLeavingTold) })
 	said = len(out)
 	out = append(out, n.recentlyLeaving(mostLeavingTold-said)...)
 	return n.spokenAll(out), said
