--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -103,7 +103,7 @@
 	if h.Backoff > 0 {
 		n.recordStatedBackoff(from, h.Backoff)
 	} else {
-		n.statements.withTracker(func(t *advisory.Tracker) { t.RecordAnswer(attempt) })
+		n.advisories.withTracker(func(t *advisory.Tracker) { t.RecordAnswer(attempt) })
 	}
 	return h
 }
@@ -111,8 +111,8 @@
 // recordUnknownField records a header or report field that this build doesn't understand.
 // It may be a request to change behavior, and should be noticed before it causes damage.
 func (n *Node) recordUnknownField(service, name, source string) {
-	n.counters.wordsUnread.Inc(1)
-	s := n.statements
+	n.counters.unknownFields.Inc(1)
+	s := n.advisories
 	s.mu.Lock()
 	logged, isNew := s.unknownFields.Record(service, name)
 	s.mu.Unlock()
@@ -125,7 +125,7 @@
 // reported by a peer. No instance sends it requests for as long as it is listed.
 func (n *Node) recordStatedDrain(incarnation, source string) {
 	isNew := false
-	n.statements.withTracker(func(t *advisory.Tracker) { isNew = t.RecordDrain(n.now(), incarnation) })
+	n.advisories.withTracker(func(t *advisory.Tracker) { isNew = t.RecordDrain(n.now(), incarnation) })
 	if !isNew {
 		return
 	}
@@ -137,12 +137,12 @@
 // instances may have been asked for none, or for another one; to them it is a hint.
 func (n *Node) recordStatedBackoff(from answerSource, duration time.Duration) {
 	now, isNew := n.now(), false
-	n.statements.withTracker(func(t *advisory.Tracker) { isNew = t.RecordBackoff(now, from.incarnation, duration) })
-	n.judgeMu.Lock()
-	n.judge.RecordBackoff(now, from.incarnation, duration)
-	n.judgeMu.Unlock()
+	n.advisories.withTracker(func(t *advisory.Tracker) { isNew = t.RecordBackoff(now, from.incarnation, duration) })
+	n.detectorMu.Lock()
+	n.detector.RecordBackoff(now, from.incarnation, duration)
+	n.detectorMu.Unlock()
 	if isNew {
-		n.counters.rests.Inc(1)
+		n.counters.backoffs.Inc(1)
 		event.NodeReplicaRests.Log(n.log, "replica", from.incarnation, "service", from.service, "for", duration)
 	}
 }
@@ -154,7 +154,7 @@
 
 // sweepAdvisories removes advisories that have expired or whose replicas are gone.
 func (n *Node) sweepAdvisories() {
-	s := n.statements
+	s := n.advisories
 	n.sweepLimits()
 	hadNone := s.wasEmpty
 	s.withTracker(func(t *advisory.Tracker) { s.wasEmpty = t.Empty() })
@@ -188,8 +188,8 @@
 	for _, incarnation := range changes.Removed {
 		event.NodeReplicaLeft.Log(n.log, "replica", incarnation)
 	}
-	n.counters.stated("leaving", draining)
-	n.counters.stated("resting", inBackoff)
+	n.counters.setReplicaGauges("leaving", draining)
+	n.counters.setReplicaGauges("resting", inBackoff)
 }
 
 // replicasInBackoff returns a service's replicas that are in backoff for this instance.
@@ -197,7 +197,7 @@
 func (n *Node) replicasInBackoff(service string) []string {
 	now := n.now()
 	backoffs := make(map[string]time.Duration)
-	n.statements.withTracker(func(t *advisory.Tracker) { backoffs = t.Backoffs(now) })
+	n.advisories.withTracker(func(t *advisory.Tracker) { backoffs = t.Backoffs(now) })
 	if len(backoffs) == 0 {
 		return nil
 	}
@@ -215,7 +215,7 @@
 // replica are freed by one call.
 func (n *Node) deferFree(f pipeline.Free) bool {
 	now := n.now()
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until, inBackoff := s.tracker.BackoffUntil(now, f.Replica)
@@ -240,7 +240,7 @@
 
 // sendDeferredFree frees the results kept for a replica.
 func (n *Node) sendDeferredFree(incarnation string) {
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	f := s.deferredFrees[incarnation]
 	delete(s.deferredFrees, incarnation)
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -62,17 +62,17 @@
 		}
 		return errNoReplicaReached
 	}
-	defer n.rollouts.enter(&r, !s.movable())() // must precede the checks whether the replica may receive the request
-	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.maySend(n.world.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
+	defer n.rollouts.startRequest(&r, !s.canMove())() // must precede the checks whether the replica may receive the request
+	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.tryRecordSend(n.world.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errNoReplicaReached
 	}
-	advisoryAttempt, ok := n.statements.beginAttempt(n.now(), r.ID)
+	advisoryAttempt, ok := n.advisories.beginAttempt(n.now(), r.ID)
 	if !ok {
 		conn.Close()
 		return errNoReplicaReached
 	}
-	defer func() { n.statements.endAttempt(advisoryAttempt) }()
+	defer func() { n.advisories.endAttempt(advisoryAttempt) }()
 	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.Asleep(), advisoryAttempt: advisoryAttempt}
 	token, ok := s.record.Dispatch()
 	if !ok {
@@ -81,19 +81,19 @@
 	}
 	a.token = token
 	if len(s.tried) > 0 {
-		n.counters.again.Inc(1)
+		n.counters.retries.Inc(1)
 	}
 	n.counters.attempts.Inc(1)
 	if n.distanceTo(r.Hall) == regions.Remote {
-		n.counters.farAttempts.Inc(1)
-		n.counters.farBytes.requests.Inc(int64(len(s.req.Body)))
+		n.counters.remoteAttempts.Inc(1)
+		n.counters.remoteBytes.requests.Inc(int64(len(s.req.Body)))
 	}
 	s.tried[r.ID] = true
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	n.loads.Begin(r.ID)
-	n.judgeMu.Unlock()
-	if n.endedUnder(s.fingerprint) > 0 {
-		defer n.runsSuspect(s.fingerprint, r.ID)()
+	n.detectorMu.Unlock()
+	if n.crashesUnder(s.fingerprint) > 0 {
+		defer n.trackSuspect(s.fingerprint, r.ID)()
 	}
 	err = a.sendAndReceive(ctx, fetch)
 	a.finish(ctx, err)
@@ -110,7 +110,7 @@
 // countRemoteBytes counts the answer's bytes if the replica is in another region.
 func (a *attempt) countRemoteBytes(bytes int) {
 	if a.node.distanceTo(a.replica.Hall) == regions.Remote {
-		a.node.counters.farBytes.answers.Inc(int64(bytes))
+		a.node.counters.remoteBytes.answers.Inc(int64(bytes))
 	}
 }
 
@@ -154,7 +154,7 @@
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
 			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Backoff, "leaves", a.head.Draining)
 	}
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	if err == nil && !suspended {
 		n.loads.End(a.replica.ID, took)
 	} else {
@@ -163,7 +163,7 @@
 	if a.head.Slots > 0 {
 		n.loads.RecordLoad(n.now(), a.replica.ID, a.head.Running+a.head.Waiting-1)
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	if a.head.WrongReplica || a.closedAfterRefusal() {
 		n.recordDrainSign(a.replica.ID, "answer")
 	}
@@ -177,14 +177,14 @@
 	}
 	switch evidence.Request {
 	case ending.RequestCleared:
-		n.answeredWhole(a.fingerprint)
+		n.recordCompleteAnswer(a.fingerprint)
 	case ending.RequestBlamed:
 		n.recordAbandonedRequest(a.replica.ID, a.sentAt, a.fingerprint)
 	case ending.RequestProbe:
 		a.probe = n.recordBrokenAnswers(&a.replica, a.sentAt, a.fingerprint)
 	}
-	a.tellRollout(kind, suspended, took)
-	if evidence.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
+	a.recordRollout(kind, suspended, took)
+	if evidence.Request == ending.RequestProbe && a.canMove() && len(a.tried) < a.route.MaxAttempts {
 		n.awaitLivenessProbe(ctx, a.probe) // without a further attempt there is nothing to wait for
 	}
 }
@@ -194,7 +194,7 @@
 	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second)) // a fallback: normally the context ends the attempt
 	stop := context.AfterFunc(ctx, a.conn.Close)
 	defer stop()
-	defer a.node.running.begin(a.replica.ID, func() { a.abort(errReplicaRestarted) })()
+	defer a.node.activeRequests.add(a.replica.ID, func() { a.abort(errReplicaRestarted) })()
 	timer := a.startTimeout()
 	defer timer.Stop()
 
@@ -299,9 +299,9 @@
 		return 0
 	}
 	n := a.node
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	mean := n.loads.MeanAnswerTime(a.replica.ID)
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	switch {
 	case a.route.Kind == catalog.Repeatable:
 		return max(time.Duration(float64(a.route.Objective)*timeoutObjectiveShare), timeoutMeanFactor*mean)
@@ -338,7 +338,7 @@
 		return errStreamBroken
 	}
 	a.copyHeaders()
-	a.node.counters.status(status).Inc(1)
+	a.node.counters.answers(status).Inc(1)
 	a.w.WriteHeader(status)
 	_, _ = a.w.Write(body)
 	a.countRemoteBytes(len(body))
--- a/cmd/node/backoff.go
+++ b/cmd/node/backoff.go
@@ -52,14 +52,14 @@
 // yet.
 func (s *requestHandler) sendableReplicas(now time.Duration, all []catalog.Replica) (sendable []catalog.Replica, err error) {
 	earliest, anyUntried, rateLimited := advisory.Never, false, false
-	s.node.statements.withTracker(func(t *advisory.Tracker) {
-		if t.Empty() && !s.node.statements.rateLimits.HasLimits() {
+	s.node.advisories.withTracker(func(t *advisory.Tracker) {
+		if t.Empty() && !s.node.advisories.rateLimits.HasLimits() {
 			sendable, anyUntried = all, true
 			return
 		}
 		for _, r := range all {
 			tried := s.avoid[r.ID] || s.tried[r.ID]
-			ok, from := s.node.statements.canSendLocked(now, r.ID)
+			ok, from := s.node.advisories.canSendLocked(now, r.ID)
 			if ok {
 				sendable = append(sendable, r)
 				anyUntried = anyUntried || !tried
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -102,18 +102,18 @@
 	replica := catalog.Replica{ID: call.Replica, Service: call.Service, Version: n.versionOf(call.Replica)}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer n.running.begin(call.Replica, stop)()
-	leaveRollout := n.rollouts.enter(&replica, false) // items can be sent to another replica
+	defer n.activeRequests.add(call.Replica, stop)()
+	leaveRollout := n.rollouts.startRequest(&replica, false) // items can be sent to another replica
 	results, outcome := n.runBatch(ctx, call)
 	if outcome == pipeline.Broken || outcome == pipeline.TimedOut && n.quarantine.hasEnded(call.Replica) {
 		outcome = c.classifyBrokenCall(ctx, call, startedAt)
 	}
 	if outcome == pipeline.Answered {
-		c.leaveResults(call.Service, leaveRollout)
+		c.releaseAfterResults(call.Service, leaveRollout)
 	} else {
 		leaveRollout()
 	}
-	n.tellRolloutCall(&replica, wayOf(outcome, results), n.clock.Asleep() != asleep, n.now()-startedAt)
+	n.recordRolloutBatch(&replica, endingOf(outcome, results), n.clock.Asleep() != asleep, n.now()-startedAt)
 	c.logCall(call, results, n.now()-startedAt)
 	c.mu.Lock()
 	if cancel := c.calls[call.ID]; cancel != nil {
@@ -121,17 +121,17 @@
 	}
 	delete(c.calls, call.ID)
 	c.mu.Unlock()
-	n.counters.calls.Inc(1)
-	n.counters.pieces.Inc(int64(len(call.Items)))
+	n.counters.batches.Inc(1)
+	n.counters.items.Inc(int64(len(call.Items)))
 	if outcome != pipeline.Answered {
-		n.counters.lostCalls.Inc(1)
+		n.counters.lostBatches.Inc(1)
 		event.NodeCallLost.Log(n.log, "replica", call.Replica, "pieces", len(call.Items), "fate", int(outcome))
 	}
 	if outcome == pipeline.WrongReplica {
 		n.recordDrainSign(call.Replica, "stranger")
 	}
 	c.runStep(func(now time.Duration) []pipeline.Action {
-		if until, inBackoff := n.statements.backoffUntil(now, call.Replica); inBackoff {
+		if until, inBackoff := n.advisories.backoffUntil(now, call.Replica); inBackoff {
 			c.scheduler.SetBackoff(call.Replica, until)
 		}
 		return c.scheduler.FinishCall(now, call.ID, outcome, results)
--- a/cmd/node/grant_queue.go
+++ b/cmd/node/grant_queue.go
@@ -18,7 +18,7 @@
 // It refuses a request that would be late because of that and returns false.
 func (r *ownedRequest) queueForGrant(send func(*pb.StagesReply) error) bool {
 	c, n := r.cell, r.cell.owner.node
-	if !n.statements.hasLimits.Load() {
+	if !n.advisories.hasLimits.Load() {
 		return true
 	}
 	now := n.now()
@@ -55,7 +55,7 @@
 // an unlimited engine there.
 func (n *Node) allLimited(r *ownedRequest) bool {
 	for _, e := range n.world.Load().eligibleByService[r.request.Service] {
-		if !r.request.Avoid[e.ID] && !n.statements.isLimited(e.ID) {
+		if !r.request.Avoid[e.ID] && !n.advisories.isLimited(e.ID) {
 			return false
 		}
 	}
--- a/cmd/node/isolation.go
+++ b/cmd/node/isolation.go
@@ -36,7 +36,7 @@
 // was chosen before another replica ended during the request.
 func (s *requestHandler) isEngineChoiceStale() bool {
 	_, usable := s.ownerChoice()
-	return !usable || s.job.replicaEnds != s.node.endedUnder(s.fingerprint)
+	return !usable || s.job.replicaEnds != s.node.crashesUnder(s.fingerprint)
 }
 
 // hasConcurrentSuspects reports whether other suspects at the engine would make the
--- a/cmd/node/liveness_probe.go
+++ b/cmd/node/liveness_probe.go
@@ -31,7 +31,7 @@
 // have broken off, and probes the replica.
 func (n *Node) recordBrokenAnswers(r *catalog.Replica, sentAt time.Duration, requests ...quarantine.Fingerprint) *livenessProbe {
 	incarnation := n.quarantine.incarnationAt(r.ID, sentAt)
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
 		for _, f := range requests {
 			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(incarnation))...)
 		}
@@ -59,7 +59,7 @@
 // unnoticed.
 func (n *Node) recordAbandonedRequest(replica string, sentAt time.Duration, f quarantine.Fingerprint) {
 	incarnation := quarantine.IncarnationOf(n.quarantine.incarnationAt(replica, sentAt))
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordBroken(now, f, incarnation)
 	})
 }
@@ -73,7 +73,7 @@
 
 // incarnationAt returns the incarnation that a replica had at a time: the listed one, or
 // a later one that is not listed yet.
-func (q *quarantined) incarnationAt(listed string, at time.Duration) string {
+func (q *quarantineTracker) incarnationAt(listed string, at time.Duration) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
@@ -93,14 +93,14 @@
 	return listed + "+" + strconv.Itoa(restarts)
 }
 
-func (q *quarantined) hasEnded(incarnation string) bool {
+func (q *quarantineTracker) hasEnded(incarnation string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.HasEnded(quarantine.IncarnationOf(incarnation))
+	return q.tracker.HasEnded(quarantine.IncarnationOf(incarnation))
 }
 
 // recordIncarnationEnd counts the end of an incarnation unless it is already counted.
-func (q *quarantined) recordIncarnationEnd(now time.Duration, listed, incarnation string) {
+func (q *quarantineTracker) recordIncarnationEnd(now time.Duration, listed, incarnation string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e := q.ends[listed]
@@ -119,12 +119,12 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.looks[incarnation]
+	p := q.probes[incarnation]
 	if p != nil && n.now()-p.startedAt < livenessProbeTTL {
 		return p
 	}
 	p = &livenessProbe{incarnation: incarnation, done: make(chan struct{}), startedAt: n.now()}
-	q.looks[incarnation] = p
+	q.probes[incarnation] = p
 	go n.runLivenessProbe(*r, p)
 	return p
 }
@@ -135,21 +135,21 @@
 func (n *Node) runLivenessProbe(r catalog.Replica, p *livenessProbe) {
 	defer close(p.done)
 	incarnation := p.incarnation
-	n.counters.looks.Inc(1)
+	n.counters.replicaProbes.Inc(1)
 	err := n.probeConnection(r.Address)
 	for attempts := 1; errors.Is(err, errConnectionEnded) && attempts < maxProbeConnections; attempts++ {
 		err = n.probeConnection(r.Address)
 	}
 	switch {
 	case err == nil, errors.Is(err, errConnectionEnded):
-		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
+		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
 			b.RecordConnection(quarantine.IncarnationOf(incarnation))
 			return nil
 		})
 	case errors.Is(err, syscall.ECONNREFUSED):
 		event.NodeReplicaEnded.Log(n.log, "replica", incarnation, "service", r.Service, "sign", "its port refuses")
 		n.quarantine.recordIncarnationEnd(n.now(), r.ID, incarnation)
-		n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 			return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 		})
 	}
@@ -174,7 +174,7 @@
 // recordReplicaRestart records that a replica runs a new incarnation.
 func (n *Node) recordReplicaRestart(listed string) {
 	incarnation := n.quarantine.incarnationAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 	})
 }
@@ -183,7 +183,7 @@
 // announced.
 func (n *Node) recordReplicaRemoval(listed string) {
 	incarnation := n.quarantine.incarnationAt(listed, n.now())
-	n.noteQuarantine(fromEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
+	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
 		return b.RecordRemoval(now, quarantine.IncarnationOf(incarnation))
 	})
 }
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -65,7 +65,7 @@
 	n.gossipMu.Lock()
 	to, m := n.members.Round(n.now(), newRandom())
 	n.gossipMu.Unlock()
-	n.sendHeartbeatTo(to, m, n.speedUpdates(false), n.quarantineNews())
+	n.sendHeartbeatTo(to, m, n.speedUpdates(false), n.quarantineUpdate())
 }
 
 // announceToHall sends the full view to all instances of this instance's hall.
@@ -113,8 +113,8 @@
 	}
 	draining, declared := n.drainUpdates()
 	h := &pb.Heartbeat{
-		Leaving: draining, LeavingStated: uint32(declared), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.emptiedNews(),
-		Rollouts: n.rolloutNews(), Speeds: speeds, Quarantine: cases, Limits: n.limitUpdates(),
+		Leaving: draining, LeavingStated: uint32(declared), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.evacuationUpdate(),
+		Rollouts: n.rolloutUpdate(), Speeds: speeds, Quarantine: cases, Limits: n.limitUpdates(),
 	}
 	for _, i := range m.Entries {
 		h.News = append(h.News, encodeInstance(i))
@@ -131,7 +131,7 @@
 	for _, addr := range to {
 		n.socket.Send(addr, b)
 		if n.isRemoteAddress(addr) {
-			n.counters.farBytes.heartbeats.Inc(int64(len(b)))
+			n.counters.remoteBytes.heartbeats.Inc(int64(len(b)))
 		}
 	}
 }
@@ -140,10 +140,10 @@
 const maxEjectionsPerHeartbeat = 16
 
 func (n *Node) ejectionUpdates() []*pb.SickReplica {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	var out []*pb.SickReplica
-	for id, remaining := range n.judge.LocallyEjected(n.now()) {
+	for id, remaining := range n.detector.LocallyEjected(n.now()) {
 		for _, wireID := range n.announcedReplicaIDs([]string{id}) {
 			if len(out) < maxEjectionsPerHeartbeat {
 				out = append(out, &pb.SickReplica{Id: wireID, LeftMs: uint32(remaining.Milliseconds())})
@@ -157,10 +157,10 @@
 func (n *Node) ejectedReplicas() map[string]bool {
 	w, now := n.world.Load(), n.now()
 	out := make(map[string]bool)
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	for _, r := range w.replicas {
-		if n.judge.IsEjected(now, r.ID) {
+		if n.detector.IsEjected(now, r.ID) {
 			out[r.ID] = true
 		}
 	}
@@ -208,10 +208,10 @@
 		n.sendHeartbeats()
 	}
 	if len(newPeers) > 0 {
-		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.allOfQuarantine()) // a starting instance discovers the others at once
+		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.quarantineSnapshot()) // a starting instance discovers the others at once
 	}
-	n.takeEmptied(senderOf(h), h.Evacuations)
-	n.takeRollouts(h)
+	n.mergeEvacuations(senderOf(h), h.Evacuations)
+	n.mergeRollouts(h)
 	n.pullMissing(now, h)
 	for i, id := range h.Leaving {
 		incarnation, ok := n.incarnationInHeartbeat(h, id)
@@ -225,7 +225,7 @@
 	}
 	n.recordRemoteEjections(now, h)
 	n.mergeSpeeds(h.Speeds)
-	n.takeQuarantine(h.Quarantine)
+	n.mergeQuarantine(h.Quarantine)
 	n.recordPeerLimits(senderOf(h), h.Limits)
 }
 
@@ -256,19 +256,19 @@
 // recordRemoteEjections records the replicas that a peer has ejected.
 func (n *Node) recordRemoteEjections(now time.Duration, h *pb.Heartbeat) {
 	var newlyEjected []string
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	for _, s := range h.Sick {
 		id, ok := n.incarnationInHeartbeat(h, s.Id)
 		if !ok {
 			continue
 		}
-		wasEjected := n.judge.IsEjected(now, id)
-		n.judge.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
-		if !wasEjected && n.judge.IsEjected(now, id) {
+		wasEjected := n.detector.IsEjected(now, id)
+		n.detector.RecordRemoteEjection(now, id, time.Duration(s.LeftMs)*time.Millisecond)
+		if !wasEjected && n.detector.IsEjected(now, id) {
 			newlyEjected = append(newlyEjected, id)
 		}
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	for _, id := range newlyEjected {
 		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", "hearsay", "by", h.News[0].Name)
 	}
@@ -314,7 +314,7 @@
 	case frame.Kept:
 		_ = frame.Write(stream, frame.Reply, n.answerCacheQuery(first))
 	case frame.Trial:
-		n.arbitrate(first, stream)
+		n.serveTrial(first, stream)
 	case frame.Pace:
 		_ = frame.Write(stream, frame.Reply, n.answerGrantRequest(first, stream.RemoteAddr().String()))
 	case frame.Stages:
--- a/cmd/node/owned_request.go
+++ b/cmd/node/owned_request.go
@@ -162,10 +162,10 @@
 func (r *ownedRequest) recordStagesDuration(v pipeline.Decision) {
 	n := r.cell.owner.node
 	duration := n.now() - r.startedAt
-	n.counters.staged.Inc(duration.Milliseconds())
-	n.counters.expected.Inc(v.Expected.Milliseconds())
+	n.counters.stageMillis.Inc(duration.Milliseconds())
+	n.counters.expectedStageMillis.Inc(v.Expected.Milliseconds())
 	if duration > v.Expected {
-		n.counters.overran.Inc(1)
+		n.counters.overrunJobs.Inc(1)
 	}
 	if n.log.IsDebug() {
 		event.NodeStagesDone.Log(n.log, "request", r.ask.RequestId, "took", duration, "expected", v.Expected, "stages", v.Explain())
@@ -187,17 +187,17 @@
 	r.request.ID = c.lastRequestID
 	r.request.ResultBytes = results.BytesByHall
 	r.request.Slack -= now - r.startedAt
-	choice, ok := r.chooseEngine(now, paused, w.aside(r.request.Service, r.ask.Newer))
+	choice, ok := r.chooseEngine(now, paused, w.excludedByRollout(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
-		choice, ok = r.chooseEngine(now, paused, w.aside(r.request.Service, false))
+		choice, ok = r.chooseEngine(now, paused, w.excludedByRollout(r.request.Service, false))
 	}
 	if !ok {
 		return reply
 	}
 	c.engines.Begin(now, r.request, choice)
-	reply.Paced = n.statements.isLimited(choice.Replica.ID)
+	reply.Paced = n.advisories.isLimited(choice.Replica.ID)
 	if choice.FetchFrom != "" && choice.FetchFrom == r.request.RemoteCache.Address {
-		n.counters.farMoves.Inc(1)
+		n.counters.remoteTransfers.Inc(1)
 	}
 	reply.Engine, reply.Fetch, reply.Beside = n.replicaIDFor(choice.Replica.ID, r.ask), choice.FetchFrom, uint32(choice.ConcurrentSuspects)
 	return reply
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -47,8 +47,8 @@
 		c = &cell{
 			owner:        o,
 			number:       number,
-			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.cold.limit), pipeline.WithSendGrants(cellGrants{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
-			engines:      placement.New(o.node.placementOptions(), o.node.cold.limit).WithSendGrants(cellGrants{o.node}),
+			scheduler:    pipeline.New(pipeline.WithWarmUpLimit(o.node.warmUp.limit), pipeline.WithSendGrants(cellGrants{o.node}), pipeline.WithWorth(o.node.settings.LateWorth, o.node.settings.ServedWorth)),
+			engines:      placement.New(o.node.placementOptions(), o.node.warmUp.limit).WithSendGrants(cellGrants{o.node}),
 			jobOutcomes:  make(map[uint64]chan pipeline.Action),
 			calls:        make(map[uint64]context.CancelFunc),
 			grantQueues:  make(map[string]*pace.Queue),
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -54,8 +54,8 @@
 		TokensOut: uint32(s.req.TokensOut),
 		SlackUs:   (s.route.Objective - s.elapsed()).Microseconds(),
 		Again:     s.isClientRetry() || s.stageReruns > 0 || len(s.tried) > 0,
-		Newer:     s.mayNewer(s.node.world.Load()),
-		Ended:     uint32(s.node.endedUnder(s.fingerprint)),
+		Newer:     s.allowsTarget(s.node.world.Load()),
+		Ended:     uint32(s.node.crashesUnder(s.fingerprint)),
 
 		Fingerprint: uint64(s.fingerprint),
 		Customer:    boundedCustomerName(s.customer),
@@ -107,11 +107,11 @@
 	if len(listed) == 0 && len(world.eligibleByService[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoAllowedRegion
 	}
-	newer, older := s.sides(world, listed)
+	newer, older := s.splitByTarget(world, listed)
 	allowedNew, backoffNew := s.sendableReplicas(now, s.withinWarmUpQuota(now, newer))
 	allowedOld, backoffOld := s.sendableReplicas(now, s.withinWarmUpQuota(now, older))
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	candidates := s.healthyCandidates(now, allowedNew, len(newer))
 	if len(candidates) == 0 {
 		candidates = s.healthyCandidates(now, allowedOld, len(older))
@@ -119,7 +119,7 @@
 	if len(candidates) == 0 {
 		return catalog.Replica{}, "", s.noReplicaError(world, append(allowedNew, allowedOld...), earlierBackoff(backoffNew, backoffOld))
 	}
-	candidates = n.apart(candidates)
+	candidates = n.withoutSuspects(candidates)
 	if s.service.Engine == nil {
 		return n.loads.PickReplica(now, n.distanceTo, candidates, newRandom()), "", nil
 	}
@@ -139,7 +139,7 @@
 	for _, r := range candidates {
 		switch {
 		case s.avoid[r.ID] || s.tried[r.ID]:
-		case s.node.judge.IsEjected(now, r.ID):
+		case s.node.detector.IsEjected(now, r.ID):
 			ejected = append(ejected, r)
 		default:
 			healthy = append(healthy, r)
@@ -200,9 +200,9 @@
 func (s *requestHandler) mayUseOwnerChoice() bool {
 	n := s.node
 	ok := false
-	n.statements.withTracker(func(b *advisory.Tracker) {
+	n.advisories.withTracker(func(b *advisory.Tracker) {
 		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.hasSendGrant {
-			ok = n.statements.rateLimits.NextGrant(n.now(), s.job.engine) <= n.now()
+			ok = n.advisories.rateLimits.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
 	return ok
@@ -222,11 +222,11 @@
 	})
 	n := s.node
 	now := n.now()
-	n.judgeMu.Lock()
-	wasEjected := n.judge.IsEjected(now, id)
-	n.judge.Record(now, id, signal, serviceRate)
-	isEjected := n.judge.IsEjected(now, id)
-	n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	wasEjected := n.detector.IsEjected(now, id)
+	n.detector.Record(now, id, signal, serviceRate)
+	isEjected := n.detector.IsEjected(now, id)
+	n.detectorMu.Unlock()
 	switch {
 	case signal == health.Full: // a full replica reports it with each request
 	case isEjected && !wasEjected:
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -86,9 +86,9 @@
 // expensive, between regions even more so.
 func (n *Node) pullDelay(from *pb.InstanceNews, hasAny bool) time.Duration {
 	switch {
-	case !hasAny && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.reads.Load():
+	case !hasAny && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.isReader.Load():
 		return 0
-	case !hasAny && n.reads.Load():
+	case !hasAny && n.isReader.Load():
 		return initialPullDelay // its read of the store is in progress
 	}
 	if from.Region != n.home {
@@ -110,8 +110,8 @@
 		return
 	}
 	defer n.configPull.finish()
-	n.takeEmptied(addr, answer.Evacuations) // before the configuration, which allows requests to be sent
-	n.takeRolloutOrders(addr, answer.Rollouts)
+	n.mergeEvacuations(addr, answer.Evacuations) // before the configuration, which allows requests to be sent
+	n.mergeRolloutOrders(addr, answer.Rollouts)
 	if len(answer.Declaration) == 0 {
 		return
 	}
@@ -126,7 +126,7 @@
 // countPullBytes counts the bytes of an answer from another region.
 func (n *Node) countPullBytes(addr string, answer proto.Message) {
 	if n.isRemoteAddress(addr) {
-		n.counters.farBytes.pulls.Inc(int64(proto.Size(answer)))
+		n.counters.remoteBytes.pulls.Inc(int64(proto.Size(answer)))
 	}
 }
 
@@ -153,11 +153,11 @@
 		return &pb.Config{}
 	}
 	packed := raw.compressForPeers()
-	if !n.telling.allow(n.now(), len(packed), n.settings.LinkBytesPerSecond) {
-		n.counters.toldBusy.Inc(1)
+	if !n.peerUpdates.allow(n.now(), len(packed), n.settings.LinkBytesPerSecond) {
+		n.counters.busyReplies.Inc(1)
 		return &pb.Config{Busy: true}
 	}
-	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.emptiedNews(), Rollouts: n.rolloutNews()}
+	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.evacuationUpdate(), Rollouts: n.rolloutUpdate()}
 }
 
 func (n *Node) pullReplicas(addr string, have uint64) {
@@ -201,13 +201,13 @@
 	n.followMu.Lock()
 	changed := n.replicas.changeLog.LastChange()
 	n.followMu.Unlock()
-	answer, size := n.telling.cached(ask.Have, changed)
+	answer, size := n.peerUpdates.cached(ask.Have, changed)
 	if answer == nil {
 		answer, size = n.buildReplicasAnswer(ask.Have)
-		n.telling.store(ask.Have, changed, answer, size)
+		n.peerUpdates.store(ask.Have, changed, answer, size)
 	}
-	if !n.telling.allow(n.now(), size, n.settings.LinkBytesPerSecond) {
-		n.counters.toldBusy.Inc(1)
+	if !n.peerUpdates.allow(n.now(), size, n.settings.LinkBytesPerSecond) {
+		n.counters.busyReplies.Inc(1)
 		return &pb.ReplicaChanges{Busy: true}
 	}
 	return answer
--- a/cmd/node/rate_limits.go
+++ b/cmd/node/rate_limits.go
@@ -24,7 +24,7 @@
 	switch {
 	case h.InvalidLimit != "":
 		n.recordUnknownField(from.service, h.InvalidLimit, "answer")
-	case h.Limit.Stated, !from.auxiliary && n.statements.hasLimits.Load():
+	case h.Limit.Stated, !from.auxiliary && n.advisories.hasLimits.Load():
 		n.recordLimit(pace.Report{Incarnation: from.incarnation, Limit: h.Limit}, sourceOwnAnswer)
 	}
 }
@@ -34,7 +34,7 @@
 func (n *Node) recordLimit(report pace.Report, source string) {
 	var previous pace.Limit
 	change, shouldLog := pace.Unchanged, false
-	n.statements.withRateLimits(func(t *pace.Tracker) {
+	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		previous = t.Limit(report.Incarnation)
 		change = t.Record(n.now(), report)
 		shouldLog = change != pace.Unchanged && t.ShouldLog(n.now(), report.Incarnation)
@@ -81,7 +81,7 @@
 // limitMessage returns the message with what this instance knows of a replica's limit.
 func (n *Node) limitMessage(incarnation string) *pb.ReplicaLimit {
 	out := &pb.ReplicaLimit{Id: incarnation}
-	n.statements.withRateLimits(func(t *pace.Tracker) {
+	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		for _, report := range t.Reports(n.now(), incarnation) {
 			out = encodeLimit(report)
 		}
@@ -92,7 +92,7 @@
 // limitUpdates returns the changed limits for the next heartbeat.
 func (n *Node) limitUpdates() []*pb.ReplicaLimit {
 	var out []*pb.ReplicaLimit
-	n.statements.withRateLimits(func(t *pace.Tracker) {
+	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		for _, report := range t.Updates(n.now(), limitAnnounceWindow, maxAnnouncedLimits) {
 			out = append(out, encodeLimit(report))
 		}
@@ -138,7 +138,7 @@
 // sweepLimits drops limits of replicas that are no longer listed, and applies changes of
 // grantors.
 func (n *Node) sweepLimits() {
-	s := n.statements
+	s := n.advisories
 	hadNone := s.hadNoLimits
 	s.withRateLimits(func(t *pace.Tracker) { s.hadNoLimits = t.Empty() })
 	if s.hadNoLimits && hadNone {
@@ -166,13 +166,13 @@
 		isGrantor := grantors.isSelf(&r)
 		s.withRateLimits(func(t *pace.Tracker) { t.SetGrantor(now, incarnation, isGrantor) })
 	}
-	n.counters.stated("limited", limited)
+	n.counters.setReplicaGauges("limited", limited)
 }
 
 // limitedStates returns the rate limits and the grantors of replicas for the state dump.
 func (n *Node) limitedStates(w *snapshot) map[string]string {
 	var limited map[string]float64
-	n.statements.withRateLimits(func(t *pace.Tracker) { limited = t.Limits() })
+	n.advisories.withRateLimits(func(t *pace.Tracker) { limited = t.Limits() })
 	grantors := n.grantorLookup()
 	out := make(map[string]string, len(limited))
 	for incarnation, perSecond := range limited {
--- a/cmd/node/rate_limits_test.go
+++ b/cmd/node/rate_limits_test.go
@@ -26,7 +26,7 @@
 	report := pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 1.2, Stated: true}}
 	n.recordLimit(report, "peer")
 	n.recordPeerLimits("peer", n.limitUpdates())
-	n.statements.withRateLimits(func(tracker *pace.Tracker) { is.Equal(tracker.Limit("r"), report.Limit) })
+	n.advisories.withRateLimits(func(tracker *pace.Tracker) { is.Equal(tracker.Limit("r"), report.Limit) })
 }
 
 // Invalid limits from a peer must neither crash the instance nor limit a replica.
@@ -37,7 +37,7 @@
 	n.recordPeerLimits("peer", []*pb.ReplicaLimit{
 		nil, {}, {Id: long, PerSecond: 1}, {Id: "a", PerSecond: -1}, {Id: "b", PerSecond: math.NaN()}, {Id: "c", PerSecond: math.Inf(1)}, {Id: "d", Ended: true},
 	})
-	is.True(!n.statements.hasLimits.Load())
+	is.True(!n.advisories.hasLimits.Load())
 	for _, first := range [][]byte{nil, {0xff}, []byte("no message")} {
 		is.True(n.answerGrantRequest(first, "peer").Elsewhere)
 	}
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -165,9 +165,9 @@
 // the request itself.
 func (s *requestHandler) isWorthAsking(region string) bool {
 	n := s.node
-	n.judgeMu.Lock()
-	likelyRefuses := n.lending.availability.LikelyRefuses(n.now(), region, s.rank)
-	n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	likelyRefuses := n.spillover.availability.LikelyRefuses(n.now(), region, s.rank)
+	n.detectorMu.Unlock()
 	left := s.route.Objective - s.forecast.engine - s.elapsed()
 	return !likelyRefuses && left > 2*n.roundTripTo(region)
 }
@@ -182,9 +182,9 @@
 	if region == n.home {
 		return 0
 	}
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
-	return n.lending.roundTrips.Estimate(region)
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
+	return n.spillover.roundTrips.Estimate(region)
 }
 
 // recordRegionResult records how a region answered a request's stages.
@@ -192,23 +192,23 @@
 	n := s.node
 	var refused *refusedError
 	isRefused := errors.As(failure, &refused)
-	n.judgeMu.Lock()
+	n.detectorMu.Lock()
 	switch {
 	case isRefused:
-		n.lending.availability.RecordRefusal(n.now(), region, s.rank)
-		n.lending.roundTrips.Observe(region, took)
+		n.spillover.availability.RecordRefusal(n.now(), region, s.rank)
+		n.spillover.roundTrips.Observe(region, took)
 	case errors.Is(failure, errOwnerLost):
-		n.lending.availability.RecordNoAnswer(n.now(), region)
+		n.spillover.availability.RecordNoAnswer(n.now(), region)
 	case failure == nil:
-		n.lending.availability.RecordAnswer(region)
+		n.spillover.availability.RecordAnswer(region)
 	}
-	n.judgeMu.Unlock()
+	n.detectorMu.Unlock()
 	if region == n.home {
 		return
 	}
-	n.counters.lentAsks.Inc(1)
+	n.counters.spilloverAsks.Inc(1)
 	if isRefused {
-		n.counters.lentRefused.Inc(1)
+		n.counters.spilloverRefusals.Inc(1)
 	}
 	event.NodeRegionAsked.Log(n.log, "request", s.req.ID, "region", region, "refused", isRefused, "error", failure, "took", took)
 }
@@ -225,7 +225,7 @@
 		}
 	}
 	for hall, count := range replicas {
-		if _, said := n.unplaced.LoadOrStore(hall, true); !said {
+		if _, said := n.regionlessHalls.LoadOrStore(hall, true); !said {
 			event.NodeHallUnplaced.Log(n.log, "hall", hall, "replicas", count)
 		}
 	}
@@ -239,12 +239,12 @@
 			remote[host] = true
 		}
 	}
-	n.farHosts.Store(&remote)
+	n.remoteHosts.Store(&remote)
 }
 
 // isRemoteAddress reports whether an instance's address is in another region.
 func (n *Node) isRemoteAddress(addr string) bool {
-	remote := n.farHosts.Load()
+	remote := n.remoteHosts.Load()
 	if remote == nil || len(*remote) == 0 {
 		return false
 	}
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -115,8 +115,8 @@
 	for _, p := range shared {
 		ask.Parts = append(ask.Parts, &pb.PromptPart{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
-	n.counters.keptAsks.Inc(1)
-	n.counters.farBytes.kept.Inc(int64(proto.Size(ask)))
+	n.counters.remoteCacheLookups.Inc(1)
+	n.counters.remoteBytes.cacheLookups.Inc(int64(proto.Size(ask)))
 	reply := &pb.KeptReply{}
 	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, remoteCacheTimeout)
 	n.recordRegionResponse(region, err == nil)
@@ -125,26 +125,26 @@
 		return placement.CachedPrefix{}
 	}
 	if reply.Tokens > 0 {
-		n.counters.keptFar.Inc(1)
+		n.counters.remoteCacheHits.Inc(1)
 	}
 	return placement.CachedPrefix{Address: reply.Address, Tokens: int(reply.Tokens)}
 }
 
 func (n *Node) isRegionUnresponsive(region string) bool {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
-	return n.lending.availability.IsUnresponsive(n.now(), region)
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
+	return n.spillover.availability.IsUnresponsive(n.now(), region)
 }
 
 // recordRegionResponse records whether a region answered.
 func (n *Node) recordRegionResponse(region string, answered bool) {
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	if answered {
-		n.lending.availability.RecordAnswer(region)
+		n.spillover.availability.RecordAnswer(region)
 		return
 	}
-	n.lending.availability.RecordNoAnswer(n.now(), region)
+	n.spillover.availability.RecordNoAnswer(n.now(), region)
 }
 
 // answerCacheQuery returns the longest prefix of a prompt that an engine of a cell
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -31,7 +31,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
-	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
+	if !n.replicaAcceptsWork(c.Replica) || !n.rollouts.tryRecordSend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
 	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: answerSource{incarnation: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
@@ -144,7 +144,7 @@
 		cn.Close()
 		return 0, platform.ResponseHead{}, nil, errAdvisoryForbids
 	}
-	defer n.statements.endAttempt(advisoryAttempt)
+	defer n.advisories.endAttempt(advisoryAttempt)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.DisableNormalizing()
@@ -184,9 +184,9 @@
 // release of results.
 func (n *Node) beginCall(c replicaCall) (advisory.Attempt, bool) {
 	if c.isWork {
-		return n.statements.beginAttempt(n.now(), c.source.incarnation)
+		return n.advisories.beginAttempt(n.now(), c.source.incarnation)
 	}
-	if _, backsOff := n.statements.backoffUntil(n.now(), c.source.incarnation); backsOff {
+	if _, backsOff := n.advisories.backoffUntil(n.now(), c.source.incarnation); backsOff {
 		return advisory.Attempt{}, false
 	}
 	n.countInternalCall(c.source.incarnation)
--- a/cmd/node/request_end.go
+++ b/cmd/node/request_end.go
@@ -18,7 +18,7 @@
 	if errors.Is(err, errClientGone) {
 		panic(http.ErrAbortHandler)
 	}
-	if errors.Is(err, errCondemned) { // final: a refusal would invite a retry
+	if errors.Is(err, errQuarantined) { // final: a refusal would invite a retry
 		s.node.writeError(s.w, s.req, &answerError{status: http.StatusBadRequest, text: err.Error()})
 		return
 	}
@@ -41,7 +41,7 @@
 		if failed.reason == pipeline.ReasonBackoff || failed.reason == pipeline.ReasonShare {
 			retryAfter += retryJitter()
 		}
-	case errors.Is(err, errHallsDrained), errors.Is(err, errReplicasWarming), errors.Is(err, errNoAllowedRegion), errors.Is(err, errNoTurn):
+	case errors.Is(err, errHallsDrained), errors.Is(err, errReplicasWarming), errors.Is(err, errNoAllowedRegion), errors.Is(err, errNoTrial):
 		retryAfter = longRetryAfter
 	}
 	left := s.req.Deadline - s.elapsed()
--- a/cmd/node/resume.go
+++ b/cmd/node/resume.go
@@ -11,8 +11,8 @@
 // be answered, so they are abandoned; and the peers should receive a heartbeat before
 // they select a successor.
 func (n *Node) handleResume(gap time.Duration) {
-	n.counters.wakes.Inc(1)
+	n.counters.resumes.Inc(1)
 	event.NodeWoke.Log(n.log, "after", gap)
-	n.pulse.abandonCalls()
+	n.storeMonitor.abandonCalls()
 	n.sendHeartbeats()
 }
--- a/cmd/node/send_grants.go
+++ b/cmd/node/send_grants.go
@@ -98,12 +98,12 @@
 // one from the grantor.
 func (s *requestHandler) acquireSendGrant(ctx context.Context, r *catalog.Replica) bool {
 	n := s.node
-	if !n.statements.hasLimits.Load() {
+	if !n.advisories.hasLimits.Load() {
 		return true
 	}
 	if s.job != nil && s.job.hasSendGrant && s.job.engine == r.ID {
 		s.job.hasSendGrant = false // valid for one send
-		n.counters.paced.Inc(1)
+		n.counters.sendGrants.Inc(1)
 		return true
 	}
 	return n.acquireGrant(ctx, r)
@@ -111,24 +111,24 @@
 
 // acquireGrant obtains a send grant if the replica states a rate limit.
 func (n *Node) acquireGrant(ctx context.Context, r *catalog.Replica) bool {
-	if !n.statements.isLimited(r.ID) {
+	if !n.advisories.isLimited(r.ID) {
 		return true
 	}
 	wait, err := n.requestGrant(ctx, r)
 	now := n.now()
 	switch {
 	case err == nil && wait == 0:
-		n.counters.paced.Inc(1)
+		n.counters.sendGrants.Inc(1)
 		return true
 	case err == nil:
-		n.statements.withRateLimits(func(t *pace.Tracker) { t.RecordDenial(r.ID, now+max(wait, backoffPollInterval)) })
+		n.advisories.withRateLimits(func(t *pace.Tracker) { t.RecordDenial(r.ID, now+max(wait, backoffPollInterval)) })
 	case errors.Is(err, errNotGrantor):
-		n.statements.withRateLimits(func(t *pace.Tracker) { t.RecordDenial(r.ID, now+grantorLostDelay) })
+		n.advisories.withRateLimits(func(t *pace.Tracker) { t.RecordDenial(r.ID, now+grantorLostDelay) })
 	default:
 		n.logSideCallFailure("send grant", r.ID, err)
 		return n.tryLocalGrant(r.ID)
 	}
-	n.counters.pacedOut.Inc(1)
+	n.counters.sendGrantDenials.Inc(1)
 	return false
 }
 
@@ -137,7 +137,7 @@
 func (n *Node) reserveRetry(service string, backoff *backoffError) time.Duration {
 	perSecond := 0.0
 	replicas, instances := n.world.Load().eligibleByService[service], n.liveInstanceCount()
-	s := n.statements
+	s := n.advisories
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range replicas {
@@ -149,13 +149,13 @@
 // tryLocalGrant takes a grant from this instance's own fraction of a rate limit.
 func (n *Node) tryLocalGrant(incarnation string) bool {
 	instances, now, ok := n.liveInstanceCount(), n.now(), false
-	n.statements.withRateLimits(func(t *pace.Tracker) {
+	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		if ok = t.TryLocalGrant(now, incarnation, instances); !ok {
 			t.RecordDenial(incarnation, now+grantorLostDelay)
 		}
 	})
 	if ok {
-		n.counters.pacedAlone.Inc(1)
+		n.counters.localSendGrants.Inc(1)
 	}
 	return ok
 }
@@ -216,7 +216,7 @@
 // issueGrant issues a send grant, or returns the time until the next one is due.
 func (n *Node) issueGrant(r *catalog.Replica) (wait time.Duration, ok bool) {
 	now := n.now()
-	n.statements.withRateLimits(func(t *pace.Tracker) {
+	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		t.SetGrantor(now, r.ID, true)
 		if ok = t.TryGrant(now, r.ID); !ok {
 			wait = max(t.NextGrant(now, r.ID)-now, time.Microsecond)
@@ -244,8 +244,8 @@
 // countInternalCall counts a call that is not a client's request against the rate limit.
 // The call is sent in any case; requests are delayed instead.
 func (n *Node) countInternalCall(incarnation string) {
-	if n.statements.isLimited(incarnation) {
-		n.statements.withRateLimits(func(t *pace.Tracker) { t.Consume(n.now(), incarnation) })
+	if n.advisories.isLimited(incarnation) {
+		n.advisories.withRateLimits(func(t *pace.Tracker) { t.Consume(n.now(), incarnation) })
 	}
 }
 
@@ -263,11 +263,11 @@
 type cellGrants struct{ node *Node }
 
 // HasLimits reports whether any replica states a rate limit.
-func (g cellGrants) HasLimits() bool { return g.node.statements.hasLimits.Load() }
+func (g cellGrants) HasLimits() bool { return g.node.advisories.hasLimits.Load() }
 
 // NextGrant returns when a replica may receive the next request.
 func (g cellGrants) NextGrant(now time.Duration, incarnation string) (next time.Duration) {
-	g.node.statements.withRateLimits(func(t *pace.Tracker) {
+	g.node.advisories.withRateLimits(func(t *pace.Tracker) {
 		t.SetGrantor(now, incarnation, true)
 		next = t.NextGrant(now, incarnation)
 	})
@@ -276,11 +276,11 @@
 
 // Interval returns the time between two send grants of a replica; 0: no limit.
 func (g cellGrants) Interval(incarnation string) (interval time.Duration) {
-	g.node.statements.withRateLimits(func(t *pace.Tracker) { interval = t.Interval(incarnation) })
+	g.node.advisories.withRateLimits(func(t *pace.Tracker) { interval = t.Interval(incarnation) })
 	return interval
 }
 
 // Consume counts a request that is sent to a replica.
 func (g cellGrants) Consume(now time.Duration, incarnation string) {
-	g.node.statements.withRateLimits(func(t *pace.Tracker) { t.Consume(now, incarnation) })
+	g.node.advisories.withRateLimits(func(t *pace.Tracker) { t.Consume(now, incarnation) })
 }
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -50,7 +50,7 @@
 	record      *outcome.Record
 	deadline    time.Duration          // when the answer is due, by the process's clock
 	probe       *livenessProbe         // checks whether the replica of the last attempt has ended; nil: no check
-	trial       *trial                 // trial lease of a suspect request
+	trial       *trialLease            // trial lease of a suspect request
 	fingerprint quarantine.Fingerprint // of the parts that a caller repeats in a retry
 
 	job                 *stageJob
@@ -132,7 +132,7 @@
 			s.rank = customer.Priority*customerRankFactor + route.Priority
 		}
 	}
-	if !n.takes(route.Kind == catalog.Stream) {
+	if !n.acceptsRequest(route.Kind == catalog.Stream) {
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
 	s.service = world.config.Services[route.PickService(platform.HashString(req.ID))]
@@ -175,8 +175,8 @@
 func (s *requestHandler) withServiceRates(f func(*serviceRates)) {
 	n := s.node
 	instances := float64(n.liveInstanceCount())
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	r := n.rates[s.service.Name]
 	if r == nil {
 		slack := n.settings.RetrySlack * retrySlackShare / instances
@@ -198,8 +198,8 @@
 // refused request.
 func (s *requestHandler) isClientRetry() bool {
 	n := s.node
-	n.judgeMu.Lock()
-	defer n.judgeMu.Unlock()
+	n.detectorMu.Lock()
+	defer n.detectorMu.Unlock()
 	return n.deadlines.isRetry(s.route.Name, s.req.Deadline)
 }
 
@@ -257,9 +257,9 @@
 func (s *requestHandler) checkQuarantine(ctx context.Context) error {
 	verdict := s.node.verdict(s.fingerprint)
 	if verdict == quarantine.Suspect && s.trial == nil {
-		t, err := s.node.turn(ctx, s.fingerprint)
+		t, err := s.node.acquireTrial(ctx, s.fingerprint)
 		if err != nil {
-			s.node.counters.noTurn.Inc(1)
+			s.node.counters.trialsDenied.Inc(1)
 			return err
 		}
 		s.trial = t
@@ -267,8 +267,8 @@
 		event.NodeTries.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
 	}
 	if verdict == quarantine.Quarantined {
-		s.node.counters.condemned.Inc(1)
-		return errCondemned
+		s.node.counters.quarantined.Inc(1)
+		return errQuarantined
 	}
 	return nil
 }
@@ -280,11 +280,11 @@
 	switch {
 	case t == nil:
 	case p == nil:
-		t.end()
+		t.release()
 	default:
 		go func() {
 			s.node.awaitLivenessProbe(context.Background(), p)
-			t.end()
+			t.release()
 		}()
 	}
 }
@@ -316,7 +316,7 @@
 		s.stageReruns++
 		return s.stageReruns <= maxStageReruns && s.consumeRetryBudget()
 	case errors.Is(err, errReplicaRefused):
-		if _, backsOff := s.node.statements.backoffUntil(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
+		if _, backsOff := s.node.advisories.backoffUntil(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
 			s.avoid[s.lastReplica] = true
 		}
 		s.unexecutedSends++
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -22,7 +22,7 @@
 	serviceSizes      map[string]int               // replicas by service, including those of halls that are being drained
 	replicas          []catalog.Replica            // includes the draining ones
 	incarnationByName map[string]string            // of replicas that report their start time
-	rolloutByService  map[string]*move
+	rolloutByService  map[string]*trafficShift
 	partsOnce         sync.Once
 	parts             cellPartition // of pools and engines; computed on first use
 	regions           *regions.Map
@@ -129,8 +129,8 @@
 // followMu and calls afterUnlock once it has released it.
 func (n *Node) replaceSnapshot() (afterUnlock func()) {
 	now := n.now()
-	changed := n.replicas.refresh(now, n.statements.isDraining)
-	n.rollouts.startedAgain(now, n.world.Load(), changed.restarted)
+	changed := n.replicas.refresh(now, n.advisories.isDraining)
+	n.rollouts.recordRestarts(now, n.world.Load(), changed.restarted)
 	w := n.buildSnapshot()
 	warming := n.replicas.newlyWarming(now, w.replicas)
 	n.world.Store(w)
@@ -139,9 +139,9 @@
 		for _, r := range changed.removed {
 			n.recordReplicaRemoval(r.ID)
 		}
-		n.livesOver(changed.restarted)
+		n.handleRestarts(changed.restarted)
 		for _, id := range changed.invalid {
-			n.counters.brokenEntries.Inc(1)
+			n.counters.invalidEntries.Inc(1)
 			event.NodeEntryBroken.Log(n.log, "name", id)
 		}
 		for _, r := range warming {
@@ -160,11 +160,11 @@
 	}
 	for id, record := range n.replicas.byIncarnation {
 		r := record.replica
-		if _, ok := n.replicas.drainSigns[id]; ok || n.statements.isDraining(id) {
+		if _, ok := n.replicas.drainSigns[id]; ok || n.advisories.isDraining(id) {
 			r.Draining = true
 		}
 		r.Region = n.places.RegionOf(r.Hall)
-		r.HallDrained = n.emptied.IsDrained(r.Hall)
+		r.HallDrained = n.drainedHalls.IsDrained(r.Hall)
 		r.WarmingUntil = n.warmingUntil(w.config, &record)
 		w.replicas = append(w.replicas, r)
 		if r.StartMillis != 0 {
@@ -174,7 +174,7 @@
 			w.serviceSizes[r.Service]++
 		}
 	}
-	n.rollouts.part(n.now(), w)
+	n.rollouts.applyTo(n.now(), w)
 	for _, r := range w.replicas {
 		if r.AcceptsWork() {
 			w.eligibleByService[r.Service] = append(w.eligibleByService[r.Service], r)
@@ -231,7 +231,7 @@
 // drainUpdates returns the draining replicas to announce to other instances. The first
 // declared of them have announced the drain themselves.
 func (n *Node) drainUpdates() (out []string, declared int) {
-	n.statements.withTracker(func(b *advisory.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
+	n.advisories.withTracker(func(b *advisory.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
 	declared = len(out)
 	out = append(out, n.recentDrainSigns(maxDrainsPerHeartbeat-declared)...)
 	return n.announcedReplicaIDs(out), declared
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -154,7 +154,7 @@
 		}
 		var refused *refusedError
 		var failed *failedError
-		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errRegionDisallowed) || errors.Is(err, errCondemned) || ctx.Err() != nil {
+		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errRegionDisallowed) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
 			return nil, err
 		}
 		event.NodeOwnerLost.Log(n.log, "owner", owner.Name, "request", ask.RequestId, "error", err)
@@ -206,7 +206,7 @@
 		return n.askLocalOwner(ctx, w)
 	}
 	if owner.Region != n.home {
-		n.counters.farBytes.stages.Inc(int64(proto.Size(w.ask)))
+		n.counters.remoteBytes.stages.Inc(int64(proto.Size(w.ask)))
 	}
 	stream, err := n.links.Open(owner.PeerAddress, frame.Stages, w.ask)
 	if err != nil {
@@ -264,7 +264,7 @@
 			case r.Failed != "":
 				job.end()
 				if r.Failed == reasonQuarantined {
-					return nil, errCondemned
+					return nil, errQuarantined
 				}
 				return nil, &failedError{reason: r.Failed, retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
 			case r.Admitted:
--- a/cmd/node/store_monitor.go
+++ b/cmd/node/store_monitor.go
@@ -72,15 +72,15 @@
 func (n *Node) monitorStore(ctx context.Context) {
 	var silentSince time.Duration // start of the unresponsive period
 	process.Every(ctx, storeProbeInterval, func() {
-		if !n.reads.Load() && !n.storeUnreachable() {
+		if !n.isReader.Load() && !n.storeUnreachable() {
 			return
 		}
 		err := n.store.Answers(storeProbeTimeout)
 		n.setStoreReachable(err == nil)
-		switch changed := n.pulse.record(err == nil); {
+		switch changed := n.storeMonitor.record(err == nil); {
 		case changed && err != nil:
 			silentSince = n.now()
-			n.counters.silences.Inc(1)
+			n.counters.storeOutages.Inc(1)
 			event.NodeStoreSilent.Log(n.log, "error", err)
 		case changed:
 			event.NodeStoreAnswers.Log(n.log, "after", n.now()-silentSince)
--- a/cmd/node/throttled.go
+++ b/cmd/node/throttled.go
@@ -43,5 +43,5 @@
 		}
 	}
 	c.throttledSince = throttled
-	c.owner.node.counters.held(c.number, len(throttled))
+	c.owner.node.counters.setThrottled(c.number, len(throttled))
 }
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -66,7 +66,7 @@
 	answered := false                 // the last call of this reader was answered
 	for ctx.Err() == nil {
 		switch {
-		case f.isKnown() && !n.reads.Load():
+		case f.isKnown() && !n.isReader.Load():
 			answered = false
 			process.Pause(ctx, readerCheckInterval)
 			continue
@@ -89,7 +89,7 @@
 			}
 			continue
 		case errors.Is(err, errCallAbandoned):
-			n.counters.givenUp.Inc(1)
+			n.counters.cancelledStoreCalls.Inc(1)
 			event.NodeStoreGivenUp.Log(n.log, "topic", f.name, "waited", waited)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
@@ -206,7 +206,7 @@
 // waits for updates from the readers instead of reading the store.
 func (n *Node) defersFirstRead() bool {
 	n.updateReaderRole(n.liveInstances())
-	startup := readers.Startup{Age: n.now(), KnowsPeers: n.knowsPeers(), IsReader: n.reads.Load(), Jitter: n.spread}
+	startup := readers.Startup{Age: n.now(), KnowsPeers: n.knowsPeers(), IsReader: n.isReader.Load(), Jitter: n.jitter}
 	return !startup.ShouldRead()
 }
 
@@ -226,7 +226,7 @@
 		return
 	}
 	isReader := readers.IsReader(n.settings.Name, alive)
-	if n.reads.Swap(isReader) == isReader {
+	if n.isReader.Swap(isReader) == isReader {
 		return
 	}
 	n.gossipMu.Lock()
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -16,7 +16,7 @@
 // to be drained, and the ordered rollouts.
 func (n *Node) followIntent(ctx context.Context) {
 	var at atomic.Uint64
-	f := topicFollower{node: n, storeRecovery: n.pulse.recovery, name: "intent", isKnown: func() bool { return n.configVersion() > 0 }}
+	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "intent", isKnown: func() bool { return n.configVersion() > 0 }}
 	f.read = func() (func(), error) {
 		intent, err := n.store.Intent()
 		return func() {
@@ -37,7 +37,7 @@
 // applyIntent applies the operators' intent after it was read in full. Drained halls and
 // rollouts come first because no request is sent before a configuration is in force.
 func (n *Node) applyIntent(i platform.Intent) {
-	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
+	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Replace(now, i.DrainedHalls, i.Revision)
 	})
 	n.replaceRollouts(i.Rollouts, i.Revision)
@@ -53,7 +53,7 @@
 			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Deleted})
 		}
 	}
-	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
+	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Apply(now, entries, at)
 	})
 	n.applyRollouts(items, at)
@@ -108,7 +108,7 @@
 }
 
 func (n *Node) followReplicas(ctx context.Context) {
-	f := topicFollower{node: n, storeRecovery: n.pulse.recovery, name: "replicas", isKnown: n.replicasLoaded, continuesFromPeer: true}
+	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "replicas", isKnown: n.replicasLoaded, continuesFromPeer: true}
 	f.read = func() (func(), error) {
 		items, at, err := n.store.Replicas()
 		return func() {
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -139,7 +139,7 @@
 		s := newFakeStore()
 		n.store = s
 		ctx, cancel := context.WithCancel(context.Background())
-		n.reads.Store(true)
+		n.isReader.Store(true)
 		var loops sync.WaitGroup
 		for _, loop := range []func(context.Context){n.followIntent, n.followReplicas, n.monitorStore} {
 			loops.Go(func() { loop(ctx) })
@@ -186,10 +186,10 @@
 func TestNewReaderDuringStoreSilenceAppliesInTime(t *testing.T) {
 	for phase := time.Duration(0); phase < storeProbeInterval; phase += 100 * time.Millisecond {
 		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
-			n.reads.Store(false)
+			n.isReader.Store(false)
 			time.Sleep(10*time.Second + phase) // its calls as a reader have ended
 			s.setUnresponsive(true)
-			n.reads.Store(true)
+			n.isReader.Store(true)
 			time.Sleep(300 * time.Millisecond)
 			s.setUnresponsive(false)
 			s.write(2)
@@ -235,7 +235,7 @@
 		s.setUnresponsive(true)
 		time.Sleep(storeProbeInterval + storeProbeTimeout + readerCheckInterval)
 		is.True(unreachable())
-		n.reads.Store(false) // another instance is the reader now
+		n.isReader.Store(false) // another instance is the reader now
 		time.Sleep(time.Minute)
 		is.True(unreachable())
 		s.setUnresponsive(false)
--- a/cmd/node/update_server_test.go
+++ b/cmd/node/update_server_test.go
@@ -54,10 +54,10 @@
 	is.NoErr(err)
 	is.True(unpacked.Whole)
 	is.Equal(len(unpacked.Entries), 3000)
-	n.telling.credit = 0 // as if time had passed
+	n.peerUpdates.credit = 0 // as if time had passed
 	is.True(requestReplicaUpdate(t, n, 0) == first)
 	n.replicas.changeLog.ApplyChanges([]changes.Entry{{ID: "new", Value: []byte("{}"), Revision: 101}}, 101)
-	n.telling.credit = 0
+	n.peerUpdates.credit = 0
 	unpacked, err = decompressChanges(requestReplicaUpdate(t, n, 0))
 	is.NoErr(err)
 	is.Equal(len(unpacked.Entries), 3001)
--- a/cmd/node/warmup.go
+++ b/cmd/node/warmup.go
@@ -35,7 +35,7 @@
 		return 0
 	}
 	until := row.warmingUntil
-	if at, ok := n.emptied.ReturnedAt(row.replica.Hall); ok {
+	if at, ok := n.drainedHalls.ReturnedAt(row.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.Duration)
 	}
 	return until
@@ -45,17 +45,17 @@
 // replica of a plain service now, given the instances that accept requests. With
 // record, the request is counted.
 func (n *Node) allowsWarmingReplica(now time.Duration, s *catalog.Service, id string, instances []string, record bool) bool {
-	quota := warmup.Quota(n.settings.Name, instances, id, n.cold.limit.MaxPerSender(s.WarmUp.RequestsPerSecond))
+	quota := warmup.Quota(n.settings.Name, instances, id, n.warmUp.limit.MaxPerSender(s.WarmUp.RequestsPerSecond))
 	if quota == 0 {
 		return false
 	}
-	n.cold.mu.Lock()
-	defer n.cold.mu.Unlock()
-	if n.cold.window.NextAllowed(now, id, quota) > now {
+	n.warmUp.mu.Lock()
+	defer n.warmUp.mu.Unlock()
+	if n.warmUp.window.NextAllowed(now, id, quota) > now {
 		return false
 	}
 	if record {
-		n.cold.window.Record(now, id)
+		n.warmUp.window.Record(now, id)
 	}
 	return true
 }
@@ -64,7 +64,7 @@
 // may have waited since its replica was chosen. Requests to warming replicas of
 // plain services are counted.
 func (n *Node) mayReceive(s *catalog.Service, id string) bool {
-	if !n.replicaTakes(id) {
+	if !n.replicaAcceptsWork(id) {
 		return false
 	}
 	if s.WarmUp == nil || s.Engine != nil {
