--- a/cmd/ctl/builds.go
+++ b/cmd/ctl/builds.go
@@ -29,7 +29,7 @@
 func (c *client) builds(addresses []string) (int, error) {
 	all, err := nodeStates[nodeBuild](addresses)
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(all, func() { printBuilds(c.out, all) })
 }
--- a/cmd/ctl/ctl.go
+++ b/cmd/ctl/ctl.go
@@ -251,7 +251,7 @@
 		return process.ExitUsage, err
 	}
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(p, func() { c.printPlan(&p, only) })
 }
@@ -259,7 +259,7 @@
 func (c *client) show(id string) (int, error) {
 	var p api.Plan
 	if _, err := c.call("GET", "/v1/plans/"+id, nil, &p); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(p, func() { c.printPlan(&p, false) })
 }
@@ -267,7 +267,7 @@
 func (c *client) confirm(id string) (int, error) {
 	var done api.Confirmed
 	if _, err := c.call("POST", "/v1/plans/"+id+"/confirm", nil, &done); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	code, err := c.print(done, func() { c.printConfirmed(&done) })
 	switch {
@@ -289,7 +289,7 @@
 	for until := time.Now().Add(followFor); ; time.Sleep(followEvery) {
 		var s api.Status
 		if _, err := c.call("GET", "/v1/status", nil, &s); err != nil {
-			return process.ExitFail, err
+			return process.ExitFailure, err
 		}
 		there, all := 0, 0
 		for _, i := range s.Instances {
@@ -306,7 +306,7 @@
 			return process.ExitOK, nil
 		}
 		if time.Now().After(until) {
-			return process.ExitFail, errors.New("not everywhere yet; see quincectl status")
+			return process.ExitFailure, errors.New("not everywhere yet; see quincectl status")
 		}
 	}
 }
@@ -314,7 +314,7 @@
 func (c *client) drain(name string) (int, error) {
 	var d api.Drained
 	if _, err := c.call("POST", "/v1/instances/"+name+"/drain", nil, &d); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(d, func() {
 		fmt.Fprintf(c.out, "%s takes no new callers; stop it once the address answers have run out\n", d.Instance)
@@ -324,7 +324,7 @@
 func (c *client) status() (int, error) {
 	var s api.Status
 	if _, err := c.call("GET", "/v1/status", nil, &s); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(s, func() { c.printStatus(&s) })
 }
@@ -332,7 +332,7 @@
 func (c *client) history() (int, error) {
 	var s api.InForce
 	if _, err := c.call("GET", "/v1/config", nil, &s); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(s.History, func() {
 		for _, p := range s.History {
@@ -344,7 +344,7 @@
 func (c *client) dump() (int, error) {
 	var v json.RawMessage
 	if _, err := c.call("GET", "/v1/state", nil, &v); err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	c.format = jsonOut
 	return c.print(v, nil)
@@ -358,7 +358,7 @@
 	}
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	_, err = fmt.Fprintln(c.out, strings.TrimSpace(string(b)))
 	return process.ExitOK, err
--- a/cmd/ctl/customers.go
+++ b/cmd/ctl/customers.go
@@ -36,7 +36,7 @@
 func (c *client) customers(addresses []string) (int, error) {
 	all, err := nodeStates[nodeCustomers](addresses)
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(all, func() { printCustomers(c.out, all) })
 }
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if len(s.own) == 0 {
-		return process.ExitFail, fmt.Errorf("no line of these logs names request %s; an instance that is killed logs no end of what it had taken", id)
+		return process.ExitFailure, fmt.Errorf("no line of these logs names request %s; an instance that is killed logs no end of what it had taken", id)
 	}
 	c.printLines(s.own)
 	fmt.Fprintf(c.out, "\n%s\n", s.verdict())
@@ -62,7 +62,7 @@
 	}
 	fmt.Fprintf(c.out, "version %d: %d routes, %d services, %d keys; %d findings\n", config.Version, len(config.Routes), len(config.Services), len(config.Customers), len(findings))
 	if len(findings) > 0 {
-		return process.ExitFail, nil
+		return process.ExitFailure, nil
 	}
 	return process.ExitOK, nil
 }
--- a/cmd/ctl/losses.go
+++ b/cmd/ctl/losses.go
@@ -139,7 +139,7 @@
 		}
 	}
 	if a.asked == 0 {
-		return process.ExitFail, fmt.Errorf("no line of these logs tells of a request's end (event %d)", event.NodeRequest.Number)
+		return process.ExitFailure, fmt.Errorf("no line of these logs tells of a request's end (event %d)", event.NodeRequest.Number)
 	}
 	c.printAccount(a)
 	return process.ExitOK, nil
--- a/cmd/ctl/quarantine.go
+++ b/cmd/ctl/quarantine.go
@@ -27,7 +27,7 @@
 func (c *client) quarantine(addresses []string) (int, error) {
 	all, err := nodeStates[nodeQuarantine](addresses)
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(all, func() { printQuarantine(c.out, all) })
 }
@@ -51,10 +51,10 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + address + "/debug/acquit?fingerprint=" + url.QueryEscape(fingerprint))
 	if err := web.NewClient().DoTimeout(req, resp, callTimeout); err != nil {
-		return process.ExitFail, fmt.Errorf("%s: %w", address, err)
+		return process.ExitFailure, fmt.Errorf("%s: %w", address, err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return process.ExitFail, fmt.Errorf("%s: %s", address, strings.TrimSpace(string(resp.Body())))
+		return process.ExitFailure, fmt.Errorf("%s: %s", address, strings.TrimSpace(string(resp.Body())))
 	}
 	fmt.Fprintf(c.out, "%s may be sent again\n", fingerprint)
 	return process.ExitOK, nil
--- a/cmd/ctl/rollouts.go
+++ b/cmd/ctl/rollouts.go
@@ -38,7 +38,7 @@
 func (c *client) rollouts(addresses []string) (int, error) {
 	all, err := nodeStates[nodeRollouts](addresses)
 	if err != nil {
-		return process.ExitFail, err
+		return process.ExitFailure, err
 	}
 	return c.print(all, func() { printRollouts(c.out, all) })
 }
--- a/cmd/node/isolation.go
+++ b/cmd/node/isolation.go
@@ -25,7 +25,7 @@
 		return
 	}
 	until := s.node.now() + isolationTimeout
-	for s.hasConcurrentSuspects() && s.node.now() < until && process.Pause(ctx, isolationInterval) {
+	for s.hasConcurrentSuspects() && s.node.now() < until && process.Sleep(ctx, isolationInterval) {
 		if !s.requestNewEngine(ctx) {
 			return
 		}
--- a/cmd/node/main.go
+++ b/cmd/node/main.go
@@ -83,7 +83,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	if err := n.Start(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return process.ExitFail
+		return process.ExitFailure
 	}
 	for s := range signals {
 		if s != syscall.SIGHUP {
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -175,7 +175,7 @@
 			return
 		}
 		if err != nil {
-			process.Pause(ctx, heartbeatInterval)
+			process.Sleep(ctx, heartbeatInterval)
 			continue
 		}
 		n.handleHeartbeat(h)
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -31,15 +31,15 @@
 	if n.liveInstanceCount() == 1 {
 		n.logSideCallFailure("instances", "store", n.mergeRegistered()) // the seeds may be gone; earlier readers may be back
 	}
-	process.Pause(ctx, registrationDelay)
+	process.Sleep(ctx, registrationDelay)
 	for ctx.Err() == nil {
 		if lease == 0 && !n.reads.Load() {
-			process.Pause(ctx, readerCheckInterval)
+			process.Sleep(ctx, readerCheckInterval)
 			continue
 		}
 		err := n.renewRegistration(&lease)
 		if err == nil {
-			if !process.Pause(ctx, registrationRenewInterval) {
+			if !process.Sleep(ctx, registrationRenewInterval) {
 				return
 			}
 			continue
@@ -47,7 +47,7 @@
 		if errors.Is(err, platform.ErrNoLease) {
 			lease = 0
 		}
-		if !process.Pause(ctx, maxStoreRetryDelay) {
+		if !process.Sleep(ctx, maxStoreRetryDelay) {
 			return
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		n.announceToSeeds()
 		n.announceSelf(known)
-		if !process.Pause(ctx, discoveryInterval) {
+		if !process.Sleep(ctx, discoveryInterval) {
 			return
 		}
 	}
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -139,7 +139,7 @@
 	if rest.until > last || now >= last {
 		return false
 	}
-	return process.Pause(ctx, min(max(rest.until-now, restLook), mostRestLook))
+	return process.Sleep(ctx, min(max(rest.until-now, restLook), mostRestLook))
 }
 
 // placeAgain has the engine chosen anew where what its replica has stated since it
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -298,7 +298,7 @@
 		return false
 	}
 	s.stageWaits++
-	return process.Pause(ctx, shortRetryAfter)
+	return process.Sleep(ctx, shortRetryAfter)
 }
 
 // shouldRetry decides whether the request is sent again after an attempt ended
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -170,7 +170,7 @@
 // is known: instances that decide by a partial view would elect many owners.
 func (n *Node) awaitOwnerView(ctx context.Context, cell int, region string) {
 	for n.now() < startupViewTimeout && !n.canDecideOwner(cell, region) && ctx.Err() == nil {
-		process.Pause(ctx, startupViewInterval)
+		process.Sleep(ctx, startupViewInterval)
 	}
 }
 
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -112,7 +112,7 @@
 	w := n.world.Load()
 	s := State{
 		Name:      n.settings.Name,
-		Build:     process.Build(),
+		Build:     process.BuildVersion(),
 		Level:     buildLevel,
 		Uptime:    n.now().Round(time.Millisecond).String(),
 		Stopping:  n.stopping.Load(),
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -68,10 +68,10 @@
 		switch {
 		case f.isKnown() && !n.reads.Load():
 			answered = false
-			process.Pause(ctx, readerCheckInterval)
+			process.Sleep(ctx, readerCheckInterval)
 			continue
 		case !f.isKnown() && n.defersFirstRead():
-			process.Pause(ctx, startupViewInterval)
+			process.Sleep(ctx, startupViewInterval)
 			continue
 		}
 		startedAt := n.now()
@@ -96,7 +96,7 @@
 			readWhole = true
 			continue
 		case errors.Is(err, platform.ErrNoKey): // the topic was never written
-			process.Pause(ctx, unwrittenTopicDelay)
+			process.Sleep(ctx, unwrittenTopicDelay)
 			continue
 		}
 		if outageStart == noOutage {
@@ -105,7 +105,7 @@
 			n.storeFailed.Store(true)
 			n.setStoreReachable(false)
 		}
-		process.Pause(ctx, retryDelay)
+		process.Sleep(ctx, retryDelay)
 		retryDelay = min(2*retryDelay, maxStoreRetryDelay)
 	}
 }
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -143,6 +143,6 @@
 		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", changed, "at", at)
 		n.publish()
 		n.announceToHall()
-		process.Pause(ctx, replicaChangeDelay)
+		process.Sleep(ctx, replicaChangeDelay)
 	}
 }
--- a/cmd/process/build.go
+++ b/cmd/process/build.go
@@ -6,7 +6,7 @@
 
 // Build names the binary: the product's version, and the commit where the
 // toolchain has noted one.
-func Build() string {
+func BuildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return Version
--- a/cmd/process/incarnation_test.go
+++ b/cmd/process/incarnation_test.go
@@ -9,7 +9,7 @@
 )
 
 // A clock that is far off makes no number that nobody can go beyond.
-func TestAnIncarnationIsInRange(t *testing.T) {
+func TestIncarnationIsInRange(t *testing.T) {
 	is := is.New(t)
 	day := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	is.Equal(Incarnation(day), uint64(day.UnixNano()))
--- a/cmd/process/loop.go
+++ b/cmd/process/loop.go
@@ -20,7 +20,7 @@
 }
 
 // Pause waits, and reports false when ctx ended first.
-func Pause(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/cmd/process/process.go
+++ b/cmd/process/process.go
@@ -16,9 +16,9 @@
 
 // The exit codes of all binaries.
 const (
-	ExitOK    = 0
-	ExitFail  = 1 // it ran and failed
-	ExitUsage = 2 // bad arguments or settings; nothing was done
+	ExitOK      = 0
+	ExitFailure = 1 // it ran and failed
+	ExitUsage   = 2 // bad arguments or settings; nothing was done
 )
 
 // Process is something that runs until it is stopped.
@@ -34,16 +34,16 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	if err := p.Start(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return ExitFail
+		return ExitFailure
 	}
 	<-signals
 	go func() {
 		<-signals
-		os.Exit(ExitFail)
+		os.Exit(ExitFailure)
 	}()
 	if err := p.Stop(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return ExitFail
+		return ExitFailure
 	}
 	return ExitOK
 }
--- a/cmd/quince-load/main.go
+++ b/cmd/quince-load/main.go
@@ -65,7 +65,7 @@
 	}
 	if err := run(f, o); err != nil {
 		fmt.Fprintln(os.Stderr, "quince-load:", err)
-		os.Exit(process.ExitFail)
+		os.Exit(process.ExitFailure)
 	}
 }
 
--- a/cmd/standin/upstream/replica.go
+++ b/cmd/standin/upstream/replica.go
@@ -162,7 +162,7 @@
 		r.stream(w, q, f, input, line)
 		return
 	}
-	if !process.Pause(q.Context(), r.duration(q, f, input)) {
+	if !process.Sleep(q.Context(), r.duration(q, f, input)) {
 		return
 	}
 	out := work.Output(q.Header.Get(api.HeaderOp), input)
@@ -180,7 +180,7 @@
 
 // answer writes a whole body, or does the replica's fault.
 func (r *replica) answer(w http.ResponseWriter, q *http.Request, f Fault, out []byte) {
-	process.Pause(q.Context(), time.Duration(f.Late)*time.Millisecond)
+	process.Sleep(q.Context(), time.Duration(f.Late)*time.Millisecond)
 	switch {
 	case f.HangUp:
 		panic(http.ErrAbortHandler)
@@ -203,7 +203,7 @@
 	gap := r.duration(q, f, input) / time.Duration(len(tokens))
 	flush := http.NewResponseController(w)
 	for i := min(offset, len(tokens)); i < len(tokens); i++ {
-		if !process.Pause(q.Context(), gap) {
+		if !process.Sleep(q.Context(), gap) {
 			return
 		}
 		if f.CutAt > 0 && i >= f.CutAt {
