--- a/cmd/entry/entry.go
+++ b/cmd/entry/entry.go
@@ -1,7 +1,8 @@
-// Package entry is the process callers talk to: it checks, limits and admits
-// requests, runs their pipelines over the upstreams, and answers. Every
-// instance runs one, beside its coord; without the coord it goes on with what
-// it last knew.
+// Package entry implements the process that serves clients: it validates, rate-limits
+// and admits requests, runs their pipelines on the upstreams' replicas and returns the
+// results. Every instance runs one entry next to its coord. While the coord is
+// unreachable, the entry continues with the last configuration, members and replicas
+// that it received.
 package entry
 
 import (
@@ -30,11 +31,11 @@
 	"quinceroad/transport/web"
 )
 
-// Entry is one instance's entry. Locks, in order: the limits', ledgerMu, then the
-// slots' (docs/ARCHITECTURE.md). The view is a snapshot that is exchanged as a
-// whole and needs none.
+// Entry is the entry process of one instance. Lock order: limits.mu, ledgerMu, then the
+// locks of slots (docs/ARCHITECTURE.md). The view is an immutable snapshot that is
+// replaced atomically, so it needs no lock.
 type Entry struct {
-	set         *settings.Instance
+	settings    *settings.Instance
 	log         hclog.Logger
 	start       time.Time
 	incarnation uint64
@@ -42,21 +43,21 @@
 	links       *link.Pool
 	traffic     *link.Traffic
 	upstreams   *upstream.Client
-	probes      *fasthttp.Client // asks replicas whether they leave
+	probeClient *fasthttp.Client // asks replicas whether they are draining
 	platform    *platform.Client
 	registry    metrics.Registry
-	count       counters
+	counters    counters
 
 	view    atomic.Pointer[view]
-	viewErr atomic.Pointer[error] // why the view may be old; nil while the coord talks
+	viewErr atomic.Pointer[error] // why the view may be stale; nil while the coord is reachable
 
 	limits *limits
 
-	ledgerMu  sync.Mutex
-	ledger    *ledger.Ledger
-	succeeds  []uint64
-	rewatch   chan struct{} // what the coord knows of this entry has changed
-	heirlooms *table.Table[uint64, *heirloom]
+	ledgerMu            sync.Mutex
+	ledger              *ledger.Ledger
+	adoptedIncarnations []uint64
+	watchChanged        chan struct{} // signals that the registration sent to the coord is outdated
+	pendingHandovers    *table.Table[uint64, *pendingHandover]
 
 	retriesMu sync.Mutex
 	retries   *retry.Budget
@@ -64,17 +65,17 @@
 	estimates *table.Table[stageKey, *stageEstimate]
 	slots     *slotClient
 
-	alone    atomic.Bool                     // the coord hears from no other: replicas' leaving does not spread
-	heard    *table.Table[string, time.Time] // replica -> when it last answered
-	leaving  atomic.Bool                     // told to peers and address answers
-	refusing atomic.Bool                     // new requests are refused
-	inFlight atomic.Int64
-
-	http    *web.Server
-	admin   *web.Server
-	server  *link.Server
-	cancel  context.CancelFunc
-	running *errgroup.Group
+	coordIsolated atomic.Bool                     // the coord receives nothing from other instances, so drain advisories do not spread
+	lastAnswered  *table.Table[string, time.Time] // replica ID -> time of its last response that announced no drain
+	draining      atomic.Bool                     // announced to peers; address responses leave this instance out
+	refusing      atomic.Bool                     // new requests are refused
+	inFlight      atomic.Int64
+
+	httpServer  *web.Server
+	adminServer *web.Server
+	peerServer  *link.Server
+	cancel      context.CancelFunc
+	tasks       *errgroup.Group
 }
 
 // counters are the entry's metrics.
@@ -83,12 +84,12 @@
 	latency, queue                                                                        metrics.Histogram // microseconds
 }
 
-const sampleSize = 512 // of a histogram; the default of about a thousand costs twice the memory
+const histogramSampleSize = 512 // values kept per histogram; the library's default of about 1000 takes twice the memory
 
 func newCounters(r metrics.Registry) counters {
 	c := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) }
 	h := func(name string) metrics.Histogram {
-		return metrics.NewRegisteredHistogram(name, r, metrics.NewExpDecaySample(sampleSize, 0.015))
+		return metrics.NewRegisteredHistogram(name, r, metrics.NewExpDecaySample(histogramSampleSize, 0.015))
 	}
 	return counters{
 		requests: c("entry.requests"), done: c("entry.done"), notRun: c("entry.not_run"),
@@ -100,8 +101,8 @@
 }
 
 const (
-	retryShare = 0.1 // retries per success
-	retryMost  = 20  // retries that may come at once
+	retryRatio = 0.1 // retries per success
+	retryBurst = 20  // maximum retries in a burst
 )
 
 type stageKey struct{ pipeline, stage string }
@@ -111,29 +112,29 @@
 	*estimate.Stage
 }
 
-// New returns an entry that is not running.
+// New returns an entry that is not started yet.
 func New(s *settings.Instance, l hclog.Logger) *Entry {
 	r := metrics.NewRegistry()
 	t := &link.Traffic{}
 	t.Register(r)
 	e := &Entry{
-		set:         s,
-		log:         l,
-		start:       time.Now(),
-		incarnation: rand.Uint64() | 1, // never 0, which means none
-		keys:        s.Keys(),
-		links:       link.NewPool(t),
-		traffic:     t,
-		upstreams:   upstream.New(),
-		platform:    platform.New(s.Platform),
-		registry:    r,
-		count:       newCounters(r),
-		rewatch:     make(chan struct{}, 1),
-		heirlooms:   table.New[uint64, *heirloom](table.RankLedger),
-		retries:     retry.NewBudget(retryShare, retryMost),
-		heard:       table.New[string, time.Time](table.RankReplicas),
-		probes:      web.NewClient(),
-		estimates:   table.New[stageKey, *stageEstimate](table.RankReplicas),
+		settings:         s,
+		log:              l,
+		start:            time.Now(),
+		incarnation:      rand.Uint64() | 1, // never 0, which means no incarnation
+		keys:             s.Keys(),
+		links:            link.NewPool(t),
+		traffic:          t,
+		upstreams:        upstream.New(),
+		platform:         platform.New(s.Platform),
+		registry:         r,
+		counters:         newCounters(r),
+		watchChanged:     make(chan struct{}, 1),
+		pendingHandovers: table.New[uint64, *pendingHandover](table.RankLedger),
+		retries:          retry.NewBudget(retryRatio, retryBurst),
+		lastAnswered:     table.New[string, time.Time](table.RankReplicas),
+		probeClient:      web.NewClient(),
+		estimates:        table.New[stageKey, *stageEstimate](table.RankReplicas),
 	}
 	e.ledger = ledger.New(e.incarnation)
 	e.slots = newSlotClient(e)
@@ -144,35 +145,36 @@
 // Start implements process.Process.
 func (e *Entry) Start() (err error) {
 	onPanic := func(v any) { event.Panicked.Log(e.log, "panic", v) }
-	if e.server, err = link.Listen(e.set.Entry.Link, e.serveLink, e.traffic); err != nil {
+	if e.peerServer, err = link.Listen(e.settings.Entry.Link, e.servePeer, e.traffic); err != nil {
 		return err
 	}
-	if e.http, err = web.Listen(e.set.Entry.HTTP, e.handler, onPanic); err != nil {
+	if e.httpServer, err = web.Listen(e.settings.Entry.HTTP, e.handler, onPanic); err != nil {
 		return err
 	}
 	admin := &web.Admin{Registry: e.registry, Ready: e.ready, State: e.state}
-	if e.admin, err = web.Listen(e.set.Entry.Admin, admin.Handler, onPanic); err != nil {
+	if e.adminServer, err = web.Listen(e.settings.Entry.Admin, admin.Handler, onPanic); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
-	e.running, ctx = errgroup.WithContext(ctx)
+	e.tasks, ctx = errgroup.WithContext(ctx)
 	e.slots.start()
-	e.running.Go(func() error { e.watchLoop(ctx); return nil })
-	e.running.Go(func() error { e.limits.loop(ctx); return nil })
-	event.EntryStarted.Log(e.log, "incarnation", e.incarnation, "http", e.set.Entry.HTTP)
+	e.tasks.Go(func() error { e.watchLoop(ctx); return nil })
+	e.tasks.Go(func() error { e.limits.reportLoop(ctx); return nil })
+	event.EntryStarted.Log(e.log, "incarnation", e.incarnation, "http", e.settings.Entry.HTTP)
 	return nil
 }
 
-// now is the entry's monotonic clock, on which its ledger's times are.
+// now returns the time since the entry's start on a monotonic clock. The ledger's times
+// are on this clock.
 func (e *Entry) now() time.Duration { return time.Since(e.start) }
 
-var errNoView = errors.New("no configuration from the coord yet")
+var errNoConfiguration = errors.New("no configuration from the coord yet")
 
 func (e *Entry) ready() error {
 	switch v := e.view.Load(); {
 	case v == nil || v.fleet == nil:
-		return errNoView
+		return errNoConfiguration
 	case e.refusing.Load():
 		return errors.New("stopping")
 	}
@@ -180,50 +182,51 @@
 }
 
 const (
-	stopGrace   = 500 * time.Millisecond // after the longest address answer has run out
-	stopLimit   = 30 * time.Second       // for requests in flight
-	stopPoll    = 20 * time.Millisecond
-	unknownLife = 2 * time.Second // address lifetime to wait for when no configuration came
+	addressGrace         = 500 * time.Millisecond // added to the address TTL before the entry refuses requests
+	inFlightTimeout      = 30 * time.Second       // maximum wait for requests in flight
+	inFlightPollInterval = 20 * time.Millisecond
+	defaultAddressTTL    = 2 * time.Second // used when no configuration was received
 )
 
-// Stop implements process.Process: the planned stop. It serves on until the
-// longest address answer has run out, refuses from then on, waits until nothing
-// is in flight, hands its ledger to an heir, and ends.
+// Stop implements process.Process: a graceful shutdown. It continues to serve until the
+// last address response that names this instance has expired, then refuses new requests,
+// waits until none is in flight, hands the ledger over to a successor and stops the
+// servers.
 func (e *Entry) Stop() error {
-	wait := unknownLife
+	wait := defaultAddressTTL
 	if v := e.view.Load(); v != nil && v.fleet != nil {
-		wait = v.lifetime()
+		wait = v.addressTTL()
 	}
 	event.EntryStopping.Log(e.log, "wait", wait.String())
-	e.leaving.Store(true)
-	e.tellCoord()
-	time.Sleep(wait + stopGrace)
+	e.draining.Store(true)
+	e.announceToCoord()
+	time.Sleep(wait + addressGrace)
 	e.refusing.Store(true)
 	e.ledgerMu.Lock()
-	e.ledger.Seal() // what is pending ends here, new numbers are the heir's
+	e.ledger.Seal() // pending requests finish here, new numbers start at the successor
 	e.ledgerMu.Unlock()
-	until := time.Now().Add(stopLimit)
+	until := time.Now().Add(inFlightTimeout)
 	for e.inFlight.Load() > 0 && time.Now().Before(until) {
-		time.Sleep(stopPoll)
+		time.Sleep(inFlightPollInterval)
 	}
-	e.handOver()
+	e.handOverLedger()
 	event.EntryStopped.Log(e.log, "in_flight", e.inFlight.Load())
-	e.http.Stop(time.Second)
+	e.httpServer.Stop(time.Second)
 	e.cancel()
-	err := e.running.Wait()
+	err := e.tasks.Wait()
 	e.slots.stop()
-	e.server.Stop()
-	e.admin.Stop(time.Second)
+	e.peerServer.Stop()
+	e.adminServer.Stop(time.Second)
 	e.links.Stop()
 	return err
 }
 
-// state is the entry's dump, without secrets.
+// state is the body of the admin server's state dump. It contains no secrets.
 type state struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
 	Revision    uint64 `json:"revision"`
-	Leaving     bool   `json:"leaving"`
+	Draining    bool   `json:"leaving"`
 	InFlight    int64  `json:"in_flight"`
 	Ledger      int    `json:"ledger_records"`
 	Pending     int    `json:"ledger_pending"`
@@ -236,11 +239,11 @@
 
 func (e *Entry) state() any {
 	s := state{
-		Instance: e.set.Name, Incarnation: e.incarnation,
-		Leaving: e.leaving.Load(), InFlight: e.inFlight.Load(), Local: e.slots.local.Stats(),
+		Instance: e.settings.Name, Incarnation: e.incarnation,
+		Draining: e.draining.Load(), InFlight: e.inFlight.Load(), Local: e.slots.local.Stats(),
 	}
 	if v := e.view.Load(); v != nil {
-		s.Revision, s.Members, s.Replicas, s.Owners = v.revision, len(v.members), len(v.replicas), v.owners
+		s.Revision, s.Members, s.Replicas, s.Owners = v.revision, len(v.members), len(v.replicas), v.slotOwners
 	}
 	if err := e.viewErr.Load(); err != nil {
 		s.ViewError = (*err).Error()
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -19,82 +19,86 @@
 )
 
 const (
-	successionPrefix = "succession/"
-	handoverTimeout  = 2 * time.Second
-	handoverTries    = 3
-	heirPoll         = 100 * time.Millisecond
-	heirPatience     = 15 * time.Second
-	heirSettle       = 300 * time.Millisecond // for the heir to see the succession before this entry goes
+	successionPrefix       = "succession/"
+	handoverTimeout        = 2 * time.Second
+	handoverAttempts       = 3
+	successionPollInterval = 100 * time.Millisecond
+	successionTimeout      = 15 * time.Second
+	successionDelay        = 300 * time.Millisecond // time for the successor to read the succession before this entry stops
 )
 
-// heirloom is a ledger that was sent here and whose succession is not yet
-// confirmed by the platform; nothing of it starts before that.
-type heirloom struct {
-	line    []ledger.Predecessor
-	entries []ledger.Entry
-	came    time.Duration
+// pendingHandover is a ledger that was received from a stopping entry and whose
+// succession is not yet confirmed by the platform's store. None of its numbers may start
+// before that.
+type pendingHandover struct {
+	lineage    []ledger.Predecessor
+	entries    []ledger.Entry
+	receivedAt time.Duration
 }
 
-// succession is the platform's word on who may start a stopped ledger's numbers.
+// succession is the record in the platform's store that names the only entry that may
+// start the numbers of a stopped entry's ledger.
 type succession struct {
-	Heir uint64 `json:"heir"` // entry incarnation
+	Successor uint64 `json:"heir"` // entry incarnation
 }
 
-var errNoHeir = errors.New("no other live entry")
+var errNoSuccessor = errors.New("no other live entry")
 
-// handOver passes the sealed ledger to an heir. The order makes a double start
-// impossible: Stop has sealed this entry's ledger before the heir can begin, and
-// the heir begins only on the platform's word.
-func (e *Entry) handOver() {
+// handOverLedger sends the sealed ledger to a successor and publishes the succession in
+// the platform's store. This order prevents a number from being started twice: Stop has
+// sealed this entry's ledger before, and the successor starts numbers only after it has
+// read the succession from the store.
+func (e *Entry) handOverLedger() {
 	e.ledgerMu.Lock()
 	now := e.now()
-	line, entries := e.ledger.Lineage(now), e.ledger.Export(now)
+	lineage, entries := e.ledger.Lineage(now), e.ledger.Export(now)
 	e.ledgerMu.Unlock()
-	heir, err := e.heir()
+	successor, err := e.selectSuccessor()
 	if err == nil {
-		err = e.send(heir, line, entries)
+		err = e.sendLedger(successor, lineage, entries)
 	}
 	if err == nil {
-		err = e.declare(heir)
+		err = e.publishSuccession(successor)
 	}
 	if err != nil {
 		event.HandoverFails.Log(e.log, "error", err.Error())
 		return
 	}
-	event.HandedOver.Log(e.log, "heir", heir.Name, "entries", len(entries))
-	time.Sleep(heirSettle)
+	event.HandedOver.Log(e.log, "heir", successor.Name, "entries", len(entries))
+	time.Sleep(successionDelay)
 }
 
-// heir picks the live entry that takes over, of the own hall if there is one.
-func (e *Entry) heir() (membership.Member, error) {
+// selectSuccessor selects a live entry as successor, from this entry's hall if there is
+// one.
+func (e *Entry) selectSuccessor() (membership.Member, error) {
 	v := e.view.Load()
 	if v == nil {
-		return membership.Member{}, errNoHeir
+		return membership.Member{}, errNoSuccessor
 	}
 	byName := make(map[string]membership.Member)
-	var near, far []string
+	var sameHall, candidates []string
 	for _, m := range v.members {
-		if m.Name == e.set.Name || m.State != membership.Alive || m.Leaving || m.EntryIncarnation == 0 {
+		if m.Name == e.settings.Name || m.State != membership.Alive || m.Leaving || m.EntryIncarnation == 0 {
 			continue
 		}
 		byName[m.Name] = m
-		far = append(far, m.Name)
-		if m.Hall == e.set.Hall {
-			near = append(near, m.Name)
+		candidates = append(candidates, m.Name)
+		if m.Hall == e.settings.Hall {
+			sameHall = append(sameHall, m.Name)
 		}
 	}
-	if len(near) > 0 {
-		far = near
+	if len(sameHall) > 0 {
+		candidates = sameHall
 	}
-	if len(far) == 0 {
-		return membership.Member{}, errNoHeir
+	if len(candidates) == 0 {
+		return membership.Member{}, errNoSuccessor
 	}
-	return byName[rendezvous.Owner("heir/"+e.set.Name, far)], nil
+	return byName[rendezvous.Owner("heir/"+e.settings.Name, candidates)], nil
 }
 
-func (e *Entry) send(heir membership.Member, line []ledger.Predecessor, entries []ledger.Entry) error {
+func (e *Entry) sendLedger(successor membership.Member, lineage []ledger.Predecessor, entries []ledger.Entry) error {
 	h := &pb.Handover{FromIncarnation: e.incarnation}
-	for _, p := range line {
+	for _, p := range lineage {
 		h.Predecessors = append(h.Predecessors, &pb.Predecessor{Incarnation: p.Incarnation, ElapsedUs: convert.Micros(p.Elapsed)})
 	}
 	for _, x := range entries {
@@ -103,26 +107,26 @@
 		})
 	}
 	var r pb.HandoverReply
-	if err := e.links.Call(heir.EntryPeerAddress, frame.Handover, h, &r, handoverTimeout); err != nil {
+	if err := e.links.Call(successor.EntryPeerAddress, frame.Handover, h, &r, handoverTimeout); err != nil {
 		return err
 	}
 	if !r.GetReady() {
-		return fmt.Errorf("heir %s does not take it", heir.Name)
+		return fmt.Errorf("successor %s rejected the handover", successor.Name)
 	}
 	return nil
 }
 
-// declare writes the succession once; a lost answer is read back.
-func (e *Entry) declare(heir membership.Member) error {
-	b, err := json.Marshal(succession{Heir: heir.EntryIncarnation})
+// publishSuccession writes the succession to the platform's store, with retries.
+func (e *Entry) publishSuccession(successor membership.Member) error {
+	b, err := json.Marshal(succession{Successor: successor.EntryIncarnation})
 	if err != nil {
 		return err
 	}
 	key := successionKey(e.incarnation)
-	for range handoverTries {
+	for range handoverAttempts {
 		_, err = e.platform.Put(key, api.KVPut{Value: b, LeaseMS: (10 * time.Minute).Milliseconds()})
 		if err == nil || errors.Is(err, platform.ErrConflict) {
-			return nil // a conflict is our own earlier write: nobody else writes this key
+			return nil // no other entry writes this key, so a conflict means that an earlier try was stored
 		}
 	}
 	return err
@@ -132,56 +136,59 @@
 	return successionPrefix + strconv.FormatUint(incarnation, 16)
 }
 
-// takeHandover keeps a stopping entry's ledger until the platform says that
-// this entry is its heir.
-func (e *Entry) takeHandover(h *pb.Handover) *pb.HandoverReply {
-	if e.leaving.Load() {
+// receiveHandover stores the ledger of a stopping entry until the succession is
+// published. A draining entry rejects it.
+func (e *Entry) receiveHandover(h *pb.Handover) *pb.HandoverReply {
+	if e.draining.Load() {
 		return &pb.HandoverReply{}
 	}
-	x := &heirloom{came: e.now()}
+	pending := &pendingHandover{receivedAt: e.now()}
 	for _, p := range h.GetPredecessors() {
-		x.line = append(x.line, ledger.Predecessor{Incarnation: p.GetIncarnation(), Elapsed: convert.FromMicros(p.GetElapsedUs())})
+		pending.lineage = append(pending.lineage, ledger.Predecessor{Incarnation: p.GetIncarnation(), Elapsed: convert.FromMicros(p.GetElapsedUs())})
 	}
 	for _, l := range h.GetEntries() {
-		x.entries = append(x.entries, ledger.Entry{
+		pending.entries = append(pending.entries, ledger.Entry{
 			Key: l.GetKey(), Answer: ledger.Answer{Status: int(l.GetStatus()), Body: l.GetAnswer()},
 			Age: convert.FromMicros(l.GetAgeUs()), Digest: l.GetDigest(),
 		})
 	}
-	e.heirlooms.Put(h.GetFromIncarnation(), x)
+	e.pendingHandovers.Put(h.GetFromIncarnation(), pending)
 	go e.awaitSuccession(h.GetFromIncarnation())
 	return &pb.HandoverReply{Ready: true}
 }
 
-// awaitSuccession asks the platform until it names this entry, or for a while.
+// awaitSuccession polls the platform's store for the succession and adopts the ledger if
+// it names this entry. Otherwise, or after successionTimeout, the ledger is discarded.
 func (e *Entry) awaitSuccession(from uint64) {
-	for until := e.now() + heirPatience; e.now() < until; time.Sleep(heirPoll) {
+	for until := e.now() + successionTimeout; e.now() < until; time.Sleep(successionPollInterval) {
 		kv, err := e.platform.Get(successionKey(from))
 		if err != nil || kv.Version == 0 {
 			continue
 		}
 		var s succession
-		x, ok := e.heirlooms.GetAndDelete(from)
-		if json.Unmarshal(kv.Value, &s) == nil && ok && s.Heir == e.incarnation {
-			e.adopt(from, x)
+		pending, ok := e.pendingHandovers.GetAndDelete(from)
+		if json.Unmarshal(kv.Value, &s) == nil && ok && s.Successor == e.incarnation {
+			e.adopt(from, pending)
 		}
 		return
 	}
-	e.heirlooms.Delete(from)
+	e.pendingHandovers.Delete(from)
 }
 
-func (e *Entry) adopt(from uint64, x *heirloom) {
+// adopt merges the received ledger into this entry's and registers its incarnations with
+// the coord.
+func (e *Entry) adopt(from uint64, pending *pendingHandover) {
 	e.ledgerMu.Lock()
-	waited := e.now() - x.came
-	for i := range x.line {
-		x.line[i].Elapsed += waited
+	waited := e.now() - pending.receivedAt
+	for i := range pending.lineage {
+		pending.lineage[i].Elapsed += waited
 	}
-	for i := range x.entries {
-		x.entries[i].Age += waited
+	for i := range pending.entries {
+		pending.entries[i].Age += waited
 	}
-	e.ledger.Adopt(x.line, x.entries, e.now())
-	e.succeeds = e.ledger.AdoptedIncarnations()
+	e.ledger.Adopt(pending.lineage, pending.entries, e.now())
+	e.adoptedIncarnations = e.ledger.AdoptedIncarnations()
 	e.ledgerMu.Unlock()
-	event.Adopted.Log(e.log, "from", from, "entries", len(x.entries))
-	e.tellCoord()
+	event.Adopted.Log(e.log, "from", from, "entries", len(pending.entries))
+	e.announceToCoord()
 }
--- a/cmd/entry/limits.go
+++ b/cmd/entry/limits.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	limitEvery   = 500 * time.Millisecond
-	limitTimeout = 400 * time.Millisecond
-	limitOwners  = 8               // coords that hold customers' budgets: bounds an entry's links
-	limitIdle    = 5 * time.Second // a customer without requests for so long is not reported
+	limitInterval    = 500 * time.Millisecond
+	limitTimeout     = 400 * time.Millisecond
+	limitOwnerCount  = 8               // owners among which customers are distributed; bounds the connections of an entry
+	limitIdleTimeout = 5 * time.Second // a customer without requests for this long is no longer reported
 )
 
-// limits are the customers' buckets at this entry. Each customer has one rate
-// over the whole fleet; its owner tells this entry its share of it. Without
-// word of the owner the last share stays, or an even one.
+// limits holds the customers' token buckets of this entry. Each customer has one rate
+// for the whole fleet, of which the owner of its limit allocates a share to this entry.
+// Without a response from the owner the last share stays in use, or initially an even
+// split among the live instances.
 type limits struct {
 	entry *Entry
 	mu    sync.Mutex // table.RankLimits
@@ -32,16 +33,17 @@
 }
 
 type limitRow struct {
-	bucket limit.Bucket
-	seen   int // requests since the last report
-	last   time.Duration
-	share  float64 // requests a second; 0: not told yet
+	bucket      limit.Bucket
+	requests    int // requests since the last report
+	lastRequest time.Duration
+	rate        float64 // allocated share in requests per second; 0 before the first report
 }
 
 func newLimits(e *Entry) *limits { return &limits{entry: e, rows: make(map[string]*limitRow)} }
 
-// take takes one request off a customer's bucket, or tells when to come back.
-func (l *limits) take(c *fleet.Customer, live int) (bool, time.Duration) {
+// admit takes one token from the customer's bucket. If there is none, it returns the
+// time after which the client should retry.
+func (l *limits) admit(c *fleet.Customer, live int) (bool, time.Duration) {
 	if c.Rate <= 0 {
 		return true, 0
 	}
@@ -52,18 +54,19 @@
 		r = &limitRow{}
 		l.rows[c.Name] = r
 	}
-	r.seen++
-	r.last = l.entry.now()
-	share := r.share
-	if share == 0 {
-		share = c.Rate / float64(live)
+	r.requests++
+	r.lastRequest = l.entry.now()
+	rate := r.rate
+	if rate == 0 {
+		rate = c.Rate / float64(live)
 	}
-	return r.bucket.Take(r.last, share, c.Burst*share/c.Rate)
+	return r.bucket.Take(r.lastRequest, rate, c.Burst*rate/c.Rate)
 }
 
-// loop reports what this entry sees and takes in its shares.
-func (l *limits) loop(ctx context.Context) {
-	t := time.NewTicker(limitEvery)
+// reportLoop periodically reports the customers' demand to the owners of their limits
+// and applies the shares that these allocate.
+func (l *limits) reportLoop(ctx context.Context) {
+	t := time.NewTicker(limitInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -79,7 +82,7 @@
 	}
 }
 
-// demands returns what is to be reported, by owner.
+// demands returns the demand since the last report, by owner address.
 func (l *limits) demands() map[string]*pb.Demands {
 	v := l.entry.view.Load()
 	out := make(map[string]*pb.Demands)
@@ -90,18 +93,18 @@
 	defer l.mu.Unlock()
 	now := l.entry.now()
 	for name, r := range l.rows {
-		if now-r.last > limitIdle {
+		if now-r.lastRequest > limitIdleTimeout {
 			delete(l.rows, name)
 			continue
 		}
-		addr := v.limitOwners[xxhash.Sum64String(name)%limitOwners]
+		addr := v.limitOwners[xxhash.Sum64String(name)%limitOwnerCount]
 		d, ok := out[addr]
 		if !ok {
-			d = &pb.Demands{Entry: l.entry.set.Name}
+			d = &pb.Demands{Entry: l.entry.settings.Name}
 			out[addr] = d
 		}
-		d.Demands = append(d.Demands, &pb.Demand{Customer: name, Rate: float64(r.seen) / limitEvery.Seconds()})
-		r.seen = 0
+		d.Demands = append(d.Demands, &pb.Demand{Customer: name, Rate: float64(r.requests) / limitInterval.Seconds()})
+		r.requests = 0
 	}
 	return out
 }
@@ -109,19 +112,19 @@
 func (l *limits) report(addr string, d *pb.Demands) {
 	var shares pb.Demands
 	if addr == "" || l.entry.links.Call(addr, frame.Limits, d, &shares, limitTimeout) != nil {
-		return // the last shares stay
+		return // the last shares stay in use
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range shares.GetDemands() {
 		if r, ok := l.rows[s.GetCustomer()]; ok {
-			r.share = s.GetRate()
+			r.rate = s.GetRate()
 		}
 	}
 }
 
-// assignLimits works out who owns the customers' budgets.
-func (v *view) assignLimits(names []string, links map[string]string) {
+// assignLimitOwners selects the owners of the customers' rate limits.
+func (v *view) assignLimitOwners(names []string, links map[string]string) {
 	for i := range v.limitOwners {
 		v.limitOwners[i] = links[rendezvous.Owner(fmt.Sprint("limits/", i), names)]
 	}
--- a/cmd/entry/callers_test.go
+++ b/cmd/entry/requests_test.go
@@ -8,7 +8,8 @@
 	"quinceroad/state/fleet"
 )
 
-// Whatever the body is: a run with a deadline ahead, or an answer that says not_run and why.
+// For any body, newRun returns either a run with a deadline in the future and within the
+// pipeline's, or an error with outcome not_run, a code, a detail and an error status.
 func FuzzNewRun(f *testing.F) {
 	v := &view{pipelines: map[string]*fleet.Pipeline{"p": {Name: "p", DeadlineMS: 100, Priority: "normal"}}}
 	c := &fleet.Customer{Name: "c", Priority: "urgent"}
--- a/cmd/entry/run.go
+++ b/cmd/entry/run.go
@@ -12,97 +12,99 @@
 	"quinceroad/transport/upstream"
 )
 
-// run is one request on its way through its pipeline.
+// run is the state of one request while its pipeline is executed.
 type run struct {
-	id       string
-	view     *view
-	customer *fleet.Customer
-	pipeline *fleet.Pipeline
-	class    fleet.Class
-	input    []byte
-	body     []byte // as it came, for forwarding
-	stream   bool
-	received time.Time
-	deadline time.Time
-	record   *outcome.Record
-	onToken  func(string) // nil unless the answer streams
-	gone     atomic.Bool  // the caller went away
-	look     func() bool  // tells whether the caller went away; nil for numbered runs, which go on
-
-	bookings []*booking // by stage; nil: none, or used
-	settled  bool       // the bookings were answered
-	reports  []api.Stage
-	cost     float64
-	onceSent bool // a stage with an effect was written, and its answer is not known
+	id              string
+	view            *view
+	customer        *fleet.Customer
+	pipeline        *fleet.Pipeline
+	class           fleet.Class
+	input           []byte
+	body            []byte // unparsed request body, for forwarding
+	stream          bool
+	received        time.Time
+	deadline        time.Time
+	record          *outcome.Record
+	onToken         func(string) // nil unless the response is streamed
+	disconnected    atomic.Bool  // the client disconnected
+	probeConnection func() bool  // reports whether the client disconnected; nil for streamed runs and for numbered ones, which continue without their client
+
+	announcements     []*announcement // by stage; nil if not announced or already taken
+	admissionsAwaited bool            // the owners' responses to the announcements were awaited
+	reports           []api.Stage
+	cost              float64
+	atMostOnceSent    bool // an at-most-once stage was sent and its outcome is unknown
 }
 
-// abandon notes that the caller went away; the next stage does not start.
-func (r *run) abandon() { r.gone.Store(true) }
+// abandon records that the client disconnected; no further stage starts.
+func (r *run) abandon() { r.disconnected.Store(true) }
 
-// abandoned reports whether the caller went away.
+// abandoned reports whether the client disconnected.
 func (r *run) abandoned() bool {
-	if r.look != nil && !r.gone.Load() && r.look() {
+	if r.probeConnection != nil && !r.disconnected.Load() && r.probeConnection() {
 		r.abandon()
 	}
-	return r.gone.Load()
+	return r.disconnected.Load()
 }
 
-func (r *run) left() time.Duration { return time.Until(r.deadline) }
+func (r *run) timeLeft() time.Duration { return time.Until(r.deadline) }
 
-// final is a run's answer: either is set.
-type final struct {
+// runResult is the outcome of a run: exactly one field is set.
+type runResult struct {
 	answer *api.RunAnswer
 	err    *api.Error
 }
 
-func (f *final) outcome() outcome.Kind {
+func (f *runResult) outcome() outcome.Kind {
 	if f.err != nil {
 		return f.err.Outcome
 	}
 	return outcome.Done
 }
 
-// admitAndRun is where a request is admitted: past this a slot decides.
-func (e *Entry) admitAndRun(r *run) *final {
+// admitAndRun checks the customer's rate limit and the request's deadline, then executes
+// the run. From then on only the schedulers of its stages can refuse it.
+func (e *Entry) admitAndRun(r *run) *runResult {
 	if e.refusing.Load() {
 		return e.refuse(r, 503, "stopping", "this instance is stopping; use another address", 0)
 	}
-	if ok, after := e.limits.take(r.customer, r.view.live); !ok {
+	if ok, after := e.limits.admit(r.customer, r.view.liveCount); !ok {
 		return e.refuse(r, 429, "rate_limited", "the customer is over its declared rate", after)
 	}
-	need := e.expectAll(r)
-	if r.view.fleet.ShedSlackFactor > 0 && need > r.left() {
-		return e.refuse(r, 503, "deadline_too_short", fmt.Sprintf("its stages take about %s, %s is left", need.Round(time.Millisecond), r.left().Round(time.Millisecond)), 0)
+	expected := e.expectedTotal(r)
+	if r.view.fleet.ShedSlackFactor > 0 && expected > r.timeLeft() {
+		return e.refuse(r, 503, "deadline_too_short", fmt.Sprintf("its stages take about %s, %s is left", expected.Round(time.Millisecond), r.timeLeft().Round(time.Millisecond)), 0)
 	}
 	return e.execute(r)
 }
 
-// refuse ends a run that was not run; when that can't be said any more it ends
-// as failed or unknown.
-func (e *Entry) refuse(r *run, status int, code, detail string, after time.Duration) *final {
+// refuse ends a run with the outcome not_run. If a dispatched attempt may have run, that
+// outcome is not certain and the run ends as failed or unknown.
+func (e *Entry) refuse(r *run, status int, code, detail string, after time.Duration) *runResult {
 	ref, ok := r.record.Refuse(code, after)
 	if !ok {
-		return e.end(r, status, code, detail)
+		return e.failRun(r, status, code, detail)
 	}
-	return &final{err: &api.Error{
+	return &runResult{err: &api.Error{
 		ID: r.id, Status: status, Code: ref.Reason(), Detail: detail, Outcome: outcome.NotRun,
-		RetryAfterMS: ref.RetryAfter().Milliseconds(), Addresses: e.choose(r.view, ""),
+		RetryAfterMS: ref.RetryAfter().Milliseconds(), Addresses: e.chooseAddresses(r.view, ""),
 	}}
 }
 
-// end answers a run that began and has no whole answer.
-func (e *Entry) end(r *run, status int, code, detail string) *final {
+// failRun ends a run that was started and has no complete result: unknown if an
+// at-most-once stage may have run, failed otherwise.
+func (e *Entry) failRun(r *run, status int, code, detail string) *runResult {
 	kind := outcome.Failed
-	if r.onceSent {
+	if r.atMostOnceSent {
 		kind = outcome.Unknown
 	}
-	return &final{err: &api.Error{ID: r.id, Status: status, Code: code, Detail: detail, Outcome: kind}}
+	return &runResult{err: &api.Error{ID: r.id, Status: status, Code: code, Detail: detail, Outcome: kind}}
 }
 
-// execute runs the stages one after the other.
-func (e *Entry) execute(r *run) *final {
-	e.bookAll(r)
-	defer e.unbookAll(r)
+// execute runs the stages in sequence, each on the output of the previous one.
+func (e *Entry) execute(r *run) *runResult {
+	e.announceStages(r)
+	defer e.withdrawUnused(r)
 	input := r.input
 	for i := range r.pipeline.Stages {
 		if r.abandoned() {
@@ -115,8 +117,8 @@
 		input = out
 	}
 	elapsed := time.Since(r.received)
-	e.count.latency.Update(elapsed.Microseconds())
-	return &final{answer: &api.RunAnswer{
+	e.counters.latency.Update(elapsed.Microseconds())
+	return &runResult{answer: &api.RunAnswer{
 		ID: r.id, Outcome: outcome.Done, Output: string(input), Count: len(input), Digest: upstream.Digest(input),
 		ElapsedMS: millis(elapsed), Cost: r.cost, Stages: r.reports,
 	}}
@@ -124,7 +126,7 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// estimate returns the learnt times of a stage.
+// estimate returns the learned execution times of a stage.
 func (e *Entry) estimate(p *fleet.Pipeline, s *fleet.Stage) *stageEstimate {
 	return e.estimates.GetOrPut(stageKey{p.Name, s.Name}, func() *stageEstimate {
 		return &stageEstimate{Stage: estimate.New(s.ExpectedTime())}
@@ -143,12 +145,13 @@
 	s.Observe(size, took)
 }
 
-// expectAll is how long all stages are expected to take.
-func (e *Entry) expectAll(r *run) time.Duration { return e.expectFrom(r, 0) }
+// expectedTotal returns the expected execution time of all stages.
+func (e *Entry) expectedTotal(r *run) time.Duration { return e.expectedFrom(r, 0) }
 
-// expectFrom is how long the stages from i on are expected to take. The sizes
-// of later stages' inputs are not known yet: the first input's stands for them.
-func (e *Entry) expectFrom(r *run, i int) time.Duration {
+// expectedFrom returns the expected execution time of stage i and all after it. The
+// input sizes of later stages are not known yet, so the size of the request's input is
+// used for all.
+func (e *Entry) expectedFrom(r *run, i int) time.Duration {
 	var sum time.Duration
 	for ; i < len(r.pipeline.Stages); i++ {
 		sum += e.estimate(r.pipeline, &r.pipeline.Stages[i]).mean(len(r.input))
--- a/cmd/entry/slots.go
+++ b/cmd/entry/slots.go
@@ -14,51 +14,52 @@
 )
 
 const (
-	ownerPatience = 150 * time.Millisecond // for any sign that an ask arrived
-	ownerRest     = time.Second            // how long a silent owner is left alone
+	ownerTimeout = 150 * time.Millisecond // maximum time until the owner acknowledges a task
+	ownerBackoff = time.Second            // how long an unresponsive owner is avoided
 )
 
-// overShare is how much more than its even share of slots an entry's own
-// scheduler fills: callers are not spread evenly over the entries.
-const overShare = 2
+// localShareFactor is the multiple of its even share of slots that an entry's local
+// scheduler may use. It is above 1 because clients are not distributed evenly over the
+// entries.
+const localShareFactor = 2
 
-// slotClient gets slots: from the service's owner when the policy is permits,
-// from the entry's own scheduler otherwise and while the owner is silent.
+// slotClient acquires slots from the service's owner if the policy is permits, and from
+// the entry's local scheduler otherwise or while the owner is unresponsive.
 type slotClient struct {
 	entry   *Entry
 	local   *slots.Host
 	nextID  atomic.Uint64
-	waiting *table.Table[uint64, chan slotAnswer]
+	pending *table.Table[uint64, chan slotAnswer]
 	owners  *table.Table[string, *ownerStream]
 	exact   atomic.Bool
 }
 
-// slotAnswer is what came back for an ask.
+// slotAnswer is a response to a submitted or announced task.
 type slotAnswer struct {
 	scheduler.Action
-	queued bool         // only a sign that the owner has the ask
-	lost   bool         // the owner is gone: ask elsewhere
-	from   *ownerStream // nil when the answer is the local scheduler's
+	queued       bool         // only an acknowledgement: the owner has queued the task
+	disconnected bool         // the stream to the owner failed; the local scheduler has to decide
+	owner        *ownerStream // nil if the local scheduler responded
 }
 
-// slot is a granted place on a replica; done must be called once.
+// slot is a granted execution slot on a replica; release must be called exactly once.
 type slot struct {
 	replica string
-	done    func(took time.Duration, failed bool)
+	release func(took time.Duration, failed bool)
 }
 
 func newSlotClient(e *Entry) *slotClient {
 	c := &slotClient{
 		entry:   e,
-		waiting: table.New[uint64, chan slotAnswer](table.RankSessions),
+		pending: table.New[uint64, chan slotAnswer](table.RankSessions),
 		owners:  table.New[string, *ownerStream](table.RankSessions),
 	}
 	c.local = slots.New(localPolicy, c.deliverLocal)
 	return c
 }
 
-// localPolicy is the policy of the entry's own scheduler: that of the
-// declaration, or the fallback of permits.
+// localPolicy returns the policy of the entry's local scheduler: the configured one, or
+// the local policy as fallback for permits.
 func localPolicy(f *fleet.Fleet) scheduler.Policy {
 	if p := scheduler.Policy(f.Policy); p != scheduler.Exact {
 		return p
@@ -70,6 +71,7 @@
 
 func (c *slotClient) stop() { c.local.Stop() }
 
+// configure applies the view's configuration and replicas to the local scheduler.
 func (c *slotClient) configure(v *view) {
 	if v.fleet == nil {
 		return
@@ -79,63 +81,63 @@
 	for _, r := range v.replicas {
 		rs = append(rs, r)
 	}
-	c.local.Configure(v.fleet, rs, overShare/float64(v.live))
+	c.local.Configure(v.fleet, rs, localShareFactor/float64(v.liveCount))
 }
 
-// acquire waits for a slot of the service, a refusal, or the deadline. b is the
-// booking of the stage, nil without one.
-func (c *slotClient) acquire(service string, a scheduler.Task, left time.Duration, b *booking) (*slot, scheduler.Action) {
-	a.ID = c.nextID.Add(1)
-	if b != nil {
-		a.ID = b.id
+// acquire waits for a slot of the service, a refusal or the deadline. announced is the
+// announcement of the stage, nil if there is none.
+func (c *slotClient) acquire(service string, task scheduler.Task, left time.Duration, announced *announcement) (*slot, scheduler.Action) {
+	task.ID = c.nextID.Add(1)
+	if announced != nil {
+		task.ID = announced.id
 	}
 	if o := c.ownerOf(service); o != nil {
-		if s, act, ok := c.fromOwner(o, service, a, left); ok {
+		if s, act, ok := c.acquireFromOwner(o, service, task, left); ok {
 			return s, act
 		}
-		a.ID = c.nextID.Add(1)
+		task.ID = c.nextID.Add(1)
 	}
-	return c.fromLocal(service, a, left)
+	return c.acquireLocal(service, task, left)
 }
 
-// ownerOf returns the stream to the service's owner, or nil when the local
-// scheduler has to decide.
+// ownerOf returns the stream to the service's owner, or nil if the local scheduler has
+// to decide.
 func (c *slotClient) ownerOf(service string) *ownerStream {
 	if !c.exact.Load() {
 		return nil
 	}
-	return c.owner(c.entry.view.Load().owners[service])
+	return c.ownerAt(c.entry.view.Load().slotOwners[service])
 }
 
-func (c *slotClient) fromLocal(service string, a scheduler.Task, left time.Duration) (*slot, scheduler.Action) {
+func (c *slotClient) acquireLocal(service string, task scheduler.Task, left time.Duration) (*slot, scheduler.Action) {
 	ch := make(chan slotAnswer, 1)
-	a.Deadline = c.local.Now() + left
-	c.waiting.Put(a.ID, ch)
-	defer c.waiting.Delete(a.ID)
-	if known, _ := c.local.Ask(service, a); !known {
+	task.Deadline = c.local.Now() + left
+	c.pending.Put(task.ID, ch)
+	defer c.pending.Delete(task.ID)
+	if known, _ := c.local.Ask(service, task); !known {
 		return nil, scheduler.Action{Reason: scheduler.NoReplica}
 	}
 	t := time.NewTimer(left)
 	defer t.Stop()
 	select {
 	case ans := <-ch:
-		return c.granted(service, ans)
-	case <-t.C: // without shedding nothing else ends the wait
-		c.local.Cancel(service, a.ID, a.Holder)
+		return c.newSlot(service, ans)
+	case <-t.C: // without load shedding nothing else ends the wait
+		c.local.Cancel(service, task.ID, task.Holder)
 		return nil, scheduler.Action{Reason: scheduler.TooLate}
 	}
 }
 
-func (c *slotClient) granted(service string, ans slotAnswer) (*slot, scheduler.Action) {
+func (c *slotClient) newSlot(service string, ans slotAnswer) (*slot, scheduler.Action) {
 	if !ans.Granted() {
 		return nil, ans.Action
 	}
-	return &slot{replica: ans.Replica, done: func(took time.Duration, failed bool) {
-		if ans.from == nil {
+	return &slot{replica: ans.Replica, release: func(took time.Duration, failed bool) {
+		if ans.owner == nil {
 			c.local.Done(service, ans.Permit, took, failed)
 			return
 		}
-		ans.from.send(doneFrame(service, ans.Permit, took, failed))
+		ans.owner.send(doneFrame(service, ans.Permit, took, failed))
 	}}, ans.Action
 }
 
@@ -146,46 +148,47 @@
 }
 
 func (c *slotClient) deliverLocal(_ string, a scheduler.Action) {
-	if ch, ok := c.waiting.Get(a.Task); ok {
+	if ch, ok := c.pending.Get(a.Task); ok {
 		ch <- slotAnswer{Action: a}
 	}
 }
 
-// fromOwner asks the owner; ok is false when it is silent or gone, and the
-// local scheduler has to decide.
-func (c *slotClient) fromOwner(o *ownerStream, service string, a scheduler.Task, left time.Duration) (*slot, scheduler.Action, bool) {
-	ch := o.ask(askFrame(service, &a, left), a.ID)
-	patience := time.NewTimer(min(ownerPatience, left))
-	defer patience.Stop()
-	end := time.NewTimer(left)
-	defer end.Stop()
+// acquireFromOwner requests a slot from the owner. The last result is false if the owner
+// is unresponsive, disconnected or knows no replica, and the local scheduler has to
+// decide.
+func (c *slotClient) acquireFromOwner(o *ownerStream, service string, task scheduler.Task, left time.Duration) (*slot, scheduler.Action, bool) {
+	ch := o.submit(buildAsk(service, &task, left), task.ID)
+	timeout := time.NewTimer(min(ownerTimeout, left))
+	defer timeout.Stop()
+	deadline := time.NewTimer(left)
+	defer deadline.Stop()
 	for {
 		select {
 		case ans := <-ch:
 			switch {
-			case ans.lost, ans.Reason == scheduler.NoReplica:
-				// An owner that has just started knows no replica yet.
+			case ans.disconnected, ans.Reason == scheduler.NoReplica:
+				// An owner that has just started knows no replicas yet.
 				return nil, scheduler.Action{}, false
 			case ans.queued:
-				patience.Stop()
+				timeout.Stop()
 				continue
 			}
-			s, act := c.granted(service, ans)
+			s, act := c.newSlot(service, ans)
 			return s, act, true
-		case <-patience.C:
-			o.giveUp(service, a.ID)
-			o.silent(service)
+		case <-timeout.C:
+			o.cancel(service, task.ID)
+			o.markUnresponsive(service)
 			return nil, scheduler.Action{}, false
-		case <-end.C:
-			o.giveUp(service, a.ID)
+		case <-deadline.C:
+			o.cancel(service, task.ID)
 			return nil, scheduler.Action{Reason: scheduler.TooLate}, true
 		}
 	}
 }
 
-func askFrame(service string, a *scheduler.Task, left time.Duration) *pb.Ask {
+func buildAsk(service string, task *scheduler.Task, left time.Duration) *pb.Ask {
 	return &pb.Ask{
-		Id: a.ID, Service: service, Customer: a.Customer, Weight: uint32(a.Weight), Class: uint32(a.Class),
-		LeftUs: convert.Micros(left), RestUs: convert.Micros(a.Remaining), ExpectUs: convert.Micros(a.Expected), Avoid: a.Avoid,
+		Id: task.ID, Service: service, Customer: task.Customer, Weight: uint32(task.Weight), Class: uint32(task.Class),
+		LeftUs: convert.Micros(left), RestUs: convert.Micros(task.Remaining), ExpectUs: convert.Micros(task.Expected), Avoid: task.Avoid,
 	}
 }
--- a/cmd/entry/stream.go
+++ b/cmd/entry/stream.go
@@ -11,36 +11,36 @@
 	"quinceroad/protocol/event"
 )
 
-const tokenBuffer = 256 // tokens a slow caller may be behind
+const tokenBufferSize = 256 // tokens that are buffered for a slow client
 
-// serveStream answers with tokens as they come. The status waits for the first
-// token, so that a refusal still has its own.
+// serveStream sends tokens to the client as they are generated. The status line is not
+// sent before the first token, so that a refusal still gets its own status code.
 func (e *Entry) serveStream(ctx *fasthttp.RequestCtx, r *run) {
-	tokens := make(chan string, tokenBuffer)
-	end := make(chan *final, 1)
-	gone := make(chan struct{})
+	tokens := make(chan string, tokenBufferSize)
+	result := make(chan *runResult, 1)
+	stopped := make(chan struct{})
 	r.onToken = func(t string) {
 		select {
 		case tokens <- t:
-		case <-gone:
+		case <-stopped:
 		}
 	}
-	e.inFlight.Add(1) // until the last byte is written, after the handler
+	e.inFlight.Add(1) // until the last byte is written, which is after the handler has returned
 	go func() {
-		f := e.runGuarded(r)
+		f := e.runRecovered(r)
 		close(tokens)
-		end <- f
+		result <- f
 	}()
 	first, ok := <-tokens
 	if !ok {
-		e.answer(ctx, <-end)
+		e.writeResult(ctx, <-result)
 		e.inFlight.Add(-1)
 		return
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer e.inFlight.Add(-1)
-		defer close(gone)
+		defer close(stopped)
 		if !writeToken(w, first) {
 			r.abandon()
 		}
@@ -50,25 +50,26 @@
 				break
 			}
 		}
-		f := <-endOf(end, tokens)
-		e.tally(f.outcome())
+		f := <-drainTokens(result, tokens)
+		e.countOutcome(f.outcome())
 		writeEnd(w, f)
 	})
 }
 
-// runGuarded runs a request apart from its handler; its panic ends it alone.
-func (e *Entry) runGuarded(r *run) (f *final) {
+// runRecovered runs a request outside its HTTP handler. A panic ends only this request.
+func (e *Entry) runRecovered(r *run) (f *runResult) {
 	defer func() {
 		if v := recover(); v != nil {
 			event.Panicked.Log(e.log, "panic", v)
-			f = &final{err: unknown(r.id, "internal", "internal error; the request may have run")}
+			f = &runResult{err: unknownOutcome(r.id, "internal", "internal error; the request may have run")}
 		}
 	}()
 	return e.admitAndRun(r)
 }
 
-// endOf drains what an abandoned run still sends, so that its end comes.
-func endOf(end chan *final, tokens chan string) chan *final {
+// drainTokens discards the tokens that an abandoned run still sends, so that the run
+// can end, and returns the channel of its result.
+func drainTokens(end chan *runResult, tokens chan string) chan *runResult {
 	for range tokens {
 	}
 	return end
@@ -83,12 +84,12 @@
 	return w.Flush() == nil
 }
 
-// writeEnd sends the last event; a stream without one was cut.
-func writeEnd(w *bufio.Writer, f *final) {
+// writeEnd sends the end event. A stream without it was truncated.
+func writeEnd(w *bufio.Writer, f *runResult) {
 	var v any = f.err
 	if f.err == nil {
 		a := *f.answer
-		a.Output = "" // the tokens were it; count and digest tell whether all came
+		a.Output = "" // already sent as tokens; count and digest let the client verify them
 		v = a
 	}
 	b, err := json.Marshal(v)
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -22,53 +22,55 @@
 )
 
 const (
-	forwardGrace = 300 * time.Millisecond // over the deadline, for the home's own answer to come back
-	heirPause    = 50 * time.Millisecond  // between looks for a stopping home's heir
+	forwardGrace          = 300 * time.Millisecond // added to the deadline, so that the home's own timeout response can arrive
+	successorPollInterval = 50 * time.Millisecond  // interval of checks for the successor of a stopping home
 )
 
-// numbered is a run under a ticket.
-type numbered struct {
+// numberedRun is a run that is identified by a ticket and a number, so that repeated
+// requests with the same number run it at most once.
+type numberedRun struct {
 	*run
-	text   string // the ticket
-	prefix ticket.Prefix
-	number ledger.Number
+	ticketText string // as received
+	prefix     ticket.Prefix
+	number     ledger.Number
 }
 
-// serveTicket is where a ticket is checked: its number runs here, joins its
-// first run, or goes to its home.
-func (e *Entry) serveTicket(ctx *fasthttp.RequestCtx, r *run, text string) {
-	n, fail := e.parseTicket(r, text)
+// serveTicket validates the ticket of a request. The number then starts here, joins the
+// run that it started earlier, or is forwarded to its home.
+func (e *Entry) serveTicket(ctx *fasthttp.RequestCtx, r *run, ticketText string) {
+	n, fail := e.parseTicket(r, ticketText)
 	if fail != nil {
-		e.fail(ctx, fail)
+		e.rejectRequest(ctx, fail)
 		return
 	}
 	a := e.runNumbered(n, 0)
 	web.Raw(ctx, a.status, a.body)
 }
 
-func (e *Entry) parseTicket(r *run, text string) (*numbered, *api.Error) {
-	p, no, err := e.keys.Parse(text)
+func (e *Entry) parseTicket(r *run, ticketText string) (*numberedRun, *api.Error) {
+	p, number, err := e.keys.Parse(ticketText)
 	if err != nil || p.Customer != r.customer.Name {
 		event.Unauthorized.Log(e.log, "code", "bad_ticket", "path", r.pipeline.Name)
-		return nil, bad(r.id, 401, "bad_ticket", "the ticket was not issued to this customer; ask for addresses again")
+		return nil, badRequest(r.id, 401, "bad_ticket", "the ticket was not issued to this customer; ask for addresses again")
 	}
-	key := ticket.Key(p, no)
-	r.id = key + ".t" // one id for all receipts of the number
-	return &numbered{run: r, text: text, prefix: p, number: ledger.Number{
+	key := ticket.Key(p, number)
+	r.id = key + ".t" // the same id for all requests with this number
+	return &numberedRun{run: r, ticketText: ticketText, prefix: p, number: ledger.Number{
 		Key: key, Incarnation: p.Incarnation, Issued: p.Issued,
 		Digest: xxhash.Sum64String(r.pipeline.Name + "\x00" + string(r.body)),
 	}}, nil
 }
 
-// reply is an answer as it goes out, or word that the ledger was handed on.
+// reply is an encoded response, or the notice that the ledger was handed over.
 type reply struct {
 	status int
 	body   []byte // JSON
 	moved  bool
 }
 
-// runNumbered decides on a number and returns its answer.
-func (e *Entry) runNumbered(n *numbered, hops int) reply {
+// runNumbered starts, joins, forwards or rejects a numbered run as the ledger decides,
+// and returns the response. hops counts how often the request was forwarded.
+func (e *Entry) runNumbered(n *numberedRun, hops int) reply {
 	e.ledgerMu.Lock()
 	verdict, rec := e.ledger.Begin(n.number, e.now())
 	e.ledgerMu.Unlock()
@@ -77,116 +79,117 @@
 		e.startNumbered(n, rec)
 		return e.awaitNumbered(n, rec)
 	case ledger.Join:
-		e.count.joined.Inc(1)
+		e.counters.joined.Inc(1)
 		return e.awaitNumbered(n, rec)
 	case ledger.HandedOver:
 		if hops > 0 {
 			return reply{moved: true}
 		}
-		return encode(unknown(n.id, "handed_on", "this instance has stopped; ask again with the same ticket and number at another address"))
+		return encodeError(unknownOutcome(n.id, "handed_on", "this instance has stopped; ask again with the same ticket and number at another address"))
 	case ledger.Foreign:
 		if hops > 0 {
-			return e.homeLost(n)
+			return e.homeUnreachable(n)
 		}
 		return e.forward(n)
 	case ledger.Reused:
-		return encode(bad(n.id, 409, "ticket_reused", "this number was used for another request"))
+		return encodeError(badRequest(n.id, 409, "ticket_reused", "this number was used for another request"))
 	case ledger.Full:
-		return encode(bad(n.id, 503, "ledger_full", "too many numbered requests are remembered here; ask for addresses again"))
+		return encodeError(badRequest(n.id, 503, "ledger_full", "too many numbered requests are remembered here; ask for addresses again"))
 	}
-	return encode(unknown(n.id, "ticket_expired", "the ticket is older than this system remembers; the request may have run"))
+	return encodeError(unknownOutcome(n.id, "ticket_expired", "the ticket is older than this system remembers; the request may have run"))
 }
 
-func unknown(id, code, detail string) *api.Error {
+func unknownOutcome(id, code, detail string) *api.Error {
 	return &api.Error{ID: id, Status: 504, Code: code, Detail: detail, Outcome: outcome.Unknown}
 }
 
-func encode(e *api.Error) reply {
+func encodeError(e *api.Error) reply {
 	b, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // a type of ours that can't be marshalled
+		panic(err) // a programming error: the type can't be marshalled
 	}
 	return reply{status: e.Status, body: b}
 }
 
-// startNumbered runs the request apart from the caller that brought it: its
-// answer goes to the ledger, whoever still waits for it.
-func (e *Entry) startNumbered(n *numbered, rec *ledger.Record) {
+// startNumbered runs the request in the background, independent of the client's
+// connection. The response goes to the ledger, where any request with the same number
+// can wait for it.
+func (e *Entry) startNumbered(n *numberedRun, rec *ledger.Record) {
 	e.inFlight.Add(1)
 	go func() {
 		defer e.inFlight.Add(-1)
-		a := e.finish(e.runGuarded(n.run))
+		a := e.encodeResult(e.runRecovered(n.run))
 		e.ledgerMu.Lock()
 		defer e.ledgerMu.Unlock()
 		e.ledger.Finish(rec, ledger.Answer{Status: a.status, Body: a.body})
 	}()
 }
 
-// finish counts a final answer and encodes it.
-func (e *Entry) finish(f *final) reply {
-	e.tally(f.outcome())
+// encodeResult counts the outcome of a run and encodes its response.
+func (e *Entry) encodeResult(f *runResult) reply {
+	e.countOutcome(f.outcome())
 	if f.err != nil {
-		return encode(f.err)
+		return encodeError(f.err)
 	}
 	b, err := json.Marshal(f.answer)
 	if err != nil {
-		panic(err) // a type of ours that can't be marshalled
+		panic(err) // a programming error: the type can't be marshalled
 	}
 	return reply{status: 200, body: b}
 }
 
-// awaitNumbered waits for the number's answer until the caller's deadline.
-func (e *Entry) awaitNumbered(n *numbered, rec *ledger.Record) reply {
-	t := time.NewTimer(n.left())
+// awaitNumbered waits for the number's response until the request's deadline.
+func (e *Entry) awaitNumbered(n *numberedRun, rec *ledger.Record) reply {
+	t := time.NewTimer(n.timeLeft())
 	defer t.Stop()
 	select {
 	case <-rec.Done():
 		a := rec.Answer()
 		return reply{status: a.Status, body: a.Body}
 	case <-t.C:
-		return encode(unknown(n.id, "still_running", "the request is still running; ask again with the same ticket and number"))
+		return encodeError(unknownOutcome(n.id, "still_running", "the request is still running; ask again with the same ticket and number"))
 	}
 }
 
-// forward passes a number to the entry that may start it. Nobody else may, so
-// without that entry the answer is unknown. While a stopping home hands its
-// ledger on, the heir is waited for.
-func (e *Entry) forward(n *numbered) reply {
-	e.count.forwarded.Inc(1)
+// forward sends a number to the entry that owns it. No other entry may start the
+// number, so the outcome is unknown if the owner can't be reached. While a stopping home
+// hands its ledger over, forward waits for the successor.
+func (e *Entry) forward(n *numberedRun) reply {
+	e.counters.forwarded.Inc(1)
 	for {
-		a, wait := e.forwardOnce(n)
-		if !wait {
+		a, retry := e.forwardOnce(n)
+		if !retry {
 			return a
 		}
-		if n.left() < heirPause {
-			return e.homeLost(n)
+		if n.timeLeft() < successorPollInterval {
+			return e.homeUnreachable(n)
 		}
-		time.Sleep(heirPause)
-		if e.owns(n) { // this entry is the heir
+		time.Sleep(successorPollInterval)
+		if e.owns(n) { // this entry is the successor
 			return e.runNumbered(n, 0)
 		}
 	}
 }
 
-func (e *Entry) owns(n *numbered) bool {
+func (e *Entry) owns(n *numberedRun) bool {
 	e.ledgerMu.Lock()
 	defer e.ledgerMu.Unlock()
 	return e.ledger.Owns(n.number.Incarnation)
 }
 
-// forwardOnce asks the entry that is known to own the number; wait is true when
-// nothing was started and an heir is to be expected.
-func (e *Entry) forwardOnce(n *numbered) (a reply, wait bool) {
-	home, ok := e.view.Load().memberOf(n.number.Incarnation)
-	if !ok || home.Name == e.set.Name || home.EntryPeerAddress == "" {
-		return e.homeLost(n), false
+// forwardOnce forwards the number to its owner in the current view. retry is true if
+// nothing was started there and a successor is expected to take over.
+func (e *Entry) forwardOnce(n *numberedRun) (a reply, retry bool) {
+	home, ok := e.view.Load().ledgerOwner(n.number.Incarnation)
+	if !ok || home.Name == e.settings.Name || home.EntryPeerAddress == "" {
+		return e.homeUnreachable(n), false
 	}
 	req := &pb.Run{
-		Ticket: n.text, Customer: n.customer.Name, Pipeline: n.pipeline.Name, Body: n.body,
-		LeftUs: convert.Micros(n.left()), Hops: 1,
+		Ticket: n.ticketText, Customer: n.customer.Name, Pipeline: n.pipeline.Name, Body: n.body,
+		LeftUs: convert.Micros(n.timeLeft()), Hops: 1,
 	}
 	var r pb.RunReply
-	err := e.links.Call(home.EntryPeerAddress, frame.Run, req, &r, n.left()+forwardGrace)
+	err := e.links.Call(home.EntryPeerAddress, frame.Run, req, &r, n.timeLeft()+forwardGrace)
 	switch {
 	case err == nil && r.GetMoved():
 		return reply{}, true
@@ -195,18 +198,18 @@
 	case home.Leaving && link.NotSent(err):
 		return reply{}, true
 	}
-	return e.homeLost(n), false
+	return e.homeUnreachable(n), false
 }
 
-func (e *Entry) homeLost(n *numbered) reply {
+func (e *Entry) homeUnreachable(n *numberedRun) reply {
 	event.HomeLost.Log(e.log, "request", n.id, "home", n.prefix.Home)
-	e.tally(outcome.Unknown)
-	return encode(unknown(n.id, "home_unreachable", "only "+n.prefix.Home+" may run this number and it can't be reached; the request may have run"))
+	e.countOutcome(outcome.Unknown)
+	return encodeError(unknownOutcome(n.id, "home_unreachable", "only "+n.prefix.Home+" may run this number and it can't be reached; the request may have run"))
 }
 
-// serveLink serves one stream of a peer entry.
-func (e *Entry) serveLink(k frame.Kind, first []byte, s net.Conn) {
-	defer func() { // a peer's message ends its own stream at worst
+// servePeer handles one stream of a peer entry.
+func (e *Entry) servePeer(k frame.Kind, first []byte, s net.Conn) {
+	defer func() { // a panic ends only the stream whose message caused it
 		if v := recover(); v != nil {
 			event.Panicked.Log(e.log, "panic", v)
 		}
@@ -220,12 +223,12 @@
 	case frame.Handover:
 		var h pb.Handover
 		if proto.Unmarshal(first, &h) == nil {
-			_ = frame.Write(s, frame.Reply, e.takeHandover(&h))
+			_ = frame.Write(s, frame.Reply, e.receiveHandover(&h))
 		}
 	}
 }
 
-// serveForwarded runs a number that another entry received.
+// serveForwarded runs a numbered request that another entry forwarded.
 func (e *Entry) serveForwarded(q *pb.Run) *pb.RunReply {
 	a := e.runForwarded(q)
 	return &pb.RunReply{Status: uint32(a.status), Body: a.body, Moved: a.moved}
@@ -234,7 +237,7 @@
 func (e *Entry) runForwarded(q *pb.Run) reply {
 	v := e.view.Load()
 	if v == nil || v.fleet == nil {
-		return encode(unknown("", codeNotReady, "the home has no configuration yet"))
+		return encodeError(unknownOutcome("", codeNotReady, "the home has no configuration yet"))
 	}
 	for i := range v.fleet.Customers {
 		c := &v.fleet.Customers[i]
@@ -243,14 +246,14 @@
 		}
 		r, fail := newRun(v, c, q.GetPipeline(), q.GetBody(), time.Now())
 		if fail != nil {
-			return encode(doubt(fail, q.GetTicket()))
+			return encodeError(unknownIfNumbered(fail, q.GetTicket()))
 		}
 		r.deadline = r.received.Add(convert.FromMicros(q.GetLeftUs()))
 		n, fail := e.parseTicket(r, q.GetTicket())
 		if fail != nil {
-			return encode(fail)
+			return encodeError(fail)
 		}
 		return e.runNumbered(n, int(q.GetHops()))
 	}
-	return encode(unknown("", codeNoCustomer, "the home does not know the customer"))
+	return encodeError(unknownOutcome("", codeUnknownCustomer, "the home does not know the customer"))
 }
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -18,37 +18,39 @@
 	"quinceroad/state/fleet"
 )
 
-// view is what the entry knows of the fleet; it is never changed, only exchanged.
+// view is an immutable snapshot of the configuration, members and replicas as received
+// from the coord. Every update replaces it as a whole.
 type view struct {
-	revision  uint64
-	fleet     *fleet.Fleet
-	pipelines map[string]*fleet.Pipeline
-	customers map[string]*fleet.Customer // by key digest
-	members   []membership.Member
-	replicas  map[string]replicas.Replica
-	owners    map[string]string // service -> coord link of its slots' owner
-	live      int               // instances that share customers' limits
-
-	limitOwners [limitOwners]string // coord links of the owners of customers' budgets
+	revision   uint64
+	fleet      *fleet.Fleet
+	pipelines  map[string]*fleet.Pipeline
+	customers  map[string]*fleet.Customer // by digest of their key
+	members    []membership.Member
+	replicas   map[string]replicas.Replica
+	slotOwners map[string]string // service -> coord address of the owner of its slots
+	liveCount  int               // instances that are alive and not draining, at least 1; customers' rates are divided among them
+
+	limitOwners [limitOwnerCount]string // coord addresses of the owners of customers' rate limits
 }
 
-func (v *view) lifetime() time.Duration {
+func (v *view) addressTTL() time.Duration {
 	return time.Duration(v.fleet.AddressTTLSeconds) * time.Second
 }
 
 const (
-	watchSilence = 3 * time.Second // the coord sends something every second
-	watchRetry   = 300 * time.Millisecond
+	watchTimeout       = 3 * time.Second // the coord sends a message every second
+	watchRetryInterval = 300 * time.Millisecond
 )
 
-// watchLoop follows the coord's views; while it can't, the last view stays.
+// watchLoop receives updates of the view from the coord and reconnects after errors.
+// Meanwhile the last view stays in use.
 func (e *Entry) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := e.watch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errAgain) {
+		if errors.Is(err, errReopenWatch) {
 			continue
 		}
 		if err != nil && e.viewErr.Swap(&err) == nil {
@@ -56,19 +58,19 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry/2 + time.Duration(rand.Int64N(int64(watchRetry)))):
+		case <-time.After(watchRetryInterval/2 + time.Duration(rand.Int64N(int64(watchRetryInterval)))):
 		}
 	}
 }
 
-// errAgain ends a stream because what the coord should know of this entry has
-// changed: it hears so by the next stream's first message.
-var errAgain = errors.New("entry: introduce it again")
+// errReopenWatch ends a watch stream because this entry's registration has changed: the
+// first message of the next stream carries the new one.
+var errReopenWatch = errors.New("entry: registration changed, watch stream has to be reopened")
 
-// watch reads one stream of views until it breaks.
+// watch opens one watch stream and applies its updates until it fails.
 func (e *Entry) watch(ctx context.Context) error {
-	me := e.introduce()
-	s, err := e.links.Open(e.set.Coord.Link, frame.Watch, me)
+	request := e.watchRequest()
+	s, err := e.links.Open(e.settings.Coord.Link, frame.Watch, request)
 	if err != nil {
 		return err
 	}
@@ -77,27 +79,27 @@
 	defer stop()
 	for {
 		var m pb.View
-		if err := s.SetReadDeadline(time.Now().Add(watchSilence)); err != nil {
+		if err := s.SetReadDeadline(time.Now().Add(watchTimeout)); err != nil {
 			return err
 		}
 		if err := frame.Read(s, &m); err != nil {
 			return err
 		}
 		e.viewErr.Store(nil)
-		e.takeView(&m)
+		e.applyView(&m)
 		if m.GetReach() != pb.View_UNSAID {
-			e.alone.Store(m.GetReach() == pb.View_ALONE)
+			e.coordIsolated.Store(m.GetReach() == pb.View_ALONE)
 		}
-		if me.GetEntryHttp() == "" && e.hasFleet() {
-			return errAgain
+		if request.GetEntryHttp() == "" && e.hasFleet() {
+			return errReopenWatch
 		}
-		if m.GetDrain() && !e.leaving.Swap(true) {
+		if m.GetDrain() && !e.draining.Swap(true) {
 			event.EntryDrained.Log(e.log)
-			return errAgain
+			return errReopenWatch
 		}
 		select {
-		case <-e.rewatch:
-			return errAgain
+		case <-e.watchChanged:
+			return errReopenWatch
 		default:
 		}
 	}
@@ -108,53 +110,55 @@
 	return v != nil && v.fleet != nil
 }
 
-// introduce tells the coord who this entry is. Callers' address is told only
-// once there is a configuration: before that every caller would be refused.
-func (e *Entry) introduce() *pb.Watch {
+// watchRequest returns the first message of a watch stream, which registers this entry
+// with the coord. The address for clients is left out until there is a configuration:
+// before that the entry would refuse every client.
+func (e *Entry) watchRequest() *pb.Watch {
 	http := ""
 	if e.hasFleet() {
-		http = e.set.Entry.HTTP
+		http = e.settings.Entry.HTTP
 	}
 	e.ledgerMu.Lock()
-	succeeds := append([]uint64(nil), e.succeeds...)
+	succeeds := append([]uint64(nil), e.adoptedIncarnations...)
 	e.ledgerMu.Unlock()
 	return &pb.Watch{
 		EntryIncarnation: e.incarnation,
 		EntryHttp:        http,
-		EntryLink:        e.set.Entry.Known,
+		EntryLink:        e.settings.Entry.Known,
 		Succeeds:         succeeds,
-		Leaving:          e.leaving.Load(),
+		Leaving:          e.draining.Load(),
 	}
 }
 
-const tellTimeout = time.Second
+const announceTimeout = time.Second
 
-// tellCoord makes the coord hear at once what has changed about this entry.
-func (e *Entry) tellCoord() {
+// announceToCoord sends the changed registration of this entry to the coord without
+// delay.
+func (e *Entry) announceToCoord() {
 	select {
-	case e.rewatch <- struct{}{}:
+	case e.watchChanged <- struct{}{}:
 	default:
 	}
-	// A short call of the same kind tells it now; the stream follows.
-	s, err := e.links.Open(e.set.Coord.Link, frame.Watch, e.introduce())
+	// A short-lived watch registers it now; watchLoop reopens its stream later.
+	s, err := e.links.Open(e.settings.Coord.Link, frame.Watch, e.watchRequest())
 	if err != nil {
-		return // the coord is down; peers hear of it from its silence
+		return // the coord is down; peers detect that by its missing heartbeats
 	}
 	defer s.Close()
 	var first pb.View
-	_ = s.SetReadDeadline(time.Now().Add(tellTimeout))
-	_ = frame.Read(s, &first) // answered once it is noted
+	_ = s.SetReadDeadline(time.Now().Add(announceTimeout))
+	_ = frame.Read(s, &first) // the coord responds after it has recorded the registration
 }
 
-// takeView makes the next view from the last and what has changed.
-func (e *Entry) takeView(m *pb.View) {
+// applyView derives the next view from the current one and an update.
+func (e *Entry) applyView(m *pb.View) {
 	next := view{}
 	if last := e.view.Load(); last != nil {
 		next = *last
 	}
 	changed := false
 	if c := m.GetConfig(); c != nil {
-		changed = e.takeConfig(&next, c) || changed
+		changed = e.applyConfig(&next, c) || changed
 	}
 	if ms := m.GetMembers(); ms != nil {
 		next.members = convert.FromMembers(ms.GetMembers())
@@ -171,14 +175,14 @@
 		changed = true
 	}
 	if changed {
-		next.assign()
+		next.assignOwners()
 		e.view.Store(&next)
 		e.slots.configure(&next)
 	}
 }
 
-// takeConfig puts a newer configuration into the view; an older one is refused.
-func (e *Entry) takeConfig(v *view, c *pb.Config) bool {
+// applyConfig stores a newer configuration in the view and rejects an older one.
+func (e *Entry) applyConfig(v *view, c *pb.Config) bool {
 	if c.GetRevision() <= v.revision {
 		if c.GetRevision() < v.revision {
 			event.ViewRefused.Log(e.log, "revision", c.GetRevision(), "error", "older than the one in force")
@@ -203,8 +207,8 @@
 	return true
 }
 
-// assign works out the owner of each service's slots among the live members.
-func (v *view) assign() {
+// assignOwners selects the owner of each service's slots among the live members.
+func (v *view) assignOwners() {
 	links := make(map[string]string)
 	var names []string
 	for _, m := range v.members {
@@ -213,20 +217,21 @@
 			links[m.Name] = m.CoordAddress
 		}
 	}
-	v.live = max(len(names), 1)
-	v.assignLimits(names, links)
-	v.owners = make(map[string]string)
+	v.liveCount = max(len(names), 1)
+	v.assignLimitOwners(names, links)
+	v.slotOwners = make(map[string]string)
 	if v.fleet == nil {
 		return
 	}
 	for _, s := range v.fleet.Services {
-		v.owners[s.Name] = links[rendezvous.Owner("slots/"+s.Name, names)]
+		v.slotOwners[s.Name] = links[rendezvous.Owner("slots/"+s.Name, names)]
 	}
 }
 
-// memberOf returns the member whose entry may start that incarnation's
-// numbers: its heir if there is one, since the home may still be listed.
-func (v *view) memberOf(incarnation uint64) (membership.Member, bool) {
+// ledgerOwner returns the member whose entry may start the numbers issued by that entry
+// incarnation. The successor takes precedence, since the stopped entry may still be
+// listed.
+func (v *view) ledgerOwner(incarnation uint64) (membership.Member, bool) {
 	for _, m := range v.members {
 		if slices.Contains(m.AdoptedIncarnations, incarnation) {
 			return m, true
