--- a/cmd/process/build.go
+++ b/cmd/process/build.go
@@ -2,10 +2,10 @@
 
 import "runtime/debug"
 
-const revisionLength = 12 // signs of a commit that name it
+const revisionLength = 12 // characters of the abbreviated commit hash
 
-// Build names the binary: the product's version, and the commit where the
-// toolchain has noted one.
+// BuildVersion returns the product's version, followed by the abbreviated commit hash if
+// the Go toolchain has recorded it in the binary.
 func BuildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/process/incarnation_test.go
+++ b/cmd/process/incarnation_test.go
@@ -8,12 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// A clock that is far off makes no number that nobody can go beyond.
+// A clock that is far off must not yield an incarnation so high that no later one can
+// exceed it.
 func TestIncarnationIsInRange(t *testing.T) {
 	is := is.New(t)
-	day := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	is.Equal(Incarnation(day), uint64(day.UnixNano()))
-	is.True(Incarnation(day.Add(time.Nanosecond)) > Incarnation(day))
+	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	is.Equal(Incarnation(start), uint64(start.UnixNano()))
+	is.True(Incarnation(start.Add(time.Nanosecond)) > Incarnation(start))
 	for _, off := range []time.Time{
 		time.Unix(0, -1), {}, time.Unix(0, 0), time.Date(2262, 6, 1, 0, 0, 0, 0, time.UTC), time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC),
 	} {
--- a/cmd/process/loop.go
+++ b/cmd/process/loop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every calls f at once and then each interval until ctx ends.
+// Every calls f immediately and then at every interval until ctx is done.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -19,7 +19,7 @@
 	}
 }
 
-// Pause waits, and reports false when ctx ended first.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/cmd/process/main.go
+++ b/cmd/process/main.go
@@ -11,13 +11,14 @@
 	"quinceroad/protocol/settings"
 )
 
-// Args are what an instance's process is built from.
+// Args are the arguments from which Main builds an instance's process.
 type Args struct {
 	Settings *settings.Instance
 	Log      hclog.Logger
 }
 
-// Main is the main function of an instance's process.
+// Main implements the main function of an instance's binary: it parses the flags, reads
+// the settings and runs the process that build returns. It returns the exit code.
 func Main(name string, build func(Args) Process) int {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	config := flags.String("config", "", "the instance's settings, TOML")
@@ -46,10 +47,10 @@
 		fmt.Println(*config, "is good")
 		return ExitOK
 	}
-	return Run(build(Args{Settings: s, Log: logger(name, s, os.Stderr)}))
+	return Run(build(Args{Settings: s, Log: newLogger(name, s, os.Stderr)}))
 }
 
-func logger(name string, s *settings.Instance, w io.Writer) hclog.Logger {
+func newLogger(name string, s *settings.Instance, w io.Writer) hclog.Logger {
 	level := s.LogLevel
 	if level == "" {
 		level = "info"
--- a/cmd/process/process.go
+++ b/cmd/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what all binaries share: reading settings, running
-// until a signal, exit codes.
+// Package process implements what all binaries share: reading settings, running until a
+// signal, logging, periodic loops and exit codes.
 package process
 
 import (
@@ -14,17 +14,17 @@
 // Version is the product's version.
 const Version = "0.1.0"
 
-// The exit codes of all binaries.
+// Exit codes of all binaries.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // it ran and failed
+	ExitFailure = 1 // the command ran and failed
 	ExitUsage   = 2 // bad arguments or settings; nothing was done
 )
 
-// Process is something that runs until it is stopped.
+// Process is a service that runs until it is stopped.
 type Process interface {
 	Start() error
-	Stop() error // a planned stop: returns once nothing is in flight
+	Stop() error // graceful shutdown: returns after the requests in flight have finished
 }
 
 // Run starts p, waits for SIGTERM or SIGINT, stops p, and returns an exit code.
@@ -48,8 +48,8 @@
 	return ExitOK
 }
 
-// Load reads a settings file with the given reader.
-func Load[T any](file string, read func(string, []byte) (*T, error)) (*T, error) {
+// Load reads a settings file and parses it with the given function.
+func Load[T any](file string, parse func(string, []byte) (*T, error)) (*T, error) {
 	if file == "" {
 		return nil, trace.BadParameter("-config FILE is missing")
 	}
@@ -57,5 +57,5 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	return read(file, data)
+	return parse(file, data)
 }
--- a/cmd/quince-entry/main.go
+++ b/cmd/quince-entry/main.go
@@ -1,4 +1,4 @@
-// Command quince-entry runs the process that callers talk to.
+// Command quince-entry runs the entry, the process that serves clients.
 package main
 
 import (
