--- a/cmd/node/backoff.go
+++ b/cmd/node/backoff.go
@@ -148,7 +148,7 @@
 	if backoff.until > latest || now >= latest {
 		return false
 	}
-	return process.Pause(ctx, min(max(backoff.until-now, backoffPollInterval), maxBackoffPoll))
+	return process.Sleep(ctx, min(max(backoff.until-now, backoffPollInterval), maxBackoffPoll))
 }
 
 // replaceForbiddenEngine has the owner choose another engine if the replica has stated
