--- a/cmd/coord/intent.go
+++ b/cmd/coord/intent.go
@@ -46,7 +46,7 @@
 
 // operator returns who calls, by a token compared in constant time.
 func (p *plans) operator(ctx *fasthttp.RequestCtx) (string, bool) {
-	digest := web.Digest(web.Bearer(ctx))
+	digest := web.KeyDigest(web.Bearer(ctx))
 	name, found := "", false
 	for _, o := range p.coord.set.Operators {
 		if web.SameDigest(o.TokenSHA256, digest) {
--- a/cmd/coord/list.go
+++ b/cmd/coord/list.go
@@ -50,7 +50,7 @@
 // can't wait, a replica's leaving, comes by signs.
 func (c *Coord) pollList() time.Duration {
 	c.count.platformReads.Inc(1)
-	list, size, err := c.platform.Instances()
+	list, size, err := c.platform.ListReplicas()
 	if err != nil {
 		c.count.platformFailed.Inc(1)
 		if !c.hasList() {
--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -111,7 +111,7 @@
 	if !ok {
 		conn.Close()
 		sl.done(0, false)
-		return nil, 0, upstream.ErrToken
+		return nil, 0, upstream.ErrNotDispatched
 	}
 	s.sent++
 	s.onceSent = s.stage.AtMostOnce
@@ -122,7 +122,7 @@
 	s.addCost(took)
 	if ans != nil {
 		s.tokens = append(s.tokens, ans.Tokens...)
-		e.noteAnswer(rep, ans.Leaving, ans.Incarnation)
+		e.noteAnswer(rep, ans.Draining, ans.Incarnation)
 	}
 	if err == nil {
 		err = judge(s, ans)
@@ -143,8 +143,8 @@
 		deadline = s.deadline.Add(onceGrace)
 	}
 	c := &upstream.Call{
-		Request: s.id, Stage: s.stage.Name, Attempt: s.sent, Op: s.stage.Operation, Class: int(s.class),
-		Input: s.input, Earlier: slices.Clone(s.tokens), Deadline: deadline,
+		Request: s.id, Stage: s.stage.Name, Attempt: s.sent, Operation: s.stage.Operation, Class: int(s.class),
+		Input: s.input, PriorTokens: slices.Clone(s.tokens), Deadline: deadline,
 	}
 	if s.streams() {
 		c.OnToken = s.onToken
@@ -238,7 +238,7 @@
 
 // noteDropped counts and logs an answer that was not used.
 func (e *Entry) noteDropped(s *stageRun, replica string, err error) {
-	if errors.Is(err, upstream.ErrCrossed) || errors.Is(err, upstream.ErrCut) {
+	if errors.Is(err, upstream.ErrWrongRequest) || errors.Is(err, upstream.ErrIncomplete) {
 		e.count.dropped.Inc(1)
 		event.LateAnswer.Log(e.log, "request", s.id, "stage", s.stage.Name, "replica", replica, "error", err.Error())
 	}
--- a/cmd/entry/callers.go
+++ b/cmd/entry/callers.go
@@ -74,7 +74,7 @@
 	}
 	// The map is keyed by digests: what a lookup's time tells of them does not
 	// help to find a key.
-	c, ok := v.customers[web.Digest(key)]
+	c, ok := v.customers[web.KeyDigest(key)]
 	if !ok {
 		event.Unauthorized.Log(e.log, "code", codeNoCustomer, "path", string(ctx.Path()))
 		return nil, bad("", 401, codeNoCustomer, "no customer has this key")
@@ -167,7 +167,7 @@
 		e.serveStream(ctx, r)
 	default:
 		// The library does not tell when a caller goes away.
-		r.look = func() bool { return peek.Look(ctx.Conn()) == peek.Closed }
+		r.look = func() bool { return peek.Inspect(ctx.Conn()) == peek.Closed }
 		e.answer(ctx, e.admitAndRun(r))
 	}
 }
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -43,7 +43,7 @@
 		return
 	}
 	a := e.runNumbered(n, 0)
-	web.Raw(ctx, a.status, a.body)
+	web.RawJSON(ctx, a.status, a.body)
 }
 
 func (e *Entry) parseTicket(r *run, text string) (*numbered, *api.Error) {
@@ -192,7 +192,7 @@
 		return reply{}, true
 	case err == nil:
 		return reply{status: int(r.GetStatus()), body: r.GetBody()}, false
-	case home.Leaving && link.NotSent(err):
+	case home.Leaving && link.IsDialError(err):
 		return reply{}, true
 	}
 	return e.homeLost(n), false
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -167,7 +167,7 @@
 			next.replicas[r.ID] = r
 			addrs[r.Address] = true
 		}
-		e.upstreams.Forget(addrs)
+		e.upstreams.CloseIdleExcept(addrs)
 		changed = true
 	}
 	if changed {
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -73,7 +73,7 @@
 		return errNoReplicaReached
 	}
 	defer func() { n.statements.end(advisoryAttempt) }()
-	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.Asleep(), advisoryAttempt: advisoryAttempt}
+	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.TotalSuspended(), advisoryAttempt: advisoryAttempt}
 	token, ok := s.record.Dispatch()
 	if !ok {
 		conn.Close()
@@ -149,10 +149,10 @@
 		err = errClientGone
 	}
 	kind := a.endingKind(ctx, err)
-	suspended := n.clock.Asleep() != a.suspendedBefore
+	suspended := n.clock.TotalSuspended() != a.suspendedBefore
 	if err != nil {
 		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
-			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Rest, "leaves", a.head.Leaves)
+			"took", took, "kept", a.conn.IsReused(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Rest, "leaves", a.head.Leaves)
 	}
 	n.judgeMu.Lock()
 	if err == nil && !suspended {
@@ -325,7 +325,7 @@
 		return a.forwardStream(timer)
 	}
 	body, err := io.ReadAll(io.LimitReader(a.exchange, maxAnswerBytes))
-	if err != nil || !a.exchange.Whole() {
+	if err != nil || !a.exchange.IsComplete() {
 		return a.abortReasonOr(errAnswerBroken)
 	}
 	timer.Stop()
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	n := besideNode(t)
 	m := &ages{}
-	n.clock = clock.From(m)
+	n.clock = clock.NewFromSource(m)
 	n.takeLeaving("e1@7", "its own")
 	n.recordDrainSign("e2", "peer")
 	for range 100 {
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -98,7 +98,7 @@
 
 func (c *cell) call(ctx context.Context, a pipeline.Call) {
 	n := c.owner.node
-	began, asleep := n.now(), n.clock.Asleep()
+	began, asleep := n.now(), n.clock.TotalSuspended()
 	replica := catalog.Replica{ID: a.Replica, Service: a.Service, Version: n.versionOf(a.Replica)}
 	ctx, over := context.WithCancel(ctx)
 	defer over()
@@ -113,7 +113,7 @@
 	} else {
 		leave()
 	}
-	n.tellRolloutCall(&replica, wayOf(fate, results), n.clock.Asleep() != asleep, n.now()-began)
+	n.tellRolloutCall(&replica, wayOf(fate, results), n.clock.TotalSuspended() != asleep, n.now()-began)
 	c.log(a, results, n.now()-began)
 	c.mu.Lock()
 	if cancel := c.calls[a.ID]; cancel != nil {
--- a/cmd/node/liveness_probe.go
+++ b/cmd/node/liveness_probe.go
@@ -165,7 +165,7 @@
 		return err
 	}
 	defer conn.Close()
-	if !conn.Lasts(minConnectionTime) {
+	if !conn.StaysOpen(minConnectionTime) {
 		return errConnectionEnded
 	}
 	return nil
--- a/cmd/node/lives.go
+++ b/cmd/node/lives.go
@@ -55,7 +55,7 @@
 	for _, r := range replicas {
 		n.counters.livesOver.Inc(1)
 		n.recordReplicaRestart(r.ID)
-		n.clients.Drop(r.Address)
+		n.clients.CloseIdle(r.Address)
 		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.running.over(r.ID))
 	}
 }
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -117,7 +117,7 @@
 		settings:   s,
 		log:        log,
 		store:      platform.NewStore(s.Store),
-		clients:    upstream.WithClock(c),
+		clients:    upstream.NewWithClock(c),
 		registry:   metrics.NewRegistry(),
 		clock:      c,
 		places:     regions.New(s.Regions),
@@ -153,7 +153,7 @@
 		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
 	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
-	n.clock.OnWake(n.handleResume)
+	n.clock.OnResume(n.handleResume)
 	n.world.Store(&snapshot{regions: n.places, eligibleByService: make(map[string][]catalog.Replica)})
 	return n
 }
@@ -261,11 +261,11 @@
 			known[r.ID] = true
 			addresses[r.Address] = true
 		}
-		n.clock.Look()
+		n.clock.CheckSuspension()
 		n.logDropped()
 		n.rollouts.forget()
 		n.forgetQuarantine()
-		n.clients.Forget(addresses)
+		n.clients.CloseIdleExcept(addresses)
 		n.links.Sweep(time.Now())
 		n.judgeMu.Lock()
 		defer n.judgeMu.Unlock()
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -97,7 +97,7 @@
 		return platform.Report{}, err
 	}
 	if status != fasthttp.StatusOK {
-		return platform.Report{}, upstream.ErrCut
+		return platform.Report{}, upstream.ErrIncomplete
 	}
 	return platform.ParseReport(data)
 }
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
-		return nil, upstream.ErrCut
+		return nil, upstream.ErrIncomplete
 	}
 	return platform.ParseKept(data)
 }
@@ -172,8 +172,8 @@
 	}
 	head := n.takeHead(c.source, advisoryAttempt, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
-	if err == nil && !x.Whole() {
-		err = upstream.ErrCut
+	if err == nil && !x.IsComplete() {
+		err = upstream.ErrIncomplete
 	}
 	x.Release(idleTimeoutAfter(&head, defaultCallConnIdle))
 	return x.Header.StatusCode(), head, data, err
@@ -195,7 +195,7 @@
 
 // connectReplica returns a connection to a replica, a pooled one if there is one.
 func (n *Node) connectReplica(ctx context.Context, address string, within time.Duration) (*upstream.Conn, error) {
-	if cn := n.clients.Kept(address); cn != nil {
+	if cn := n.clients.IdleConn(address); cn != nil {
 		return cn, nil
 	}
 	n.counters.connections.Inc(1)
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -85,7 +85,7 @@
 	if n.settings.MetricsPort == 0 {
 		return nil
 	}
-	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, Acquit: n.acquit}
+	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, ReleaseQuarantined: n.acquit}
 	server, err := web.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort)), admin.Handler, func(p any) {
 		event.NodePanicked.Log(n.log, "panic", p)
 	})
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -141,7 +141,7 @@
 		b.WriteString(text)
 		for i := 5; i < n; i++ {
 			name := fmt.Sprintf("customer-%04d", i)
-			fmt.Fprintf(&b, "\n[[customer]]\nname = %q\nkey_sha256 = %q\nweight = 1\npriority = \"normal\"\nrate = 10.0\nburst = 20.0\n", name, web.Digest(name))
+			fmt.Fprintf(&b, "\n[[customer]]\nname = %q\nkey_sha256 = %q\nweight = 1\npriority = \"normal\"\nrate = 10.0\nburst = 20.0\n", name, web.KeyDigest(name))
 		}
 		return b.String()
 	})
--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -43,10 +43,10 @@
 }
 
 // New returns a clock that begins at 0.
-func New() *Clock { return From(system()) }
+func New() *Clock { return NewFromSource(system()) }
 
 // From returns a clock that reads another source.
-func From(s Source) *Clock {
+func NewFromSource(s Source) *Clock {
 	steady, day := s.Now()
 	boot, _ := s.Boot() // where there is none, nothing is ever asleep
 	c := &Clock{source: s, steady: steady, boot: boot, deadlines: make(map[*deadline]struct{})}
@@ -64,15 +64,15 @@
 }
 
 // Asleep is for how long the machine was suspended since the clock was made.
-func (c *Clock) Asleep() time.Duration { return time.Duration(c.asleep.Load()) }
+func (c *Clock) TotalSuspended() time.Duration { return time.Duration(c.asleep.Load()) }
 
 // Look asks the boot clock; call it some times a minute, for a suspension that a
 // step of the time of day has hidden.
-func (c *Clock) Look() { c.look() }
+func (c *Clock) CheckSuspension() { c.look() }
 
 // OnWake has f called after each suspension, with its length, by a goroutine of
 // its own.
-func (c *Clock) OnWake(f func(gap time.Duration)) {
+func (c *Clock) OnResume(f func(gap time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.woke = append(c.woke, f)
--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -22,9 +22,9 @@
 func TestTimeAsleepCounts(t *testing.T) {
 	is := is.New(t)
 	f := &fake{day: time.Hour, boot: time.Minute}
-	c := From(f)
+	c := NewFromSource(f)
 	gaps := make(chan time.Duration, 2)
-	c.OnWake(func(gap time.Duration) { gaps <- gap })
+	c.OnResume(func(gap time.Duration) { gaps <- gap })
 	f.runs(time.Second)
 	is.Equal(c.Now(), time.Second)
 	f.sleeps(5 * time.Second)
@@ -38,8 +38,8 @@
 func TestAStepOfTheDayIsNoSleep(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
-	c := From(f)
-	c.OnWake(func(time.Duration) { t.Error("woke") })
+	c := NewFromSource(f)
+	c.OnResume(func(time.Duration) { t.Error("woke") })
 	for _, step := range []time.Duration{2 * time.Second, -5 * time.Second} {
 		f.day += step
 		f.runs(time.Second)
@@ -52,10 +52,10 @@
 func TestASleepBehindAStepIsFound(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
-	c := From(f)
+	c := NewFromSource(f)
 	f.boot += 3 * time.Second
 	is.Equal(c.Now(), 0*time.Second)
-	c.Look()
+	c.CheckSuspension()
 	is.Equal(c.Now(), 3*time.Second)
 }
 
@@ -63,7 +63,7 @@
 func TestTimeNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fake{}
-		c := From(f)
+		c := NewFromSource(f)
 		last := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
@@ -83,7 +83,7 @@
 			}
 			last = now
 		}
-		c.Look()
+		c.CheckSuspension()
 		if off := f.boot - c.Now(); off < 0 || off >= leastGap*30 {
 			t.Fatalf("%v off the boot clock", off)
 		}
@@ -93,7 +93,7 @@
 func TestADeadlineThatCameAsleepIsOver(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
-	c := From(f)
+	c := NewFromSource(f)
 	ctx, cancel := c.WithDeadline(context.Background(), 4*time.Second)
 	defer cancel()
 	later, cancelLater := c.WithDeadline(context.Background(), 40*time.Second)
@@ -115,7 +115,7 @@
 	is := is.New(t)
 	c := New()
 	before := c.Now()
-	c.Look()
+	c.CheckSuspension()
 	is.True(c.Now() >= before)
 	_, err := system().Boot()
 	is.NoErr(err)
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -79,7 +79,7 @@
 
 // NotSent reports whether a call failed before anything could be sent: no
 // connection was made.
-func NotSent(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/transport/peek/peek.go
+++ b/transport/peek/peek.go
@@ -11,17 +11,17 @@
 
 // The states.
 const (
-	Quiet  State = iota // open, nothing to read
-	Bytes               // something to read
-	Closed              // closed by the other side, or broken
+	Idle     State = iota // open, nothing to read
+	Readable              // something to read
+	Closed                // closed by the other side, or broken
 )
 
 // Look returns the state of a connection; one that can't be looked at counts
 // as having bytes, which nobody acts upon.
-func Look(c net.Conn) State {
+func Inspect(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Bytes
+		return Readable
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -33,9 +33,9 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN:
-			state = Quiet
+			state = Idle
 		case err == nil && n > 0:
-			state = Bytes
+			state = Readable
 		}
 		return true
 	})
--- a/transport/peek/peek_test.go
+++ b/transport/peek/peek_test.go
@@ -18,18 +18,18 @@
 	is.NoErr(err)
 	until := func(want State) {
 		t.Helper()
-		for i := 0; Look(near) != want; i++ {
+		for i := 0; Inspect(near) != want; i++ {
 			is.True(i < 1e7) // what was sent arrives
 		}
 	}
-	is.Equal(Look(near), Quiet)
+	is.Equal(Inspect(near), Idle)
 	_, err = far.Write([]byte("x"))
 	is.NoErr(err)
-	until(Bytes)
+	until(Readable)
 	n, err := near.Read(make([]byte, 8))
 	is.NoErr(err)
 	is.Equal(n, 1) // a look takes nothing
-	is.Equal(Look(near), Quiet)
+	is.Equal(Inspect(near), Idle)
 	is.NoErr(far.Close())
 	until(Closed)
 }
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -18,8 +18,8 @@
 
 // The errors of a call.
 var (
-	ErrConflict = errors.New("platform: the key has another version")
-	ErrUnknown  = errors.New("platform: no answer; a write may have taken effect")
+	ErrConflict       = errors.New("platform: the key has another version")
+	ErrOutcomeUnknown = errors.New("platform: no answer; a write may have taken effect")
 )
 
 const callTimeout = 1 * time.Second
@@ -57,7 +57,7 @@
 
 // Instances reads the lagging list of upstream replicas, and tells how many
 // bytes it took.
-func (c *Client) Instances() (list []api.Listed, size int, err error) {
+func (c *Client) ListReplicas() (list []api.Listed, size int, err error) {
 	var raw json.RawMessage
 	if err := c.call("GET", "/v1/instances", nil, &raw, callTimeout); err != nil {
 		return nil, 0, err
@@ -80,7 +80,7 @@
 		req.SetBody(b)
 	}
 	if err := c.http.DoTimeout(req, resp, timeout); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch resp.StatusCode() {
 	case 200:
@@ -88,5 +88,5 @@
 	case 409:
 		return ErrConflict
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, resp.StatusCode())
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, resp.StatusCode())
 }
--- a/transport/upstream/call.go
+++ b/transport/upstream/call.go
@@ -20,15 +20,15 @@
 
 // Call is one attempt at one stage.
 type Call struct {
-	Request  string
-	Stage    string
-	Attempt  int
-	Op       string
-	Class    int
-	Input    []byte
-	Earlier  []string       // tokens that earlier attempts brought; this one goes on after them
-	Deadline time.Time      // by when the answer must be whole
-	OnToken  func(t string) // nil unless the answer streams
+	Request     string
+	Stage       string
+	Attempt     int
+	Operation   string
+	Class       int
+	Input       []byte
+	PriorTokens []string       // tokens that earlier attempts brought; this one goes on after them
+	Deadline    time.Time      // by when the answer must be whole
+	OnToken     func(t string) // nil unless the answer streams
 }
 
 // Answer is what a replica said.
@@ -37,7 +37,7 @@
 	Body        []byte
 	Tokens      []string // of this attempt, without those resumed over
 	Refused     bool     // the replica says that it did not run the call
-	Leaving     bool     // the replica says that it leaves
+	Draining    bool     // the replica says that it leaves
 	Incarnation uint64   // of the replica
 }
 
@@ -63,7 +63,7 @@
 func (cn *Conn) do(d outcome.DispatchToken, c *Call) (*Answer, error) {
 	digest := Digest(c.Input)
 	if err := cn.net.SetDeadline(c.Deadline); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -73,24 +73,24 @@
 	}
 	var h fasthttp.ResponseHeader
 	if err := h.Read(cn.r); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	if !c.matches(&h, digest) {
-		return nil, ErrCrossed
+		return nil, ErrWrongRequest
 	}
 	a := &Answer{Status: h.StatusCode()}
-	a.Leaving = len(h.Peek(api.HeaderLeaving)) > 0
+	a.Draining = len(h.Peek(api.HeaderLeaving)) > 0
 	a.Refused = a.Status == fasthttp.StatusServiceUnavailable
 	a.Incarnation, _ = strconv.ParseUint(string(h.Peek(api.HeaderIncarnat)), 10, 64)
 	if h.ContentLength() == -1 {
 		return a, cn.readStream(c, a)
 	}
 	if h.ContentLength() < 0 || h.ContentLength() > maxAnswer {
-		return nil, ErrCut // without a length a cut answer looks whole
+		return nil, ErrIncomplete // without a length a cut answer looks whole
 	}
 	a.Body = make([]byte, h.ContentLength())
 	if _, err := io.ReadFull(cn.r, a.Body); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	return a, nil
 }
@@ -103,11 +103,11 @@
 	req.Header.Set(api.HeaderStage, c.Stage)
 	req.Header.Set(api.HeaderAttempt, strconv.Itoa(c.Attempt))
 	req.Header.Set(api.HeaderDigest, digest)
-	req.Header.Set(api.HeaderOp, c.Op)
+	req.Header.Set(api.HeaderOp, c.Operation)
 	req.Header.Set(api.HeaderClass, strconv.Itoa(c.Class))
 	req.Header.Set(api.HeaderLeft, strconv.FormatInt(time.Until(c.Deadline).Milliseconds(), 10))
-	if len(c.Earlier) > 0 {
-		req.Header.Set(api.HeaderOffset, strconv.Itoa(len(c.Earlier)))
+	if len(c.PriorTokens) > 0 {
+		req.Header.Set(api.HeaderOffset, strconv.Itoa(len(c.PriorTokens)))
 	}
 	req.SetBodyRaw(c.Input)
 }
@@ -142,14 +142,14 @@
 			break
 		}
 		if err != nil {
-			return errors.Join(ErrCut, err)
+			return errors.Join(ErrIncomplete, err)
 		}
 		if err := takeLine(line, c, a, &ended, &end); err != nil {
 			return err
 		}
 	}
 	if _, err := cn.r.Discard(len("\r\n")); err != nil { // after the last chunk
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrIncomplete, err)
 	}
 	return checkEnd(c, a, end)
 }
@@ -165,13 +165,13 @@
 	}
 	if *ended {
 		if err := json.Unmarshal(data, end); err != nil {
-			return fmt.Errorf("%w: %w", ErrCut, err)
+			return fmt.Errorf("%w: %w", ErrIncomplete, err)
 		}
 		return nil
 	}
 	var t api.Token
 	if err := json.Unmarshal(data, &t); err != nil {
-		return fmt.Errorf("%w: %w", ErrCut, err)
+		return fmt.Errorf("%w: %w", ErrIncomplete, err)
 	}
 	a.Tokens = append(a.Tokens, t.Text)
 	if c.OnToken != nil {
@@ -184,15 +184,15 @@
 // those of earlier attempts included.
 func checkEnd(c *Call, a *Answer, end StreamEnd) error {
 	var all bytes.Buffer
-	for _, t := range c.Earlier {
+	for _, t := range c.PriorTokens {
 		all.WriteString(t)
 	}
 	for _, t := range a.Tokens {
 		all.WriteString(t)
 	}
-	n := len(c.Earlier) + len(a.Tokens)
+	n := len(c.PriorTokens) + len(a.Tokens)
 	if n != end.Count || Digest(all.Bytes()) != end.Digest {
-		return fmt.Errorf("%w: %d tokens of %d, or another digest", ErrCut, n, end.Count)
+		return fmt.Errorf("%w: %d tokens of %d, or another digest", ErrIncomplete, n, end.Count)
 	}
 	a.Body = all.Bytes()
 	return nil
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -44,7 +44,7 @@
 		return x, cn.send(d, req)
 	}
 	if !d.Valid() {
-		return x, ErrToken
+		return x, ErrNotDispatched
 	}
 	x.written = make(chan error, 1)
 	go func() { x.written <- cn.send(d, req) }()
@@ -55,7 +55,7 @@
 func (cn *Conn) SetDeadline(t time.Time) error { return cn.net.SetDeadline(t) }
 
 // Kept reports whether the connection has carried a request before.
-func (cn *Conn) Kept() bool { return cn.used != 0 }
+func (cn *Conn) IsReused() bool { return cn.used != 0 }
 
 // ReadHead reads the answer's head. Answers that own says are another
 // request's are passed over: they were late.
@@ -68,20 +68,20 @@
 			return nil
 		}
 		if _, err := io.Copy(io.Discard, x); err != nil {
-			return errors.Join(ErrCrossed, err)
+			return errors.Join(ErrWrongRequest, err)
 		}
 		if !x.whole || x.Header.ContentLength() == lengthUntold {
-			return ErrCrossed
+			return ErrWrongRequest
 		}
 	}
-	return ErrCrossed
+	return ErrWrongRequest
 }
 
 func (x *Exchange) readOneHead() error {
 	x.whole, x.chunked, x.body = false, false, nil
 	for {
 		if err := x.Header.Read(x.conn.r); err != nil {
-			return errors.Join(ErrCut, err)
+			return errors.Join(ErrIncomplete, err)
 		}
 		if x.Header.StatusCode() >= fasthttp.StatusOK {
 			break
@@ -110,16 +110,16 @@
 	n, err := x.body.Read(b)
 	if !errors.Is(err, io.EOF) {
 		if err != nil {
-			err = errors.Join(ErrCut, err)
+			err = errors.Join(ErrIncomplete, err)
 		}
 		return n, err
 	}
 	if limited, ok := x.body.(*io.LimitedReader); ok && limited.N > 0 {
-		return n, errors.Join(ErrCut, io.ErrUnexpectedEOF)
+		return n, errors.Join(ErrIncomplete, io.ErrUnexpectedEOF)
 	}
 	if x.chunked {
 		if _, err := x.conn.r.Discard(len("\r\n")); err != nil { // after the last chunk
-			return n, errors.Join(ErrCut, err)
+			return n, errors.Join(ErrIncomplete, err)
 		}
 	}
 	x.whole = true
@@ -127,7 +127,7 @@
 }
 
 // Whole reports whether the whole body was read.
-func (x *Exchange) Whole() bool { return x.whole }
+func (x *Exchange) IsComplete() bool { return x.whole }
 
 // Release ends the exchange: its connection is kept for idle when the answer
 // is whole, the request was written whole, and nobody minds, else closed.
--- a/transport/upstream/upstream.go
+++ b/transport/upstream/upstream.go
@@ -23,10 +23,10 @@
 
 // The errors of a call.
 var (
-	ErrConnect = errors.New("upstream: no connection; nothing was written")
-	ErrCut     = errors.New("upstream: the answer was cut or did not come")
-	ErrCrossed = errors.New("upstream: the answer is another request's")
-	ErrToken   = errors.New("upstream: not dispatched") // a zero outcome.Dispatched: a fault of the caller
+	ErrConnect       = errors.New("upstream: no connection; nothing was written")
+	ErrIncomplete    = errors.New("upstream: the answer was cut or did not come")
+	ErrWrongRequest  = errors.New("upstream: the answer is another request's")
+	ErrNotDispatched = errors.New("upstream: not dispatched") // a zero outcome.Dispatched: a fault of the caller
 )
 
 const (
@@ -44,11 +44,11 @@
 }
 
 // New returns a client without connections.
-func New() *Client { return WithClock(clock.New()) }
+func New() *Client { return NewWithClock(clock.New()) }
 
 // WithClock returns a client that goes by a clock: a connection that rested while
 // the machine was asleep is as old as if it had not been.
-func WithClock(c *clock.Clock) *Client { return &Client{clock: c, idle: make(map[string][]*Conn)} }
+func NewWithClock(c *clock.Clock) *Client { return &Client{clock: c, idle: make(map[string][]*Conn)} }
 
 // Conn is a connection to a replica that carries one request at a time.
 type Conn struct {
@@ -63,14 +63,14 @@
 
 // Connect returns a connection to addr on which nothing is under way.
 func (c *Client) Connect(addr string) (*Conn, error) {
-	if cn := c.Kept(addr); cn != nil {
+	if cn := c.IdleConn(addr); cn != nil {
 		return cn, nil
 	}
 	return c.Dial(addr, dialTimeout)
 }
 
 // Kept returns a kept connection to addr, or nil.
-func (c *Client) Kept(addr string) *Conn {
+func (c *Client) IdleConn(addr string) *Conn {
 	for cn := c.take(addr); cn != nil; cn = c.take(addr) {
 		if cn.fresh() {
 			return cn
@@ -122,7 +122,7 @@
 }
 
 // Forget closes the idle connections to replicas that keep does not name.
-func (c *Client) Forget(keep map[string]bool) {
+func (c *Client) CloseIdleExcept(keep map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
@@ -138,7 +138,7 @@
 
 // Lasts reports whether a connection on which nothing is under way stays open
 // for so long.
-func (cn *Conn) Lasts(d time.Duration) bool {
+func (cn *Conn) StaysOpen(d time.Duration) bool {
 	if cn.net.SetReadDeadline(time.Now().Add(d)) != nil {
 		return false
 	}
@@ -147,7 +147,7 @@
 }
 
 // Drop closes the idle connections to addr: whoever took them is there no more.
-func (c *Client) Drop(addr string) {
+func (c *Client) CloseIdle(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cn := range c.idle[addr] {
@@ -161,18 +161,18 @@
 
 // quiet reports whether an idle connection is open and has nothing to read: a
 // closed one would lose the request, and bytes would be a late answer.
-func quiet(c net.Conn) bool { return peek.Look(c) == peek.Quiet }
+func quiet(c net.Conn) bool { return peek.Inspect(c) == peek.Idle }
 
 // send writes the request; from here on it may run.
 func (cn *Conn) send(d outcome.DispatchToken, req *fasthttp.Request) error {
 	if !d.Valid() {
-		return ErrToken
+		return ErrNotDispatched
 	}
 	if err := req.Write(cn.w); err != nil {
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrIncomplete, err)
 	}
 	if err := cn.w.Flush(); err != nil {
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrIncomplete, err)
 	}
 	return nil
 }
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -40,7 +40,7 @@
 }
 
 func call(d time.Duration) *Call {
-	return &Call{Request: "r", Stage: "s", Attempt: 1, Op: "x", Input: []byte("in"), Deadline: time.Now().Add(d)}
+	return &Call{Request: "r", Stage: "s", Attempt: 1, Operation: "x", Input: []byte("in"), Deadline: time.Now().Add(d)}
 }
 
 // A missed deadline must be told apart from a broken replica.
@@ -52,7 +52,7 @@
 	conn, err := New().Connect(addr)
 	is.NoErr(err)
 	_, err = conn.Do(dispatched(t), call(50*time.Millisecond))
-	is.True(errors.Is(err, ErrCut))
+	is.True(errors.Is(err, ErrIncomplete))
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
@@ -69,7 +69,7 @@
 	conn, err := New().Connect(addr)
 	is.NoErr(err)
 	_, err = conn.Do(dispatched(t), call(time.Second))
-	is.True(errors.Is(err, ErrCut))
+	is.True(errors.Is(err, ErrIncomplete))
 	is.Equal(runs.Load(), int32(1))
 }
 
@@ -81,7 +81,7 @@
 	conn, err := New().Connect(addr)
 	is.NoErr(err)
 	_, err = conn.Do(outcome.DispatchToken{}, call(time.Second))
-	is.Equal(err, ErrToken)
+	is.Equal(err, ErrNotDispatched)
 	is.Equal(runs.Load(), int32(0))
 }
 
--- a/transport/web/admin.go
+++ b/transport/web/admin.go
@@ -12,10 +12,10 @@
 
 // Admin is what a process shows on its admin listener.
 type Admin struct {
-	Registry metrics.Registry
-	Ready    func() error                   // nil when it may be given work
-	State    func() any                     // a consistent dump, without secrets
-	Acquit   func(fingerprint string) error // of a request that is not sent any more; nil where there is no such thing
+	Registry           metrics.Registry
+	Ready              func() error                   // nil when it may be given work
+	State              func() any                     // a consistent dump, without secrets
+	ReleaseQuarantined func(fingerprint string) error // of a request that is not sent any more; nil where there is no such thing
 }
 
 // Handler serves /healthz, /readyz, /metrics, /debug/state, /debug/pprof/ and
@@ -50,11 +50,11 @@
 }
 
 func (a *Admin) acquit(ctx *fasthttp.RequestCtx) {
-	if a.Acquit == nil || !ctx.IsPost() {
+	if a.ReleaseQuarantined == nil || !ctx.IsPost() {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	if err := a.Acquit(string(ctx.QueryArgs().Peek("fingerprint"))); err != nil {
+	if err := a.ReleaseQuarantined(string(ctx.QueryArgs().Peek("fingerprint"))); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		ctx.SetBodyString(err.Error() + "\n")
 	}
--- a/transport/web/web.go
+++ b/transport/web/web.go
@@ -115,11 +115,11 @@
 	if err != nil {
 		panic(err) // a type of ours that can't be marshalled
 	}
-	Raw(ctx, status, b)
+	RawJSON(ctx, status, b)
 }
 
 // Raw answers with JSON that was made before.
-func Raw(ctx *fasthttp.RequestCtx, status int, body []byte) {
+func RawJSON(ctx *fasthttp.RequestCtx, status int, body []byte) {
 	ctx.SetContentType("application/json")
 	ctx.SetStatusCode(status)
 	ctx.SetBody(body)
@@ -144,7 +144,7 @@
 }
 
 // Digest returns the SHA-256 of a key in hex, the form in which keys are declared.
-func Digest(key string) string {
+func KeyDigest(key string) string {
 	d := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(d[:])
 }
