--- a/cmd/check/check.go
+++ b/cmd/check/check.go
@@ -249,7 +249,7 @@
 }
 
 // Fenced is P9: no engine that checks obeys a token lower than one it has obeyed.
-func Fenced(orders []api.Ordered) []Violation {
+func Fenced(orders []api.OrderRecord) []Violation {
 	highest := make(map[string]uint64)
 	var out []Violation
 	for _, o := range orders {
--- a/cmd/coord/beats.go
+++ b/cmd/coord/beats.go
@@ -200,7 +200,7 @@
 	}
 	c.membersMu.Unlock()
 	for _, m := range changed {
-		event.MemberNew.Log(c.log, "name", m.Name, "state", int(m.State), "incarnation", m.Incarnation, "leaving", m.Leaving)
+		event.MemberChanged.Log(c.log, "name", m.Name, "state", int(m.State), "incarnation", m.Incarnation, "leaving", m.Leaving)
 	}
 	if changed != nil {
 		c.membersChanged()
@@ -216,7 +216,7 @@
 	}
 	c.membersMu.Unlock()
 	if suspect {
-		event.MemberNew.Log(c.log, "name", name, "state", int(m.State), "incarnation", m.Incarnation, "leaving", m.Leaving)
+		event.MemberChanged.Log(c.log, "name", name, "state", int(m.State), "incarnation", m.Incarnation, "leaving", m.Leaving)
 	}
 }
 
@@ -256,7 +256,7 @@
 	beat := c.makeBeat()
 	var wg sync.WaitGroup
 	for _, seed := range c.set.Seeds {
-		if seed != c.set.Coord.Known {
+		if seed != c.set.Coord.AdvertisedLink {
 			wg.Go(func() { c.beatTo(seed, beat) })
 		}
 	}
--- a/cmd/coord/config.go
+++ b/cmd/coord/config.go
@@ -48,7 +48,7 @@
 		}
 		backoff = backoffMin
 		if !down.IsZero() {
-			event.PlatformBack.Log(c.log, "after", time.Since(down).String())
+			event.PlatformReachable.Log(c.log, "after", time.Since(down).String())
 			down = time.Time{}
 		}
 		if kv.Version < version { // a stale read, or the store lost data
@@ -105,7 +105,7 @@
 	if !since.IsZero() {
 		return since
 	}
-	event.PlatformLost.Log(c.log, "error", err.Error())
+	event.PlatformUnreachable.Log(c.log, "error", err.Error())
 	return time.Now()
 }
 
@@ -128,14 +128,14 @@
 }
 
 func (c *Coord) offerStored(value []byte, from string) {
-	var s api.Stored
+	var s api.StoredConfig
 	if len(value) == 0 {
 		rev, _ := c.config()
-		event.ConfigOlder.Log(c.log, "from", from, "revision", 0, "in_force", rev.Revision)
+		event.ConfigOlderRefused.Log(c.log, "from", from, "revision", 0, "in_force", rev.Revision)
 		return
 	}
 	if err := json.Unmarshal(value, &s); err != nil {
-		event.ConfigBroken.Log(c.log, "from", from, "revision", 0, "error", err.Error())
+		event.ConfigInvalid.Log(c.log, "from", from, "revision", 0, "error", err.Error())
 		return
 	}
 	c.offer(revision.Config{Revision: s.Revision, PlanID: s.PlanID, Declaration: s.Declaration}, from)
@@ -145,7 +145,7 @@
 func (c *Coord) offer(cfg revision.Config, from string) revision.Verdict {
 	f, err := settings.LoadPacked(cfg.Declaration)
 	if err != nil {
-		event.ConfigBroken.Log(c.log, "from", from, "revision", cfg.Revision, "error", err.Error())
+		event.ConfigInvalid.Log(c.log, "from", from, "revision", cfg.Revision, "error", err.Error())
 		return revision.Conflict
 	}
 	c.configMu.Lock()
@@ -162,9 +162,9 @@
 		c.owner.configure()
 		c.kickBeat()
 	case revision.Older:
-		event.ConfigOlder.Log(c.log, "from", from, "revision", cfg.Revision, "in_force", before)
+		event.ConfigOlderRefused.Log(c.log, "from", from, "revision", cfg.Revision, "in_force", before)
 	case revision.Conflict:
-		event.ConfigClash.Log(c.log, "from", from, "revision", cfg.Revision, "plan", cfg.PlanID)
+		event.ConfigConflict.Log(c.log, "from", from, "revision", cfg.Revision, "plan", cfg.PlanID)
 	}
 	return v
 }
--- a/cmd/coord/coord.go
+++ b/cmd/coord/coord.go
@@ -105,7 +105,7 @@
 		kick:     make(chan struct{}, 1),
 	}
 	c.view = membership.New(membership.Member{
-		Name: s.Name, Hall: s.Hall, CoordAddress: s.Coord.Known,
+		Name: s.Name, Hall: s.Hall, CoordAddress: s.Coord.AdvertisedLink,
 		// A start later than the last one gives a higher incarnation. Only
 		// soft state rests on this clock.
 		Incarnation: process.Incarnation(time.Now()),
@@ -122,7 +122,7 @@
 	if c.server, err = link.Listen(c.set.Coord.Link, c.serveLink, c.traffic); err != nil {
 		return err
 	}
-	onPanic := func(v any) { event.Panicked.Log(c.log, "panic", v) }
+	onPanic := func(v any) { event.EntryPanicked.Log(c.log, "panic", v) }
 	if c.api, err = web.Listen(c.set.Coord.Operators, c.plans.handler, onPanic); err != nil {
 		return err
 	}
--- a/cmd/coord/intent.go
+++ b/cmd/coord/intent.go
@@ -18,7 +18,7 @@
 func (p *plans) handler(ctx *fasthttp.RequestCtx) {
 	by, ok := p.operator(ctx)
 	if !ok {
-		event.OperatorDeny.Log(p.coord.log, "path", string(ctx.Path()))
+		event.OperatorRefused.Log(p.coord.log, "path", string(ctx.Path()))
 		fail(ctx, 401, "bad_token", "no operator has this token; send Authorization: Bearer TOKEN")
 		return
 	}
@@ -108,12 +108,12 @@
 		fail(ctx, 404, "no_configuration", "nothing has been confirmed yet")
 		return
 	}
-	text, err := pack.Open(rev.Declaration)
+	text, err := pack.Decompress(rev.Declaration)
 	if err != nil {
 		fail(ctx, 500, "bad_declaration", err.Error())
 		return
 	}
-	s := api.InForce{Revision: rev.Revision, PlanID: rev.PlanID, Declaration: string(text)}
+	s := api.ActiveConfig{Revision: rev.Revision, PlanID: rev.PlanID, Declaration: string(text)}
 	if kv, err := p.coord.platform.Get(configKey); err == nil {
 		if at, err := decodeStored(kv); err == nil && at.Revision == s.Revision {
 			s.History = at.History
@@ -127,7 +127,7 @@
 		fail(ctx, 404, "no_such_instance", "no instance of this name answers; see GET /v1/status")
 		return
 	}
-	web.JSON(ctx, 200, api.Drained{Instance: name})
+	web.JSON(ctx, 200, api.DrainAnswer{Instance: name})
 }
 
 func fail(ctx *fasthttp.RequestCtx, status int, code, detail string) {
--- a/cmd/coord/list.go
+++ b/cmd/coord/list.go
@@ -58,7 +58,7 @@
 		}
 		return 0
 	}
-	c.takeList(convert.FromListed(list))
+	c.takeList(convert.FromListedReplicas(list))
 	return time.Duration(float64(size) / listBytes * float64(time.Second))
 }
 
@@ -167,7 +167,7 @@
 
 func (c *Coord) logLeaving(rs []replicas.Replica, sign string) {
 	for _, r := range rs {
-		event.ReplicaLeaves.Log(c.log, "replica", r.ID, "incarnation", r.Incarnation, "sign", sign)
+		event.ReplicaDraining.Log(c.log, "replica", r.ID, "incarnation", r.Incarnation, "sign", sign)
 	}
 }
 
--- a/cmd/coord/orders.go
+++ b/cmd/coord/orders.go
@@ -117,9 +117,9 @@
 	switch {
 	case held && !o.acted:
 		clear(o.given) // another may have ordered otherwise meanwhile
-		event.LeaseTaken.Log(o.coord.log, "token", o.lease.Version())
+		event.OrderLeaseAcquired.Log(o.coord.log, "token", o.lease.Version())
 	case !held && o.acted:
-		event.LeaseLost.Log(o.coord.log, "token", o.lease.Version())
+		event.OrderLeaseLost.Log(o.coord.log, "token", o.lease.Version())
 	}
 	o.acted = held
 }
@@ -148,11 +148,11 @@
 		return false
 	}
 	if err := o.send(r, s.Model, token); err != nil {
-		event.OrderRefused.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token, "error", err.Error())
+		event.OrderNotObeyed.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token, "error", err.Error())
 		return true
 	}
 	o.given[r.ID] = given{r.Incarnation, s.Model}
-	event.OrderGiven.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token)
+	event.OrderObeyed.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token)
 	return true
 }
 
--- a/cmd/coord/plans.go
+++ b/cmd/coord/plans.go
@@ -74,7 +74,7 @@
 
 // encodePlan returns a plan as it lies on the platform.
 func encodePlan(plan api.Plan) ([]byte, error) {
-	packed, err := pack.Text(plan.Text)
+	packed, err := pack.Compress(plan.Text)
 	if err != nil {
 		return nil, err
 	}
@@ -85,16 +85,16 @@
 func fill(out *api.Plan, p planner.Plan) {
 	out.Changes, out.Warnings = p.Changes, p.Warnings
 	for _, s := range p.Steps {
-		out.Stages = append(out.Stages, api.PlannedStep{
+		out.Stages = append(out.Stages, api.PlannedStage{
 			Pipeline: s.Pipeline, Stage: s.Stage, Service: s.Service, Halls: s.Halls, Slots: s.Slots,
-			PerSec: s.PerSec, BudgetMS: int(s.Budget.Milliseconds()), Cost: s.Cost,
+			CapacityPerSecond: s.PerSec, BudgetMS: int(s.Budget.Milliseconds()), Cost: s.Cost,
 		})
 	}
 	for _, n := range p.Needs {
-		out.Needs = append(out.Needs, api.PlannedNeed(n))
+		out.Needs = append(out.Needs, api.CapacityNeed(n))
 	}
 	for _, o := range p.Outlooks {
-		out.Outlooks = append(out.Outlooks, api.Outlook(o))
+		out.Forecasts = append(out.Forecasts, api.Forecast(o))
 	}
 }
 
@@ -111,14 +111,14 @@
 	if err := json.Unmarshal(kv.Value, &stored); err != nil {
 		return nil, err
 	}
-	text, err := pack.Open(stored.Declaration)
+	text, err := pack.Decompress(stored.Declaration)
 	stored.Text = string(text)
 	return &stored.Plan, err
 }
 
 // confirm puts a plan into force if its base still is. A lost answer is read
 // back by the plan's id, and until it is known the operator is told so.
-func (p *plans) confirm(id, by string) (*api.Confirmed, error) {
+func (p *plans) confirm(id, by string) (*api.Confirmation, error) {
 	plan, err := p.load(id)
 	if err != nil {
 		return nil, err
@@ -136,12 +136,12 @@
 			return nil, err // the platform could not even be read
 		}
 	}
-	return &api.Confirmed{Plan: id, State: stateUndetermined}, nil
+	return &api.Confirmation{Plan: id, State: stateUndetermined}, nil
 }
 
 // tryConfirm reads what is in force, and writes the plan if it is its turn.
 // Trying again is safe: the version it read guards the write.
-func (p *plans) tryConfirm(plan *api.Plan, by string) (*api.Confirmed, error) {
+func (p *plans) tryConfirm(plan *api.Plan, by string) (*api.Confirmation, error) {
 	p.coord.count.platformReads.Inc(1)
 	kv, err := p.coord.platform.Get(configKey)
 	if err != nil {
@@ -154,15 +154,15 @@
 	for _, past := range at.History {
 		if past.PlanID == plan.ID {
 			p.coord.offerStored(kv.Value, "platform")
-			return &api.Confirmed{Plan: plan.ID, Revision: past.Revision, State: stateConfirmed}, nil
+			return &api.Confirmation{Plan: plan.ID, Revision: past.Revision, State: stateConfirmed}, nil
 		}
 	}
 	inForce, _ := p.coord.config()
 	if at.Revision < inForce.Revision { // the store lost data: go on from what is in force
-		at = api.Stored{Revision: inForce.Revision, PlanID: inForce.PlanID, Declaration: inForce.Declaration}
+		at = api.StoredConfig{Revision: inForce.Revision, PlanID: inForce.PlanID, Declaration: inForce.Declaration}
 	}
 	if at.Revision != plan.Base {
-		return &api.Confirmed{Plan: plan.ID, Revision: at.Revision, State: stateConflict}, nil
+		return &api.Confirmation{Plan: plan.ID, Revision: at.Revision, State: stateConflict}, nil
 	}
 	next, err := follow(at, plan, by)
 	if err != nil {
@@ -181,22 +181,22 @@
 		return nil, errUndetermined
 	}
 	p.coord.offer(revision.Config{Revision: next.Revision, PlanID: plan.ID, Declaration: next.Declaration}, "confirm")
-	return &api.Confirmed{Plan: plan.ID, Revision: next.Revision, State: stateConfirmed}, nil
+	return &api.Confirmation{Plan: plan.ID, Revision: next.Revision, State: stateConfirmed}, nil
 }
 
 // follow returns what is stored once the plan is in force.
-func follow(at api.Stored, plan *api.Plan, by string) (api.Stored, error) {
-	packed, err := pack.Text(plan.Text)
-	next := api.Stored{Revision: at.Revision + 1, PlanID: plan.ID, By: by, Declaration: packed}
-	next.History = append([]api.Past{{Revision: next.Revision, PlanID: plan.ID, By: by}}, at.History...)
+func follow(at api.StoredConfig, plan *api.Plan, by string) (api.StoredConfig, error) {
+	packed, err := pack.Compress(plan.Text)
+	next := api.StoredConfig{Revision: at.Revision + 1, PlanID: plan.ID, By: by, Declaration: packed}
+	next.History = append([]api.PastRevision{{Revision: next.Revision, PlanID: plan.ID, By: by}}, at.History...)
 	if len(next.History) > api.MaxHistory {
 		next.History = next.History[:api.MaxHistory]
 	}
 	return next, err
 }
 
-func decodeStored(kv api.KV) (api.Stored, error) {
-	var s api.Stored
+func decodeStored(kv api.KV) (api.StoredConfig, error) {
+	var s api.StoredConfig
 	if kv.Version == 0 {
 		return s, nil
 	}
--- a/cmd/coord/serve.go
+++ b/cmd/coord/serve.go
@@ -20,7 +20,7 @@
 		answer(first, s, &pb.PullConfig{}, c.servePullConfig)
 	case frame.PullMembers:
 		answer(first, s, &pb.PullMembers{}, c.servePullMembers)
-	case frame.Leaving:
+	case frame.DrainingReplicas:
 		answer(first, s, &pb.Beat{}, func(b *pb.Beat) *pb.Noted {
 			c.mergeLeaving(b.GetLeaving(), "entry")
 			return &pb.Noted{}
--- a/cmd/ctl/ctl.go
+++ b/cmd/ctl/ctl.go
@@ -209,7 +209,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.addr + path)
-	req.Header.Set(api.HeaderKey, "Bearer "+c.token)
+	req.Header.Set(api.HeaderAuthorization, "Bearer "+c.token)
 	req.SetBody(body)
 	if err := web.NewClient().DoTimeout(req, resp, callTimeout); err != nil {
 		return 0, fmt.Errorf("no answer from %s: %w; try another instance", c.addr, err)
@@ -265,7 +265,7 @@
 }
 
 func (c *client) confirm(id string) (int, error) {
-	var done api.Confirmed
+	var done api.Confirmation
 	if _, err := c.call("POST", "/v1/plans/"+id+"/confirm", nil, &done); err != nil {
 		return process.ExitFail, err
 	}
@@ -312,7 +312,7 @@
 }
 
 func (c *client) drain(name string) (int, error) {
-	var d api.Drained
+	var d api.DrainAnswer
 	if _, err := c.call("POST", "/v1/instances/"+name+"/drain", nil, &d); err != nil {
 		return process.ExitFail, err
 	}
@@ -330,7 +330,7 @@
 }
 
 func (c *client) history() (int, error) {
-	var s api.InForce
+	var s api.ActiveConfig
 	if _, err := c.call("GET", "/v1/config", nil, &s); err != nil {
 		return process.ExitFail, err
 	}
--- a/cmd/ctl/explain_test.go
+++ b/cmd/ctl/explain_test.go
@@ -134,7 +134,7 @@
 	is.NoErr(os.WriteFile(name, []byte(`2026-01-01T00:00:01.000Z [INFO]  node: attempt failed: instance=i2 event=3051 request=r1 fingerprint=ab replica=d7 why="the answer broke off" took=40ms kept=true
 2026-01-01T00:00:01.100Z [ERROR] node: request condemned: instance=i2 event=3173 fingerprint=ab ended=3 why="a replica's end"
 2026-01-01T00:00:01.100Z [ERROR] node: request condemned: instance=i2 event=3173 fingerprint=cd ended=3 why="a replica's end"
-2026-01-01T00:00:02.000Z [INFO]  node: request: instance=i1 event=3050 request=r2 fingerprint=ab why="`+event.WhyCondemned+`" took=1ms
+2026-01-01T00:00:02.000Z [INFO]  node: request: instance=i1 event=3050 request=r2 fingerprint=ab why="`+event.ReasonQuarantined+`" took=1ms
 `), 0o600))
 	var out, errOut bytes.Buffer
 	is.Equal(Main([]string{"explain", "r2", name}, &out, &errOut), 0)
--- a/cmd/ctl/refusal.go
+++ b/cmd/ctl/refusal.go
@@ -29,13 +29,13 @@
 		limit:     l.duration("limit"),
 		objective: l.duration("objective"),
 		engine:    l.duration("engine_expected"),
-		limits:    l.event == event.NodeTurnRefused.Number,
+		limits:    l.event == event.NodeSendGrantRefused.Number,
 	}
 }
 
 // takeRefusal notes what a refused request's owner said.
 func (a *account) takeRefusal(l *logLine) {
-	if l.event == event.NodeJobRefused.Number || l.event == event.NodeTurnRefused.Number {
+	if l.event == event.NodeJobRefused.Number || l.event == event.NodeSendGrantRefused.Number {
 		a.refusals[l.request] = append(a.refusals[l.request], refusalOf(l))
 	}
 }
--- a/cmd/ctl/story.go
+++ b/cmd/ctl/story.go
@@ -61,12 +61,12 @@
 // Events that tell of a replica, of an instance by its name, and of the
 // instance that logs them.
 var (
-	ofReplicas = []*event.Event{event.NodeReplicaLeaves, event.NodeReplicaCold, event.NodeLeavesAlone, event.NodeTakesBack, event.NodeCallLost, event.NodeReplicaEnded,
-		event.NodeReplicaSaysLeaves, event.NodeReplicaRests, event.NodeReplicaRested, event.NodeReplicaLimits, event.NodeReplicaUnlimited}
-	ofInstances = []*event.Event{event.NodeMisses, event.NodeOwnerLost}
+	ofReplicas = []*event.Event{event.NodeReplicaDraining, event.NodeReplicaWarming, event.NodeReplicaEjected, event.NodeReplicaReinstated, event.NodeBatchFailed, event.NodeReplicaEnded,
+		event.NodeReplicaDrainAdvisory, event.NodeReplicaBackoff, event.NodeReplicaBackoffEnded, event.NodeReplicaRateLimited, event.NodeReplicaRateLimitLifted}
+	ofInstances = []*event.Event{event.NodeInstanceDead, event.NodeOwnerUnreachable}
 	ofItself    = []*event.Event{
-		event.NodeStarted, event.NodeStopping, event.NodeHallEmptied, event.NodeHallReturned, event.NodeStoreLost, event.NodeStoreBack,
-		event.NodeStoreSilent, event.NodeStoreAnswers, event.NodeStoreGivenUp, event.NodeOwns,
+		event.NodeStarted, event.NodeStopping, event.NodeHallDrained, event.NodeHallReturned, event.NodeStoreUnreachable, event.NodeStoreReachable,
+		event.NodeStoreUnresponsive, event.NodeStoreResponsive, event.NodeStoreCallAbandoned, event.NodePoolsOwned,
 	}
 )
 
@@ -123,8 +123,8 @@
 	if end == nil {
 		return "No instance logged the request's end: who had taken it was killed, or is still at work on it."
 	}
-	noTurn := s.last(event.NodeTurnRefused)
-	refused, failed, attempt := s.last(event.NodeJobRefused), s.last(event.NodeJobFailed), s.last(event.NodeAttempt)
+	noTurn := s.last(event.NodeSendGrantRefused)
+	refused, failed, attempt := s.last(event.NodeJobRefused), s.last(event.NodeJobFailed), s.last(event.NodeAttemptFailed)
 	switch why := end.field("why"); {
 	case why == whyServed:
 		return served(end)
@@ -136,7 +136,7 @@
 		return noTurnOf(noTurn)
 	case strings.HasPrefix(why, "stages failed") && failed != nil:
 		return fmt.Sprintf("Admitted, then given up by %s after %s: %s.", failed.instance, failed.field("after"), failed.field("why"))
-	case why == event.WhyCondemned:
+	case why == event.ReasonQuarantined:
 		return fmt.Sprintf("Not sent by %s: replicas have ended under this request before (fingerprint %s); see the lines beside it.", end.instance, s.fingerprint)
 	case attempt != nil:
 		return fmt.Sprintf("Lost at replica %s after %s: %s; %s attempts in all, on a connection used before: %s.",
--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -240,6 +240,6 @@
 func (e *Entry) noteDropped(s *stageRun, replica string, err error) {
 	if errors.Is(err, upstream.ErrWrongRequest) || errors.Is(err, upstream.ErrIncomplete) {
 		e.count.dropped.Inc(1)
-		event.LateAnswer.Log(e.log, "request", s.id, "stage", s.stage.Name, "replica", replica, "error", err.Error())
+		event.AnswerDropped.Log(e.log, "request", s.id, "stage", s.stage.Name, "replica", replica, "error", err.Error())
 	}
 }
--- a/cmd/entry/callers.go
+++ b/cmd/entry/callers.go
@@ -155,7 +155,7 @@
 		e.fail(ctx, doubt(fail, text))
 		return
 	}
-	label := string(ctx.Request.Header.Peek(api.HeaderID))
+	label := string(ctx.Request.Header.Peek(api.HeaderRequestID))
 	if fail := r.name(label); fail != nil {
 		e.fail(ctx, fail)
 		return
@@ -212,7 +212,7 @@
 // name gives the run its id: the caller's label, if any, and a part of ours.
 func (r *run) name(label string) *api.Error {
 	if len(label) > maxLabel || strings.ContainsFunc(label, func(c rune) bool { return c <= ' ' || c > '~' || c == '.' }) {
-		return bad("", 400, "bad_request_id", "%s wants at most %d visible ASCII characters without a dot", api.HeaderID, maxLabel)
+		return bad("", 400, "bad_request_id", "%s wants at most %d visible ASCII characters without a dot", api.HeaderRequestID, maxLabel)
 	}
 	if label == "" {
 		label = "r"
--- a/cmd/entry/entry.go
+++ b/cmd/entry/entry.go
@@ -143,7 +143,7 @@
 
 // Start implements process.Process.
 func (e *Entry) Start() (err error) {
-	onPanic := func(v any) { event.Panicked.Log(e.log, "panic", v) }
+	onPanic := func(v any) { event.EntryPanicked.Log(e.log, "panic", v) }
 	if e.server, err = link.Listen(e.set.Entry.Link, e.serveLink, e.traffic); err != nil {
 		return err
 	}
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -58,10 +58,10 @@
 		err = e.declare(heir)
 	}
 	if err != nil {
-		event.HandoverFails.Log(e.log, "error", err.Error())
+		event.LedgerHandoverFailed.Log(e.log, "error", err.Error())
 		return
 	}
-	event.HandedOver.Log(e.log, "heir", heir.Name, "entries", len(entries))
+	event.LedgerHandedOver.Log(e.log, "heir", heir.Name, "entries", len(entries))
 	time.Sleep(heirSettle)
 }
 
@@ -182,6 +182,6 @@
 	e.ledger.Adopt(x.line, x.entries, e.now())
 	e.succeeds = e.ledger.AdoptedIncarnations()
 	e.ledgerMu.Unlock()
-	event.Adopted.Log(e.log, "from", from, "entries", len(x.entries))
+	event.LedgerAdopted.Log(e.log, "from", from, "entries", len(x.entries))
 	e.tellCoord()
 }
--- a/cmd/entry/leaving.go
+++ b/cmd/entry/leaving.go
@@ -35,7 +35,7 @@
 	sign := &pb.Beat{Leaving: []*pb.Replica{convert.Replica(r)}}
 	go func() {
 		// Without its coord the entry learns of it from peers or the list.
-		_ = e.links.Call(e.set.Coord.Link, frame.Leaving, sign, &pb.Noted{}, signTimeout)
+		_ = e.links.Call(e.set.Coord.Link, frame.DrainingReplicas, sign, &pb.Noted{}, signTimeout)
 	}()
 }
 
@@ -53,8 +53,8 @@
 	if e.probes.DoTimeout(req, resp, probeTimeout) != nil {
 		return false // the attempt itself will tell
 	}
-	leaving := len(resp.Header.Peek(api.HeaderLeaving)) > 0
-	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(api.HeaderIncarnat)), 10, 64)
+	leaving := len(resp.Header.Peek(api.HeaderDraining)) > 0
+	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(api.HeaderIncarnation)), 10, 64)
 	e.noteAnswer(r, leaving, incarnation)
 	return leaving
 }
--- a/cmd/entry/owner.go
+++ b/cmd/entry/owner.go
@@ -125,7 +125,7 @@
 func (o *ownerStream) silent(service string) {
 	until := int64(o.client.entry.now() + ownerRest)
 	if o.resting.Swap(until) < int64(o.client.entry.now()) {
-		event.OwnerLost.Log(o.client.entry.log, "service", service, "owner", o.addr)
+		event.SlotOwnerUnreachable.Log(o.client.entry.log, "service", service, "owner", o.addr)
 	}
 }
 
--- a/cmd/entry/stream.go
+++ b/cmd/entry/stream.go
@@ -60,7 +60,7 @@
 func (e *Entry) runGuarded(r *run) (f *final) {
 	defer func() {
 		if v := recover(); v != nil {
-			event.Panicked.Log(e.log, "panic", v)
+			event.EntryPanicked.Log(e.log, "panic", v)
 			f = &final{err: unknown(r.id, "internal", "internal error; the request may have run")}
 		}
 	}()
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -199,7 +199,7 @@
 }
 
 func (e *Entry) homeLost(n *numbered) reply {
-	event.HomeLost.Log(e.log, "request", n.id, "home", n.prefix.Home)
+	event.TicketHomeUnreachable.Log(e.log, "request", n.id, "home", n.prefix.Home)
 	e.tally(outcome.Unknown)
 	return encode(unknown(n.id, "home_unreachable", "only "+n.prefix.Home+" may run this number and it can't be reached; the request may have run"))
 }
@@ -208,7 +208,7 @@
 func (e *Entry) serveLink(k frame.Kind, first []byte, s net.Conn) {
 	defer func() { // a peer's message ends its own stream at worst
 		if v := recover(); v != nil {
-			event.Panicked.Log(e.log, "panic", v)
+			event.EntryPanicked.Log(e.log, "panic", v)
 		}
 	}()
 	switch k {
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		if err != nil && e.viewErr.Swap(&err) == nil {
-			event.ViewLost.Log(e.log, "error", err.Error())
+			event.CoordUnreachable.Log(e.log, "error", err.Error())
 		}
 		select {
 		case <-ctx.Done():
@@ -121,7 +121,7 @@
 	return &pb.Watch{
 		EntryIncarnation: e.incarnation,
 		EntryHttp:        http,
-		EntryLink:        e.set.Entry.Known,
+		EntryLink:        e.set.Entry.AdvertisedLink,
 		Succeeds:         succeeds,
 		Leaving:          e.leaving.Load(),
 	}
@@ -181,13 +181,13 @@
 func (e *Entry) takeConfig(v *view, c *pb.Config) bool {
 	if c.GetRevision() <= v.revision {
 		if c.GetRevision() < v.revision {
-			event.ViewRefused.Log(e.log, "revision", c.GetRevision(), "error", "older than the one in force")
+			event.EntryConfigRefused.Log(e.log, "revision", c.GetRevision(), "error", "older than the one in force")
 		}
 		return false
 	}
 	f, err := settings.LoadPacked(c.GetDeclaration())
 	if err != nil {
-		event.ViewRefused.Log(e.log, "revision", c.GetRevision(), "error", err.Error())
+		event.EntryConfigRefused.Log(e.log, "revision", c.GetRevision(), "error", err.Error())
 		return false
 	}
 	v.revision, v.fleet = c.GetRevision(), f
@@ -199,7 +199,7 @@
 	for i := range f.Customers {
 		v.customers[f.Customers[i].KeySHA256] = &f.Customers[i]
 	}
-	event.ViewAdopted.Log(e.log, "revision", v.revision)
+	event.EntryConfigAdopted.Log(e.log, "revision", v.revision)
 	return true
 }
 
--- a/cmd/load/caller.go
+++ b/cmd/load/caller.go
@@ -96,7 +96,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr + "/v1/addresses")
-	req.Header.Set(api.HeaderKey, "Bearer "+c.Key)
+	req.Header.Set(api.HeaderAuthorization, "Bearer "+c.Key)
 	req.Header.Set(api.HeaderHall, c.Hall)
 	if err := c.http.DoTimeout(req, resp, askTimeout); err != nil {
 		return err
@@ -188,12 +188,12 @@
 	}
 	req.Header.SetMethod("POST")
 	req.SetRequestURI("http://" + addr + "/v1/pipelines/" + q.Pipeline + "/runs")
-	req.Header.Set(api.HeaderKey, "Bearer "+c.Key)
+	req.Header.Set(api.HeaderAuthorization, "Bearer "+c.Key)
 	if t.Ticket != "" {
 		req.Header.Set(api.HeaderTicket, t.Ticket)
 	}
 	if q.Label != "" {
-		req.Header.Set(api.HeaderID, q.Label)
+		req.Header.Set(api.HeaderRequestID, q.Label)
 	}
 	req.SetBody(body)
 	if err := c.http.DoTimeout(req, resp, q.Deadline+answerGrace); err != nil {
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -151,7 +151,7 @@
 	kind := a.endingKind(ctx, err)
 	suspended := n.clock.TotalSuspended() != a.suspendedBefore
 	if err != nil {
-		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
+		event.NodeAttemptFailed.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
 			"took", took, "kept", a.conn.IsReused(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Rest, "leaves", a.head.Leaves)
 	}
 	n.judgeMu.Lock()
@@ -260,7 +260,7 @@
 		Left:      a.deadline - a.node.now(),
 		Fetch:     fetch,
 		Urgency:   -1,
-		LastEvent: a.req.LastEvent,
+		LastEvent: a.req.LastEventID,
 	}
 	if a.service.Engine != nil {
 		send.Urgency = a.rank / customerRankFactor
--- a/cmd/node/beside_test.go
+++ b/cmd/node/beside_test.go
@@ -149,7 +149,7 @@
 	is.NoErr(err)
 	defer server.Stop()
 	err = n.links.Call(at, frame.Kind(200), &pb.TrialAsk{}, &pb.TrialReply{}, time.Second)
-	is.Equal(err, frame.ErrUnknown)
+	is.Equal(err, frame.ErrUnknownKind)
 }
 
 func freePort(t *testing.T) int {
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -125,7 +125,7 @@
 	n.counters.pieces.Inc(int64(len(a.Items)))
 	if fate != pipeline.Answered {
 		n.counters.lostCalls.Inc(1)
-		event.NodeCallLost.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
+		event.NodeBatchFailed.Log(n.log, "replica", a.Replica, "pieces", len(a.Items), "fate", int(fate))
 	}
 	if fate == pipeline.WrongReplica {
 		n.recordDrainSign(a.Replica, "stranger")
@@ -191,7 +191,7 @@
 	for _, r := range results {
 		counts[r.Reason]++
 	}
-	event.NodeCallDone.Log(n.log, "replica", a.Replica, "service", a.Service, "pieces", len(a.Items), "took", took,
+	event.NodeBatchDone.Log(n.log, "replica", a.Replica, "service", a.Service, "pieces", len(a.Items), "took", took,
 		"no_room", counts[pipeline.MemoryFull], "gone", counts[pipeline.InputMissing], "late", counts[pipeline.Expired], "failed", counts[pipeline.ItemFailed])
 }
 
@@ -262,7 +262,7 @@
 	n := c.owner.node
 	parts, err := n.fetchCachedParts(r)
 	if err != nil {
-		event.NodeKeptUnknown.Log(n.log, "replica", r.ID, "error", err)
+		event.NodeCachedPrefixesUnknown.Log(n.log, "replica", r.ID, "error", err)
 		return
 	}
 	c.mu.Lock()
--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -119,7 +119,7 @@
 // that share a prompt belong to the same cell.
 func (w *snapshot) cellOfRequest(r *exchange.Request, region string) int {
 	key := r.ID
-	if shared := r.Shared(); len(shared) > 0 {
+	if shared := r.SharedPrefix(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
 	}
 	return w.regions.CellNumber(region, int(platform.Hash(key)%uint64(w.cellCount(region))))
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -22,7 +22,7 @@
 	for _, c := range changes {
 		if c.Drained {
 			n.counters.emptied.Inc(1)
-			event.NodeHallEmptied.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
+			event.NodeHallDrained.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
 			continue
 		}
 		event.NodeHallReturned.Log(n.log, "hall", c.Hall, "from", from, "revision", revision)
--- a/cmd/node/held.go
+++ b/cmd/node/held.go
@@ -28,7 +28,7 @@
 		if !known {
 			since = now
 			if lines++; lines <= mostHeldLogged {
-				event.NodeCustomerHeld.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
+				event.NodeCustomerThrottled.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
 			}
 		}
 		held[h] = since
@@ -38,7 +38,7 @@
 			continue
 		}
 		if lines++; lines <= mostHeldLogged {
-			event.NodeCustomerFree.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
+			event.NodeCustomerUnthrottled.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
 		}
 	}
 	c.held = held
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -69,9 +69,9 @@
 	if !n.level.observe(n.now(), levels) {
 		return
 	}
-	changed := event.NodeLevelRises
+	changed := event.NodeFleetLevelRaised
 	if n.level.inForce() < previous {
-		changed = event.NodeLevelFalls
+		changed = event.NodeFleetLevelLowered
 	}
 	changed.Log(n.log, "level", n.level.inForce(), "was", previous, "of", buildLevel, "least", lowest.Name)
 }
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -48,9 +48,9 @@
 		if was.Stated {
 			before = was.PerSecond
 		}
-		event.NodeReplicaLimits.Log(n.log, "replica", w.Incarnation, "service", n.serviceOf(w.Incarnation), "per_second", w.Limit.PerSecond, "was", before, "by", by)
+		event.NodeReplicaRateLimited.Log(n.log, "replica", w.Incarnation, "service", n.serviceOf(w.Incarnation), "per_second", w.Limit.PerSecond, "was", before, "by", by)
 	case pace.Removed:
-		event.NodeReplicaUnlimited.Log(n.log, "replica", w.Incarnation, "by", by)
+		event.NodeReplicaRateLimitLifted.Log(n.log, "replica", w.Incarnation, "by", by)
 	}
 	if by == itsOwn {
 		n.sendHeartbeats()
--- a/cmd/node/listeners.go
+++ b/cmd/node/listeners.go
@@ -139,7 +139,7 @@
 // readRequest reads a request and checks it against the size limits.
 func (n *Node) readRequest(w http.ResponseWriter, r *http.Request, arrived time.Duration) (*exchange.Request, error) {
 	req, err := platform.ParseRequest(r)
-	req.Arrived = arrived
+	req.ArrivedAt = arrived
 	if err != nil {
 		return req, err
 	}
--- a/cmd/node/lives.go
+++ b/cmd/node/lives.go
@@ -56,6 +56,6 @@
 		n.counters.livesOver.Inc(1)
 		n.recordReplicaRestart(r.ID)
 		n.clients.CloseIdle(r.Address)
-		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.running.over(r.ID))
+		event.NodeReplicaRestarted.Log(n.log, "replica", r.ID, "ended", n.running.over(r.ID))
 	}
 }
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -45,13 +45,13 @@
 	for _, i := range alive {
 		live[i.Name] = true
 		if old, ok := logged[i.Name]; !ok || old.Incarnation != i.Incarnation {
-			event.NodeHears.Log(n.log, "name", i.Name, "hall", i.Hall, "incarnation", i.Incarnation)
+			event.NodeInstanceAlive.Log(n.log, "name", i.Name, "hall", i.Hall, "incarnation", i.Incarnation)
 		}
 		logged[i.Name] = i
 	}
 	for name, i := range logged {
 		if !live[name] {
-			event.NodeMisses.Log(n.log, "name", name, "hall", i.Hall, "incarnation", i.Incarnation, "leaving", i.Leaving)
+			event.NodeInstanceDead.Log(n.log, "name", name, "hall", i.Hall, "incarnation", i.Incarnation, "leaving", i.Leaving)
 			delete(logged, name)
 		}
 	}
@@ -125,7 +125,7 @@
 	}
 	b, err := datagram.Encode(h)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "heartbeat", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "heartbeat", "from", n.settings.Name, "error", err)
 		return
 	}
 	for _, addr := range to {
@@ -204,7 +204,7 @@
 	after := n.members.Self().Incarnation
 	n.gossipMu.Unlock()
 	if after != before {
-		event.NodeOutlives.Log(n.log, "was", before, "incarnation", after, "from", senderOf(h))
+		event.NodeIncarnationRaised.Log(n.log, "was", before, "incarnation", after, "from", senderOf(h))
 		n.sendHeartbeats()
 	}
 	if len(newPeers) > 0 {
@@ -270,7 +270,7 @@
 	}
 	n.judgeMu.Unlock()
 	for _, id := range newlyEjected {
-		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", "hearsay", "by", h.News[0].Name)
+		event.NodeReplicaEjected.Log(n.log, "replica", id, "why", "hearsay", "by", h.News[0].Name)
 	}
 }
 
@@ -311,15 +311,15 @@
 		_ = frame.Write(stream, frame.Reply, n.answerPull())
 	case frame.PullReplicas:
 		_ = frame.Write(stream, frame.Reply, n.answerReplicas(first))
-	case frame.Kept:
+	case frame.CachedPrefix:
 		_ = frame.Write(stream, frame.Reply, n.answerCacheQuery(first))
-	case frame.Trial:
+	case frame.TrialLease:
 		n.arbitrate(first, stream)
-	case frame.Pace:
+	case frame.SendGrant:
 		_ = frame.Write(stream, frame.Reply, n.answerPace(first, stream.RemoteAddr().String()))
-	case frame.Stages:
+	case frame.RunStages:
 		n.owner.serve(first, stream)
 	default: // frame of a later build, which treats a refusal differently from a failure
-		_ = frame.Refuse(stream)
+		_ = frame.ReplyUnknownKind(stream)
 	}
 }
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -201,11 +201,11 @@
 func (n *Node) Reload() {
 	s, err := platform.LoadSettings()
 	if err != nil {
-		event.NodeReloadFails.Log(n.log, "error", err)
+		event.NodeSettingsReloadFailed.Log(n.log, "error", err)
 		return
 	}
 	n.seeds.Store(&s.Seeds)
-	event.NodeReloaded.Log(n.log, "seeds", len(s.Seeds))
+	event.NodeSettingsReloaded.Log(n.log, "seeds", len(s.Seeds))
 	n.announceToSeeds()
 }
 
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -21,11 +21,11 @@
 func (o *owner) serve(first []byte, stream net.Conn) {
 	ask := &pb.StagesAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	if err := validateStagesAsk(ask); err != nil {
-		event.NodeMessageBroken.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(o.node.log, "what", "ask for stages", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	news := make(chan *pb.StagesNews)
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -55,7 +55,7 @@
 			fingerprints: make(map[string]quarantine.Fingerprint),
 		}
 		o.cells[number] = c
-		event.NodeOwns.Log(o.node.log, "cell", number)
+		event.NodePoolsOwned.Log(o.node.log, "cell", number)
 	}
 	o.mu.Unlock()
 	c.mu.Lock()
--- a/cmd/node/pace.go
+++ b/cmd/node/pace.go
@@ -190,7 +190,7 @@
 	}
 	answers := make(chan answer, 1)
 	go func() {
-		stream, err := n.links.Open(link, frame.Pace, &pb.PaceAsk{Limit: n.limitWord(life)})
+		stream, err := n.links.Open(link, frame.SendGrant, &pb.PaceAsk{Limit: n.limitWord(life)})
 		if err != nil {
 			answers <- answer{err: err}
 			return
@@ -225,7 +225,7 @@
 func (n *Node) answerPace(first []byte, from string) *pb.PaceReply {
 	ask := &pb.PaceAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "ask for a turn at a limited replica", "from", from, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "ask for a turn at a limited replica", "from", from, "error", err)
 		return &pb.PaceReply{Elsewhere: true}
 	}
 	n.takeLimits(from, []*pb.ReplicaLimit{ask.Limit})
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -40,11 +40,11 @@
 					n.handleHeartbeat(h)
 				}
 			case 1:
-				n.receiveRandom(t, frame.Stages, &pb.StagesAsk{})
+				n.receiveRandom(t, frame.RunStages, &pb.StagesAsk{})
 			case 2:
-				n.receiveRandom(t, frame.Trial, &pb.TrialAsk{})
+				n.receiveRandom(t, frame.TrialLease, &pb.TrialAsk{})
 			case 3:
-				n.receiveRandom(t, frame.Kept, &pb.KeptAsk{})
+				n.receiveRandom(t, frame.CachedPrefix, &pb.KeptAsk{})
 			case 4:
 				n.receiveRandom(t, frame.PullReplicas, &pb.PullReplicas{})
 			case 5:
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -47,11 +47,11 @@
 func (s *requestHandler) buildStagesAsk() (*pb.StagesAsk, int) {
 	ask := &pb.StagesAsk{
 		RequestId: s.req.ID,
-		Key:       s.req.PieceKey,
+		Key:       s.req.ItemKey,
 		Rank:      uint32(s.rank),
 		Engine:    s.service.Name,
 		Regions:   s.allowedRegions().Names(),
-		TokensOut: uint32(s.req.TokensOut),
+		TokensOut: uint32(s.req.MaxOutputTokens),
 		SlackUs:   (s.route.Objective - s.elapsed()).Microseconds(),
 		Again:     s.isClientRetry() || s.stageReruns > 0 || len(s.tried) > 0,
 		Newer:     s.mayNewer(s.node.world.Load()),
@@ -74,12 +74,12 @@
 	ask.Avoid = s.node.announcedReplicaIDs(ask.Avoid)
 	total := 0
 	for i, st := range s.route.Stages {
-		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.Pieces[i]), Bytes: st.ResultBytes}
+		work := &pb.StageWork{Service: st.Service, Pieces: uint32(s.req.ItemCounts[i]), Bytes: st.ResultBytes}
 		for _, a := range st.DependsOn {
 			work.After = append(work.After, uint32(a))
 		}
 		ask.Stages = append(ask.Stages, work)
-		total += s.req.Pieces[i]
+		total += s.req.ItemCounts[i]
 	}
 	return ask, total
 }
@@ -127,7 +127,7 @@
 		r := candidates[newRandom().IntN(len(candidates))]
 		return r, "", nil
 	}
-	e := n.loads.PickEngine(now, s.req.Shared(), s.req.ID, s.preferStageRegion(candidates))
+	e := n.loads.PickEngine(now, s.req.SharedPrefix(), s.req.ID, s.preferStageRegion(candidates))
 	return e.Replica, e.FetchFrom, nil
 }
 
@@ -230,8 +230,8 @@
 	switch {
 	case signal == health.Full: // a full replica reports it with each request
 	case isEjected && !wasEjected:
-		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", signal, "usual", serviceRate, "by", n.settings.Name)
+		event.NodeReplicaEjected.Log(n.log, "replica", id, "why", signal, "usual", serviceRate, "by", n.settings.Name)
 	case wasEjected && !isEjected:
-		event.NodeTakesBack.Log(n.log, "replica", id)
+		event.NodeReplicaReinstated.Log(n.log, "replica", id)
 	}
 }
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -106,9 +106,9 @@
 	if len(answer.Declaration) == 0 {
 		return
 	}
-	text, err := pack.Open(answer.Declaration)
+	text, err := pack.Decompress(answer.Declaration)
 	if err != nil {
-		event.NodeConfigBroken.Log(n.log, "from", addr, "error", err)
+		event.NodeConfigInvalid.Log(n.log, "from", addr, "error", err)
 		return
 	}
 	n.offerConfiguration(text, "peer")
@@ -131,7 +131,7 @@
 // forPeers returns the configuration compressed: a large one, sent to every
 // instance of a hall, would fill a small machine's link for seconds.
 func (r *rawConfig) forPeers() []byte {
-	r.once.Do(func() { r.packed, _ = pack.Fast(r.text) })
+	r.once.Do(func() { r.packed, _ = pack.CompressFast(r.text) })
 	return r.packed
 }
 
@@ -175,7 +175,7 @@
 	n.followMu.Lock()
 	n.replicas.changeLog.ApplyUpdate(told)
 	n.followMu.Unlock()
-	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.Revision)
+	event.NodeReplicasChanged.Log(n.log, "from", addr, "changes", len(told.Entries), "at", told.Revision)
 	n.publish()
 	if have == 0 {
 		n.sendHeartbeats() // others may have started with this one
@@ -186,7 +186,7 @@
 func (n *Node) answerReplicas(first []byte) proto.Message {
 	ask := &pb.PullReplicas{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "question for replicas", "from", "", "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "question for replicas", "from", "", "error", err)
 		return &pb.ReplicaChanges{}
 	}
 	n.followMu.Lock()
@@ -220,10 +220,10 @@
 	}
 	text, err := proto.Marshal(out)
 	if err == nil {
-		text, err = pack.Fast(text)
+		text, err = pack.CompressFast(text)
 	}
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "changes of replicas", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "changes of replicas", "from", n.settings.Name, "error", err)
 		return out, size
 	}
 	return &pb.ReplicaChanges{Packed: text}, len(text)
@@ -234,7 +234,7 @@
 	if len(answer.Packed) == 0 {
 		return answer, nil
 	}
-	text, err := pack.Open(answer.Packed)
+	text, err := pack.Decompress(answer.Packed)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/node/pull_test.go
+++ b/cmd/node/pull_test.go
@@ -44,7 +44,7 @@
 	text := bytes.Repeat([]byte(`{"name":"r-1","host":"h.example","service":"read"},`), 2000)
 	raw := &rawConfig{text: text}
 	is.True(len(raw.forPeers()) < len(text)/10)
-	opened, err := pack.Open(raw.forPeers())
+	opened, err := pack.Decompress(raw.forPeers())
 	is.NoErr(err)
 	is.Equal(opened, text)
 }
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -17,7 +17,7 @@
 	quarantineTurns = 1000 // among how many the instances' first turns are spread
 )
 
-var errCondemned = errors.New(event.WhyCondemned)
+var errCondemned = errors.New(event.ReasonQuarantined)
 
 // quarantined is what an instance knows of requests that crash replicas.
 type quarantined struct {
@@ -103,11 +103,11 @@
 	}
 	switch c.After {
 	case quarantine.Unsuspected:
-		event.NodeAcquits.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", why)
+		event.NodeRequestReleased.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", why)
 	case quarantine.Suspect:
-		event.NodeSuspects.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
+		event.NodeRequestSuspected.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
 	case quarantine.Quarantined:
-		event.NodeCondemns.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
+		event.NodeRequestQuarantined.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", why)
 	}
 }
 
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -152,7 +152,7 @@
 	ask.Cell = uint32(n.world.Load().cellOfRequest(s.req, region))
 	roundTrip := n.roundTripTo(region)
 	j := &stagesRequest{
-		ask: ask, region: region, arrivedAt: s.req.Arrived, allowedRegions: s.allowedRegions,
+		ask: ask, region: region, arrivedAt: s.req.ArrivedAt, allowedRegions: s.allowedRegions,
 		objective: s.route.Objective - roundTrip,
 		deadline:  s.timeLimit() - roundTrip,
 		onAsk:     func(owner string) { s.lastOwner = owner },
@@ -226,7 +226,7 @@
 	}
 	for hall, count := range replicas {
 		if _, said := n.unplaced.LoadOrStore(hall, true); !said {
-			event.NodeHallUnplaced.Log(n.log, "hall", hall, "replicas", count)
+			event.NodeHallWithoutRegion.Log(n.log, "hall", hall, "replicas", count)
 		}
 	}
 }
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -123,7 +123,7 @@
 	for name, data := range items {
 		entry := &pb.InstanceNews{}
 		if proto.Unmarshal(data, entry) != nil || !strings.EqualFold(entry.Name, name) {
-			event.NodeEntryBroken.Log(n.log, "name", name)
+			event.NodeStoreEntryInvalid.Log(n.log, "name", name)
 			continue
 		}
 		out = append(out, decodeInstance(entry))
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -118,7 +118,7 @@
 	n.counters.keptAsks.Inc(1)
 	n.counters.farBytes.kept.Inc(int64(proto.Size(ask)))
 	reply := &pb.KeptReply{}
-	err := n.links.Call(owners[0].PeerAddress, frame.Kept, ask, reply, remoteCacheTimeout)
+	err := n.links.Call(owners[0].PeerAddress, frame.CachedPrefix, ask, reply, remoteCacheTimeout)
 	n.recordRegionResponse(region, err == nil)
 	if err != nil {
 		n.logSideCallFailure("cached prefix in "+region, owners[0].Name, err)
@@ -152,7 +152,7 @@
 func (n *Node) answerCacheQuery(first []byte) proto.Message {
 	ask := &pb.KeptAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "query for cached prompts", "from", "", "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "query for cached prompts", "from", "", "error", err)
 		return &pb.KeptReply{}
 	}
 	c := n.owner.owned(int(ask.Cell))
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -28,7 +28,7 @@
 func (n *Node) runBatch(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
 	path, body, err := platform.RunCall(c.Items)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
 	if !n.replicaTakes(c.Replica) || !n.rollouts.maySend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
@@ -53,7 +53,7 @@
 	}
 	results, err := platform.ParseRun(data, len(c.Items))
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
 		return nil, pipeline.Broken
 	}
 	return results, pipeline.Answered
@@ -70,7 +70,7 @@
 func (n *Node) sendFreeResults(f pipeline.Free) {
 	path, body, err := platform.FreeCall(f.Handles)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
@@ -82,7 +82,7 @@
 // logSideCallFailure logs the failure of a call that no request depends on.
 func (n *Node) logSideCallFailure(what, to string, err error) {
 	if err != nil {
-		event.NodeAsideFails.Log(n.log, "what", what, "to", to, "error", err)
+		event.NodeSideCallFailed.Log(n.log, "what", what, "to", to, "error", err)
 	}
 }
 
--- a/cmd/node/request_end.go
+++ b/cmd/node/request_end.go
@@ -44,7 +44,7 @@
 	case errors.Is(err, errHallsDrained), errors.Is(err, errReplicasWarming), errors.Is(err, errNoAllowedRegion), errors.Is(err, errNoTurn):
 		retryAfter = longRetryAfter
 	}
-	left := s.req.Deadline - s.elapsed()
+	left := s.req.Timeout - s.elapsed()
 	retryAfter = min(retryAfter, time.Duration(float64(left)/retryAfterDivisor*retryAfterMargin))
 	if refusal, ok := s.record.Refuse(err.Error(), max(retryAfter, 0)); ok {
 		s.node.writeError(s.w, s.req, &answerError{status: http.StatusServiceUnavailable, retryAfter: refusal.RetryAfter(), text: refusal.Reason()})
@@ -74,9 +74,9 @@
 		why = err.Error()
 	}
 	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", nameOf(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
-		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.lastOwner,
+		"objective", s.route.Objective, "deadline", s.req.Timeout, "version", s.world.config.Version, "owner", s.lastOwner,
 		"attempts", len(s.tried), "replica", s.lastReplica, "took", s.elapsed(), "staged", s.stagesTook, "expected", s.forecast.stages,
 		"engine_expected", s.forecast.engine, "reads", s.forecast.prefillTokens, "moves", s.forecast.transferTokens,
-		"first", s.timeToFirstEvent, "gap", s.maxEventGap, "tokens", s.req.TokensIn, "fetch", s.lastFetchFrom, "pieces", s.req.Pieces, "region", s.lastRegion,
+		"first", s.timeToFirstEvent, "gap", s.maxEventGap, "tokens", s.req.InputTokens, "fetch", s.lastFetchFrom, "pieces", s.req.ItemCounts, "region", s.lastRegion,
 		"chosen", s.chosenBy, "leaves", s.lastReplicaDrains, "short", s.forecast.standing.Resource, "asked", s.forecast.standing.Demand, "share", s.forecast.standing.Share)
 }
--- a/cmd/node/rests.go
+++ b/cmd/node/rests.go
@@ -101,7 +101,7 @@
 	if s.route.Objective == 0 {
 		return s.deadline
 	}
-	return min(s.req.Arrived+s.route.Objective, s.deadline)
+	return min(s.req.ArrivedAt+s.route.Objective, s.deadline)
 }
 
 // allLeave tells whether there are replicas for the request, all of which leave.
@@ -132,7 +132,7 @@
 		return false
 	}
 	now := s.node.now()
-	last := s.req.Arrived + time.Duration(float64(s.route.Objective)*shareToWait)
+	last := s.req.ArrivedAt + time.Duration(float64(s.route.Objective)*shareToWait)
 	if s.stream.headersSent || s.job != nil && len(s.job.handles) > 0 {
 		last = s.lastUse()
 	}
--- a/cmd/node/resume.go
+++ b/cmd/node/resume.go
@@ -12,7 +12,7 @@
 // they select a successor.
 func (n *Node) handleResume(gap time.Duration) {
 	n.counters.wakes.Inc(1)
-	event.NodeWoke.Log(n.log, "after", gap)
+	event.NodeResumed.Log(n.log, "after", gap)
 	n.pulse.abandonCalls()
 	n.sendHeartbeats()
 }
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		service, _ := items[i].RolloutService()
-		event.RolloutBroken.Log(n.log, "service", service, "error", err)
+		event.RolloutOrderInvalid.Log(n.log, "service", service, "error", err)
 		n.rollouts.mu.Lock()
 		if s, ok := n.rollouts.view.Current(service); ok {
 			orders = append(orders, s.Order)
@@ -136,7 +136,7 @@
 		if !e.Gone {
 			var err error
 			if e.Order, err = items[i].Rollout(); err != nil {
-				event.RolloutBroken.Log(n.log, "service", service, "error", err)
+				event.RolloutOrderInvalid.Log(n.log, "service", service, "error", err)
 				continue
 			}
 		}
@@ -173,7 +173,7 @@
 		event.RolloutEnded.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from)
 	default:
 		n.rolloutCounter(c.Service, c.Target, "phase_"+c.Phase.String()).Inc(1)
-		event.RolloutWord.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.OrderedAt)
+		event.RolloutPhase.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.OrderedAt)
 	}
 }
 
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -141,7 +141,7 @@
 		h := &pb.Heartbeat{News: []*pb.InstanceNews{self}, Rollouts: &pb.Rollouts{Reports: []*pb.RolloutReport{part}}}
 		b, err := datagram.Encode(h)
 		if err != nil {
-			event.NodeMessageBroken.Log(n.log, "what", "report of a roll-out", "from", n.settings.Name, "error", err)
+			event.NodeMessageInvalid.Log(n.log, "what", "report of a roll-out", "from", n.settings.Name, "error", err)
 			return
 		}
 		for _, i := range ranked {
@@ -166,7 +166,7 @@
 	ended := s.Phase >= rollout.Rejected && o.status.Ended()
 	r.mu.Unlock()
 	if isNew {
-		event.RolloutLeads.Log(n.log, "service", s.Service, "order", s.Revision, "rank", rank)
+		event.RolloutJudgedHere.Log(n.log, "service", s.Service, "order", s.Revision, "rank", rank)
 	}
 	if rank < 0 || ended {
 		return
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -142,17 +142,17 @@
 	if s.service == nil {
 		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: "the route's service is not configured"}
 	}
-	if len(req.Pieces) != len(route.Stages) {
+	if len(req.ItemCounts) != len(route.Stages) {
 		return nil, &answerError{status: http.StatusBadRequest, text: "the piece counts don't fit the route's stages"}
 	}
-	s.deadline = req.Arrived + s.timeLimit()
+	s.deadline = req.ArrivedAt + s.timeLimit()
 	s.fingerprint = quarantine.FingerprintOf(s.customer, req.Method, req.Host, req.Target, req.Body)
 	s.withServiceRates(func(r *serviceRates) { r.budget.RecordSuccess() })
 	return s, nil
 }
 
 // elapsed returns the time since the request arrived.
-func (s *requestHandler) elapsed() time.Duration { return s.node.now() - s.req.Arrived }
+func (s *requestHandler) elapsed() time.Duration { return s.node.now() - s.req.ArrivedAt }
 
 // customerRankFactor ranks requests by their customer's priority first, then by
 // their route's.
@@ -161,7 +161,7 @@
 // timeLimit returns the time that the request may take: its deadline, limited by
 // the route's timeout.
 func (s *requestHandler) timeLimit() time.Duration {
-	left := s.req.Deadline
+	left := s.req.Timeout
 	if left == 0 {
 		left = defaultTimeLimit
 	}
@@ -200,7 +200,7 @@
 	n := s.node
 	n.judgeMu.Lock()
 	defer n.judgeMu.Unlock()
-	return n.deadlines.isRetry(s.route.Name, s.req.Deadline)
+	return n.deadlines.isRetry(s.route.Name, s.req.Timeout)
 }
 
 // Errors of attempts and of the choice of a replica.
@@ -264,7 +264,7 @@
 		}
 		s.trial = t
 		verdict = s.node.verdict(s.fingerprint) // the previous trial may have changed it
-		event.NodeTries.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
+		event.NodeSuspectTried.Log(s.node.log, "request", s.req.ID, "fingerprint", s.fingerprint, "verdict", verdict)
 	}
 	if verdict == quarantine.Quarantined {
 		s.node.counters.condemned.Inc(1)
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -142,10 +142,10 @@
 		n.livesOver(changed.restarted)
 		for _, id := range changed.invalid {
 			n.counters.brokenEntries.Inc(1)
-			event.NodeEntryBroken.Log(n.log, "name", id)
+			event.NodeStoreEntryInvalid.Log(n.log, "name", id)
 		}
 		for _, r := range warming {
-			event.NodeReplicaCold.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
+			event.NodeReplicaWarming.Log(n.log, "replica", r.ID, "hall", r.Hall, "for", r.WarmingUntil-now)
 		}
 		n.owner.refresh()
 	}
@@ -224,7 +224,7 @@
 	if known {
 		return
 	}
-	event.NodeReplicaLeaves.Log(n.log, "replica", id, "sign", sign)
+	event.NodeReplicaDraining.Log(n.log, "replica", id, "sign", sign)
 	n.publish()
 }
 
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -125,7 +125,7 @@
 		seeded := c.engines.SeedSpeed(n.now(), service, f)
 		c.mu.Unlock()
 		if seeded {
-			n.logSpeed(event.NodeSpeedTold, c.number, service, &f)
+			n.logSpeed(event.NodeSpeedSeeded, c.number, service, &f)
 		}
 	}
 }
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -157,7 +157,7 @@
 		if errors.As(err, &refused) || errors.As(err, &failed) || errors.Is(err, errRegionDisallowed) || errors.Is(err, errCondemned) || ctx.Err() != nil {
 			return nil, err
 		}
-		event.NodeOwnerLost.Log(n.log, "owner", owner.Name, "request", ask.RequestId, "error", err)
+		event.NodeOwnerUnreachable.Log(n.log, "owner", owner.Name, "request", ask.RequestId, "error", err)
 		n.gossipMu.Lock()
 		n.members.MarkUnreachable(n.now(), owner.Name)
 		n.gossipMu.Unlock()
@@ -208,7 +208,7 @@
 	if owner.Region != n.home {
 		n.counters.farBytes.stages.Inc(int64(proto.Size(w.ask)))
 	}
-	stream, err := n.links.Open(owner.PeerAddress, frame.Stages, w.ask)
+	stream, err := n.links.Open(owner.PeerAddress, frame.RunStages, w.ask)
 	if err != nil {
 		return nil, err
 	}
@@ -224,7 +224,7 @@
 		}
 	}()
 	end := sync.OnceFunc(func() { _ = stream.Close() })
-	job := &stageJob{end: end, notifyOwner: func(m *pb.StagesNews) { _ = frame.Write(stream, frame.Stages, m) }}
+	job := &stageJob{end: end, notifyOwner: func(m *pb.StagesNews) { _ = frame.Write(stream, frame.RunStages, m) }}
 	return n.awaitResults(ctx, owner, w, replies, job)
 }
 
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -114,7 +114,7 @@
 	word, isNew := s.unread.Record(service, name)
 	s.mu.Unlock()
 	if isNew {
-		event.NodeWordUnread.Log(n.log, "service", service, "word", word, "in", where)
+		event.NodeUnknownReplicaField.Log(n.log, "service", service, "word", word, "in", where)
 	}
 }
 
@@ -126,7 +126,7 @@
 	if !isNew {
 		return
 	}
-	event.NodeReplicaSaysLeaves.Log(n.log, "replica", life, "by", by)
+	event.NodeReplicaDrainAdvisory.Log(n.log, "replica", life, "by", by)
 	n.publish()
 }
 
@@ -140,7 +140,7 @@
 	n.judgeMu.Unlock()
 	if isNew {
 		n.counters.rests.Inc(1)
-		event.NodeReplicaRests.Log(n.log, "replica", from.life, "service", from.service, "for", length)
+		event.NodeReplicaBackoff.Log(n.log, "replica", from.life, "service", from.service, "for", length)
 	}
 }
 
@@ -180,10 +180,10 @@
 		}
 	})
 	for _, life := range changes.BackoffEnded {
-		event.NodeReplicaRested.Log(n.log, "replica", life)
+		event.NodeReplicaBackoffEnded.Log(n.log, "replica", life)
 	}
 	for _, life := range changes.Removed {
-		event.NodeReplicaLeft.Log(n.log, "replica", life)
+		event.NodeReplicaRemoved.Log(n.log, "replica", life)
 	}
 	n.counters.stated("leaving", leaving)
 	n.counters.stated("resting", resting)
--- a/cmd/node/store_monitor.go
+++ b/cmd/node/store_monitor.go
@@ -81,9 +81,9 @@
 		case changed && err != nil:
 			silentSince = n.now()
 			n.counters.silences.Inc(1)
-			event.NodeStoreSilent.Log(n.log, "error", err)
+			event.NodeStoreUnresponsive.Log(n.log, "error", err)
 		case changed:
-			event.NodeStoreAnswers.Log(n.log, "after", n.now()-silentSince)
+			event.NodeStoreResponsive.Log(n.log, "after", n.now()-silentSince)
 		}
 	})
 }
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -83,14 +83,14 @@
 			readWhole = false
 			retryDelay = minStoreRetryDelay
 			if outageStart != noOutage {
-				event.NodeStoreBack.Log(n.log, "topic", f.name, "after", n.now()-outageStart)
+				event.NodeStoreReachable.Log(n.log, "topic", f.name, "after", n.now()-outageStart)
 				outageStart = noOutage
 				n.setStoreReachable(true)
 			}
 			continue
 		case errors.Is(err, errCallAbandoned):
 			n.counters.givenUp.Inc(1)
-			event.NodeStoreGivenUp.Log(n.log, "topic", f.name, "waited", waited)
+			event.NodeStoreCallAbandoned.Log(n.log, "topic", f.name, "waited", waited)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
 			readWhole = true
@@ -101,7 +101,7 @@
 		}
 		if outageStart == noOutage {
 			outageStart = n.now()
-			event.NodeStoreLost.Log(n.log, "topic", f.name, "waited", waited, "error", err)
+			event.NodeStoreUnreachable.Log(n.log, "topic", f.name, "waited", waited, "error", err)
 			n.storeFailed.Store(true)
 			n.setStoreReachable(false)
 		}
@@ -232,5 +232,5 @@
 	n.gossipMu.Lock()
 	n.members.SetReader(isReader)
 	n.gossipMu.Unlock()
-	event.NodeReads.Log(n.log, "reads", isReader)
+	event.NodeReaderChanged.Log(n.log, "reads", isReader)
 }
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -83,7 +83,7 @@
 func (n *Node) offerConfiguration(data []byte, from string) {
 	c, err := platform.ParseConfiguration(data)
 	if err != nil {
-		event.NodeConfigBroken.Log(n.log, "from", from, "error", err)
+		event.NodeConfigInvalid.Log(n.log, "from", from, "error", err)
 		if c == nil {
 			return
 		}
@@ -116,7 +116,7 @@
 			first := !n.replicas.changeLog.IsLoaded()
 			n.replicas.changeLog.Replace(items, at)
 			n.followMu.Unlock()
-			event.NodeReplicas.Log(n.log, "from", fromStore, "at", at, "known", len(items))
+			event.NodeReplicasChanged.Log(n.log, "from", fromStore, "at", at, "known", len(items))
 			n.publish()
 			if first {
 				n.announceToHall() // other instances may be waiting for the list
@@ -140,7 +140,7 @@
 	changed := n.replicas.changeLog.ApplyChanges(entries, at)
 	n.followMu.Unlock()
 	if changed > 0 {
-		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", changed, "at", at)
+		event.NodeReplicasChanged.Log(n.log, "from", fromStore, "changes", changed, "at", at)
 		n.publish()
 		n.announceToHall()
 		process.Pause(ctx, replicaChangeDelay)
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -51,7 +51,7 @@
 		if t, err = n.askTurn(ctx, arbiter, f); err == nil {
 			return t, nil
 		}
-		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // its build ends what it does not know
+		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknownKind) { // its build ends what it does not know
 			n.level.recordNoTrialLeases(arbiter)
 			continue
 		}
@@ -59,7 +59,7 @@
 		if errors.Is(err, errNoTurn) {
 			return nil, err
 		}
-		event.NodeAsideFails.Log(n.log, "what", "turn of a suspect", "to", arbiter.Name, "error", err)
+		event.NodeSideCallFailed.Log(n.log, "what", "turn of a suspect", "to", arbiter.Name, "error", err)
 	}
 	return nil, errors.Join(errNoTurn, err)
 }
@@ -101,7 +101,7 @@
 	}
 	n.takeQuarantine([]*pb.QuarantineCase{reply.Known})
 	return &trial{end: sync.OnceFunc(func() {
-		_ = frame.Write(stream, frame.Trial, n.knownOf(f)) // a loss is made up for by heartbeats
+		_ = frame.Write(stream, frame.TrialLease, n.knownOf(f)) // a loss is made up for by heartbeats
 		_ = stream.Close()
 	})}, nil
 }
@@ -109,7 +109,7 @@
 // openTrial opens a stream to an arbiter, which may be this instance.
 func (n *Node) openTrial(arbiter gossip.Instance, ask *pb.TrialAsk) (net.Conn, error) {
 	if arbiter.Name != n.settings.Name {
-		return n.links.Open(arbiter.PeerAddress, frame.Trial, ask)
+		return n.links.Open(arbiter.PeerAddress, frame.TrialLease, ask)
 	}
 	near, far := net.Pipe()
 	first, err := proto.Marshal(ask)
@@ -139,7 +139,7 @@
 func (n *Node) arbitrate(first []byte, stream net.Conn) {
 	ask := &pb.TrialAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "ask for a turn", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "ask for a turn", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	f := quarantine.Fingerprint(ask.GetKnown().GetFingerprint())
--- a/cmd/node/turns.go
+++ b/cmd/node/turns.go
@@ -37,7 +37,7 @@
 		return true
 	}
 	n.counters.jobsRefused.Inc(1)
-	event.NodeTurnRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.mayWait(), "per_second", supply.PerSecond)
+	event.NodeSendGrantRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.mayWait(), "per_second", supply.PerSecond)
 	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.mayWait()).Microseconds()}) // the asker sees that the stream ends
 	return false
 }
--- a/cmd/standin/platform/platform.go
+++ b/cmd/standin/platform/platform.go
@@ -44,7 +44,7 @@
 
 type listing struct {
 	at  time.Time
-	all map[string]api.Listed
+	all map[string]api.ListedReplica
 }
 
 // Platform is the stand-in's state.
@@ -62,7 +62,7 @@
 func New() *Platform {
 	p := &Platform{rows: make(map[string]*row)}
 	p.changed = sync.NewCond(&p.mu)
-	p.lists = []listing{{all: map[string]api.Listed{}}}
+	p.lists = []listing{{all: map[string]api.ListedReplica{}}}
 	return p
 }
 
@@ -214,14 +214,14 @@
 
 // register puts one replica into the list: what the platform knows of it itself.
 func (p *Platform) register(ctx *fasthttp.RequestCtx) {
-	var in []api.Listed
+	var in []api.ListedReplica
 	if err := json.Unmarshal(ctx.PostBody(), &in); err != nil {
 		ctx.Error(err.Error(), 400)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := listing{at: time.Now(), all: make(map[string]api.Listed)}
+	next := listing{at: time.Now(), all: make(map[string]api.ListedReplica)}
 	for id, l := range p.lists[len(p.lists)-1].all {
 		next.all[id] = l
 	}
@@ -240,7 +240,7 @@
 	for len(p.lists) > 1 && !p.lists[1].at.After(shown) {
 		p.lists = p.lists[1:]
 	}
-	out := make([]api.Listed, 0, len(p.lists[0].all))
+	out := make([]api.ListedReplica, 0, len(p.lists[0].all))
 	for _, l := range p.lists[0].all {
 		out = append(out, l)
 	}
--- a/cmd/standin/upstream/replica.go
+++ b/cmd/standin/upstream/replica.go
@@ -61,10 +61,10 @@
 	api.LoadReport
 }
 
-func (r *replica) listed() api.Listed {
+func (r *replica) listed() api.ListedReplica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return api.Listed{
+	return api.ListedReplica{
 		ID: r.id, Service: r.svc.Name, Hall: r.hall, Address: r.addr,
 		Incarnation: r.incarnation, Leaving: r.fault.Leaving, ChecksFences: r.svc.Fences,
 	}
@@ -109,7 +109,7 @@
 		r.fence, r.model = fence, o.Model
 	}
 	r.mu.Unlock()
-	r.journal.order(api.Ordered{Replica: r.id, Fence: fence, Model: o.Model, Obeyed: obey, AtUS: time.Now().UnixMicro()})
+	r.journal.order(api.OrderRecord{Replica: r.id, Fence: fence, Model: o.Model, Obeyed: obey, AtUS: time.Now().UnixMicro()})
 	if !obey {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
@@ -135,7 +135,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
-	for _, name := range []string{api.HeaderRequest, api.HeaderStage, api.HeaderAttempt, api.HeaderDigest} {
+	for _, name := range []string{api.HeaderRequest, api.HeaderStage, api.HeaderAttempt, api.HeaderInputDigest} {
 		h.Set(name, q.Header.Get(name))
 	}
 	r.identify(h, f)
@@ -147,7 +147,7 @@
 	if err != nil {
 		return
 	}
-	class, _ := strconv.Atoi(q.Header.Get(api.HeaderClass))
+	class, _ := strconv.Atoi(q.Header.Get(api.HeaderPriority))
 	if !r.enter(q.Context(), class) {
 		return
 	}
@@ -165,16 +165,16 @@
 	if !process.Pause(q.Context(), r.duration(q, f, input)) {
 		return
 	}
-	out := work.Output(q.Header.Get(api.HeaderOp), input)
+	out := work.Output(q.Header.Get(api.HeaderOperation), input)
 	r.journal.end(line, out)
 	r.answer(w, q, f, out)
 }
 
 // identify puts the replica's incarnation and its leaving into an answer.
 func (r *replica) identify(h http.Header, f Fault) {
-	h.Set(api.HeaderIncarnat, strconv.FormatUint(r.incarnation, 10))
+	h.Set(api.HeaderIncarnation, strconv.FormatUint(r.incarnation, 10))
 	if f.Leaving {
-		h.Set(api.HeaderLeaving, "1")
+		h.Set(api.HeaderDraining, "1")
 	}
 }
 
@@ -199,7 +199,7 @@
 // stream sends the tokens from the asked offset on, evenly over the duration.
 func (r *replica) stream(w http.ResponseWriter, q *http.Request, f Fault, input []byte, line int) {
 	tokens := work.Tokens(input)
-	offset, _ := strconv.Atoi(q.Header.Get(api.HeaderOffset))
+	offset, _ := strconv.Atoi(q.Header.Get(api.HeaderResumeOffset))
 	gap := r.duration(q, f, input) / time.Duration(len(tokens))
 	flush := http.NewResponseController(w)
 	for i := min(offset, len(tokens)); i < len(tokens); i++ {
--- a/cmd/standin/upstream/upstream.go
+++ b/cmd/standin/upstream/upstream.go
@@ -21,10 +21,10 @@
 type journal struct {
 	mu     sync.Mutex
 	lines  []api.Execution
-	orders []api.Ordered
+	orders []api.OrderRecord
 }
 
-func (j *journal) order(o api.Ordered) {
+func (j *journal) order(o api.OrderRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.orders = append(j.orders, o)
@@ -37,7 +37,7 @@
 	j.lines = append(j.lines, api.Execution{
 		Replica: r.id, Service: r.svc.Name,
 		Request: q.Header.Get(api.HeaderRequest), Stage: q.Header.Get(api.HeaderStage),
-		Attempt: attempt, Op: q.Header.Get(api.HeaderOp),
+		Attempt: attempt, Op: q.Header.Get(api.HeaderOperation),
 		Digest: upstream.Digest(input), StartUS: time.Now().UnixMicro(),
 	})
 	return len(j.lines) - 1
@@ -101,7 +101,7 @@
 	if err := s.listen(s.config.Control, mux); err != nil {
 		return err
 	}
-	all := make([]api.Listed, 0, len(s.replicas))
+	all := make([]api.ListedReplica, 0, len(s.replicas))
 	for _, r := range s.replicas {
 		all = append(all, r.listed())
 	}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (s *Standin) register(l []api.Listed) error {
+func (s *Standin) register(l []api.ListedReplica) error {
 	b, err := json.Marshal(l)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 
 func (s *Standin) serveOrders(w http.ResponseWriter, _ *http.Request) {
 	s.journal.mu.Lock()
-	orders := append([]api.Ordered(nil), s.journal.orders...)
+	orders := append([]api.OrderRecord(nil), s.journal.orders...)
 	s.journal.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(orders)
 }
@@ -161,7 +161,7 @@
 	r.fault = f
 	r.mu.Unlock()
 	if was != f.Leaving {
-		if err := s.register([]api.Listed{r.listed()}); err != nil {
+		if err := s.register([]api.ListedReplica{r.listed()}); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 		}
 	}
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -116,9 +116,9 @@
 
 // listReplicas puts more replicas of the generating service into the list.
 func listReplicas(r *rig.Rig, n int) error {
-	list := make([]api.Listed, n)
+	list := make([]api.ListedReplica, n)
 	for i := range list {
-		list[i] = api.Listed{
+		list[i] = api.ListedReplica{
 			ID: fmt.Sprintf("scribe-pool-more-%d", i), Service: "scribe-pool", Hall: r.Fleet.Halls[i%len(r.Fleet.Halls)],
 			Address: fmt.Sprintf("127.0.1.%d:9000", i%250), Incarnation: 1,
 		}
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -136,8 +136,8 @@
 	return p
 }
 
-func confirm(r *rig.Rig, in *rig.Instance, id string) (api.Confirmed, error) {
-	var d api.Confirmed
+func confirm(r *rig.Rig, in *rig.Instance, id string) (api.Confirmation, error) {
+	var d api.Confirmation
 	return d, r.Operate(in, "POST", "/v1/plans/"+id+"/confirm", "", &d)
 }
 
@@ -287,9 +287,9 @@
 	c := client.New(r.Platform)
 	kv, err := c.Get(key)
 	must(t, err)
-	packed, err := pack.Text(r.Text)
+	packed, err := pack.Compress(r.Text)
 	must(t, err)
-	b, err := json.Marshal(api.Stored{Revision: 1, PlanID: "older", Declaration: packed})
+	b, err := json.Marshal(api.StoredConfig{Revision: 1, PlanID: "older", Declaration: packed})
 	must(t, err)
 	_, err = c.Put(key, api.KVPut{Value: b, IfVersion: kv.Version})
 	must(t, err)
--- a/proctest/main_test.go
+++ b/proctest/main_test.go
@@ -145,7 +145,7 @@
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	must(t, err)
 	if key != "" {
-		req.Header.Set(api.HeaderKey, "Bearer "+key)
+		req.Header.Set(api.HeaderAuthorization, "Bearer "+key)
 	}
 	if ticket {
 		req.Header.Set(api.HeaderTicket, "AAAA.1")
--- a/proctest/orders_test.go
+++ b/proctest/orders_test.go
@@ -19,18 +19,18 @@
 	return strings.Replace(r.Text, "name = \"scribe-pool\"", "name = \"scribe-pool\"\nmodel = \""+model+"\"", 1)
 }
 
-func ordersOf(t *testing.T, r *rig.Rig) []api.Ordered {
+func ordersOf(t *testing.T, r *rig.Rig) []api.OrderRecord {
 	t.Helper()
 	resp, err := http.Get("http://" + r.Control + "/orders")
 	must(t, err)
 	defer resp.Body.Close()
-	var out []api.Ordered
+	var out []api.OrderRecord
 	must(t, json.NewDecoder(resp.Body).Decode(&out))
 	return out
 }
 
 // serving is the model each replica obeyed last.
-func serving(orders []api.Ordered) map[string]string {
+func serving(orders []api.OrderRecord) map[string]string {
 	out := make(map[string]string)
 	for _, o := range orders {
 		if o.Obeyed {
@@ -40,7 +40,7 @@
 	return out
 }
 
-func allServe(orders []api.Ordered, model string) bool {
+func allServe(orders []api.OrderRecord, model string) bool {
 	n := 0
 	for _, m := range serving(orders) {
 		if m == model {
--- a/proctest/outage_test.go
+++ b/proctest/outage_test.go
@@ -125,7 +125,7 @@
 	body := `{"input":"slowly","stream":true}`
 	req, err := http.NewRequest("POST", fmt.Sprintf("http://%s/v1/pipelines/%s/runs", r.Entries()[0], p.Name), strings.NewReader(body))
 	must(t, err)
-	req.Header.Set(api.HeaderKey, "Bearer key-"+r.Fleet.Customers[0].Name)
+	req.Header.Set(api.HeaderAuthorization, "Bearer key-"+r.Fleet.Customers[0].Name)
 	resp, err := http.DefaultClient.Do(req)
 	must(t, err)
 	defer resp.Body.Close()
--- a/proctest/rig/operate.go
+++ b/proctest/rig/operate.go
@@ -15,12 +15,12 @@
 
 // Confirm plans and confirms a declaration through the first instance and
 // waits until it is in force at every entry.
-func (r *Rig) Confirm(text string) (*api.Confirmed, error) {
+func (r *Rig) Confirm(text string) (*api.Confirmation, error) {
 	var plan api.Plan
 	if err := r.Operate(r.Instances[0], "POST", "/v1/plans", text, &plan); err != nil {
 		return nil, err
 	}
-	var done api.Confirmed
+	var done api.Confirmation
 	if err := r.Operate(r.Instances[0], "POST", "/v1/plans/"+plan.ID+"/confirm", "", &done); err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(api.HeaderKey, "Bearer "+token)
+	req.Header.Set(api.HeaderAuthorization, "Bearer "+token)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
--- a/proctest/rig/rig.go
+++ b/proctest/rig/rig.go
@@ -169,7 +169,7 @@
 		s := *r.Instances[0].Settings
 		s.Name = fmt.Sprintf("many-%02d", i)
 		s.Hall = r.Fleet.Halls[i%len(r.Fleet.Halls)]
-		s.Coord = settings.Coord{Link: r.manyAddr(i, 3), Known: r.manyAddr(i, 3), Operators: r.manyAddr(i, 4), Admin: r.manyAddr(i, 5)}
+		s.Coord = settings.Coord{Link: r.manyAddr(i, 3), AdvertisedLink: r.manyAddr(i, 3), Operators: r.manyAddr(i, 4), Admin: r.manyAddr(i, 5)}
 		r.Instances = append(r.Instances, &Instance{Name: s.Name, Settings: &s})
 	}
 	return nil
@@ -225,8 +225,8 @@
 	}
 	if r.opts.Proxy {
 		s.Platform = r.proxied(s.Name+"/platform", s.Platform, len(r.routes))
-		s.Coord.Known = r.proxied(s.Name+"/coord", s.Coord.Link, len(r.routes))
-		s.Entry.Known = r.proxied(s.Name+"/entry", s.Entry.Link, len(r.routes))
+		s.Coord.AdvertisedLink = r.proxied(s.Name+"/coord", s.Coord.Link, len(r.routes))
+		s.Entry.AdvertisedLink = r.proxied(s.Name+"/entry", s.Entry.Link, len(r.routes))
 		s.Seeds = nil
 	}
 	if r.opts.Edit != nil {
@@ -250,7 +250,7 @@
 	for _, in := range r.Instances {
 		for _, o := range r.Instances {
 			if o != in {
-				in.Settings.Seeds = append(in.Settings.Seeds, o.Settings.Coord.Known)
+				in.Settings.Seeds = append(in.Settings.Seeds, o.Settings.Coord.AdvertisedLink)
 			}
 		}
 	}
--- a/protocol/api/api.go
+++ b/protocol/api/api.go
@@ -7,26 +7,26 @@
 
 // The HTTP headers of a request to the system.
 const (
-	HeaderKey    = "Authorization" // "Bearer KEY"
-	HeaderTicket = "Quince-Ticket" // PREFIX.NUMBER, for pipelines that may not be repeated
-	HeaderID     = "Quince-Request-Id"
-	HeaderHall   = "Quince-Hall" // the caller's hall, for near addresses
+	HeaderAuthorization = "Authorization" // "Bearer KEY"
+	HeaderTicket        = "Quince-Ticket" // PREFIX.NUMBER, for pipelines that may not be repeated
+	HeaderRequestID     = "Quince-Request-Id"
+	HeaderHall          = "Quince-Hall" // the caller's hall, for near addresses
 )
 
 // The HTTP headers between an entry and an upstream. A replica repeats those
 // of identity; an answer is taken only when they match.
 const (
-	HeaderRequest  = "X-Request"
-	HeaderStage    = "X-Stage"
-	HeaderAttempt  = "X-Attempt"
-	HeaderDigest   = "X-Input-Digest"
-	HeaderOp       = "X-Operation"
-	HeaderLeft     = "X-Deadline-Ms"
-	HeaderClass    = "X-Priority"
-	HeaderOffset   = "X-Resume-Offset"
-	HeaderLeaving  = "X-Leaving"
-	HeaderIncarnat = "X-Incarnation"
-	HeaderFence    = "X-Fence" // of an order: the fencing token of who gives it
+	HeaderRequest      = "X-Request"
+	HeaderStage        = "X-Stage"
+	HeaderAttempt      = "X-Attempt"
+	HeaderInputDigest  = "X-Input-Digest"
+	HeaderOperation    = "X-Operation"
+	HeaderDeadline     = "X-Deadline-Ms"
+	HeaderPriority     = "X-Priority"
+	HeaderResumeOffset = "X-Resume-Offset"
+	HeaderDraining     = "X-Leaving"
+	HeaderIncarnation  = "X-Incarnation"
+	HeaderFence        = "X-Fence" // of an order: the fencing token of who gives it
 )
 
 // Error is the body of every answer that is not a whole result.
@@ -96,17 +96,17 @@
 
 // Plan answers an intent.
 type Plan struct {
-	ID       string        `json:"id"`
-	Base     uint64        `json:"base_revision"`
-	By       string        `json:"by"`
-	State    string        `json:"state"` // planned, confirmed, unchanged
-	Changes  []string      `json:"changes"`
-	Warnings []string      `json:"warnings,omitempty"`
-	Stages   []PlannedStep `json:"stages"`
-	Needs    []PlannedNeed `json:"needs"`
-	Outlooks []Outlook     `json:"outlooks"`
-	Inputs   PlanInputs    `json:"inputs"`
-	Text     string        `json:"declaration"`
+	ID        string         `json:"id"`
+	Base      uint64         `json:"base_revision"`
+	By        string         `json:"by"`
+	State     string         `json:"state"` // planned, confirmed, unchanged
+	Changes   []string       `json:"changes"`
+	Warnings  []string       `json:"warnings,omitempty"`
+	Stages    []PlannedStage `json:"stages"`
+	Needs     []CapacityNeed `json:"needs"`
+	Forecasts []Forecast     `json:"outlooks"`
+	Inputs    PlanInputs     `json:"inputs"`
+	Text      string         `json:"declaration"`
 }
 
 // PlanInputs is what a plan saw of the fleet.
@@ -116,19 +116,19 @@
 }
 
 // PlannedStep says where a stage runs and how much capacity it gets.
-type PlannedStep struct {
-	Pipeline string   `json:"pipeline"`
-	Stage    string   `json:"stage"`
-	Service  string   `json:"service"`
-	Halls    []string `json:"halls"`
-	Slots    int      `json:"slots"`
-	PerSec   float64  `json:"capacity_per_second"` // of the service, at the stage's expected time
-	BudgetMS int      `json:"budget_ms"`           // the stage's share of the deadline
-	Cost     float64  `json:"cost_per_request"`
+type PlannedStage struct {
+	Pipeline          string   `json:"pipeline"`
+	Stage             string   `json:"stage"`
+	Service           string   `json:"service"`
+	Halls             []string `json:"halls"`
+	Slots             int      `json:"slots"`
+	CapacityPerSecond float64  `json:"capacity_per_second"` // of the service, at the stage's expected time
+	BudgetMS          int      `json:"budget_ms"`           // the stage's share of the deadline
+	Cost              float64  `json:"cost_per_request"`
 }
 
 // PlannedNeed is how much capacity a service should get at the declared peak.
-type PlannedNeed struct {
+type CapacityNeed struct {
 	Service  string  `json:"service"`
 	Load     float64 `json:"load_slots"`
 	Target   float64 `json:"target_use"` // share of the slots in use at most
@@ -139,14 +139,14 @@
 
 // Outlook is what a pipeline can expect at the declared peak: worked out from
 // expected times, not measured.
-type Outlook struct {
+type Forecast struct {
 	Pipeline   string  `json:"pipeline"`
 	Attainment float64 `json:"attainment"`
 	Cost       float64 `json:"cost_per_request"`
 }
 
 // Confirmed answers a confirmation.
-type Confirmed struct {
+type Confirmation struct {
 	Plan     string `json:"plan"`
 	Revision uint64 `json:"revision"`
 	State    string `json:"state"` // confirmed, conflict or undetermined
@@ -159,27 +159,27 @@
 }
 
 // InForce answers GET /v1/config.
-type InForce struct {
-	Revision    uint64 `json:"revision"`
-	PlanID      string `json:"plan_id"`
-	Declaration string `json:"declaration"`
-	History     []Past `json:"history"`
+type ActiveConfig struct {
+	Revision    uint64         `json:"revision"`
+	PlanID      string         `json:"plan_id"`
+	Declaration string         `json:"declaration"`
+	History     []PastRevision `json:"history"`
 }
 
 // Stored is the accepted configuration as it lies on the platform.
-type Stored struct {
-	Revision    uint64 `json:"revision"`
-	PlanID      string `json:"plan_id"`
-	By          string `json:"by"`
-	Declaration []byte `json:"declaration"` // see package pack
-	History     []Past `json:"history"`     // newest first, at most MaxHistory
+type StoredConfig struct {
+	Revision    uint64         `json:"revision"`
+	PlanID      string         `json:"plan_id"`
+	By          string         `json:"by"`
+	Declaration []byte         `json:"declaration"` // see package pack
+	History     []PastRevision `json:"history"`     // newest first, at most MaxHistory
 }
 
 // MaxHistory bounds the revisions that Stored remembers.
 const MaxHistory = 50
 
 // Past is one accepted revision.
-type Past struct {
+type PastRevision struct {
 	Revision uint64 `json:"revision"`
 	PlanID   string `json:"plan_id"`
 	By       string `json:"by"`
@@ -206,7 +206,7 @@
 }
 
 // Drained answers POST /v1/instances/NAME/drain.
-type Drained struct {
+type DrainAnswer struct {
 	Instance string `json:"instance"`
 }
 
--- a/protocol/api/platform.go
+++ b/protocol/api/platform.go
@@ -17,7 +17,7 @@
 }
 
 // Listed is one replica in the platform's list.
-type Listed struct {
+type ListedReplica struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
 	Hall         string `json:"hall"`
@@ -56,7 +56,7 @@
 }
 
 // Ordered is one line of a stand-in engine's journal of orders.
-type Ordered struct {
+type OrderRecord struct {
 	Replica string `json:"replica"`
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
--- a/protocol/convert/convert.go
+++ b/protocol/convert/convert.go
@@ -91,7 +91,7 @@
 }
 
 // FromListed translates the platform's list.
-func FromListed(list []api.Listed) []replicas.Replica {
+func FromListedReplicas(list []api.ListedReplica) []replicas.Replica {
 	out := make([]replicas.Replica, len(list))
 	for i, l := range list {
 		out[i] = replicas.Replica(l)
--- a/protocol/event/event_test.go
+++ b/protocol/event/event_test.go
@@ -20,6 +20,6 @@
 	for _, e := range All() {
 		is.True(!seen[e.Number]) // each number once
 		seen[e.Number] = true
-		is.True(e.Meaning != "" && e.Do != "") // explained
+		is.True(e.Meaning != "" && e.Action != "") // explained
 	}
 }
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -11,27 +11,27 @@
 
 // Request is one attempt of a client.
 type Request struct {
-	ID        string
-	Method    string
-	Target    string // as it stood in the request line
-	Host      string
-	Path      string
-	Key       string
-	Headers   http.Header // those that go through to the replica
-	Body      []byte
-	Deadline  time.Duration // that the client waits; 0: not said
-	Pieces    []int         // for each stage of the route
-	PieceKey  string
-	Prompt    []catalog.PromptPart
-	TokensIn  int
-	TokensOut int // most that it generates
-	Model     string
-	LastEvent string
-	Arrived   time.Duration // by the clock of the process that took it
+	ID              string
+	Method          string
+	Target          string // as it stood in the request line
+	Host            string
+	Path            string
+	Key             string
+	Headers         http.Header // those that go through to the replica
+	Body            []byte
+	Timeout         time.Duration // that the client waits; 0: not said
+	ItemCounts      []int         // for each stage of the route
+	ItemKey         string
+	Prompt          []catalog.PromptPart
+	InputTokens     int
+	MaxOutputTokens int // most that it generates
+	Model           string
+	LastEventID     string
+	ArrivedAt       time.Duration // by the clock of the process that took it
 }
 
 // Shared returns the parts of the prompt before the last, which is the request's own.
-func (r *Request) Shared() []catalog.PromptPart {
+func (r *Request) SharedPrefix() []catalog.PromptPart {
 	if len(r.Prompt) == 0 {
 		return nil
 	}
--- a/protocol/frame/frame.go
+++ b/protocol/frame/frame.go
@@ -16,27 +16,27 @@
 
 // The kinds; a stream opens with one of them.
 const (
-	Beat         Kind = iota + 1 // Beat -> BeatReply
-	PullConfig                   // PullConfig -> Config
-	PullMembers                  // PullMembers -> Members
-	Watch                        // Watch -> View, View, ...
-	Permits                      // PermitFrame both ways
-	Run                          // Run -> RunReply
-	Handover                     // Handover -> HandoverReply
-	Leaving                      // Beat with leaving replicas, from an entry -> Noted
-	Limits                       // Demands -> Demands
-	Drain                        // Noted -> Noted
-	Reply                        // the answer to any of them
-	Stages                       // StagesAsk -> StagesReply, StagesReply; its close ends the job
-	PullReplicas                 // PullReplicas -> ReplicaChanges
-	Kept                         // KeptAsk -> KeptReply
-	Trial                        // TrialAsk -> TrialReply when it is the sender's turn, then QuarantineCase; its close ends the trial
-	Pace                         // PaceAsk -> PaceReply
+	Beat             Kind = iota + 1 // Beat -> BeatReply
+	PullConfig                       // PullConfig -> Config
+	PullMembers                      // PullMembers -> Members
+	Watch                            // Watch -> View, View, ...
+	Permits                          // PermitFrame both ways
+	Run                              // Run -> RunReply
+	Handover                         // Handover -> HandoverReply
+	DrainingReplicas                 // Beat with leaving replicas, from an entry -> Noted
+	Limits                           // Demands -> Demands
+	Drain                            // Noted -> Noted
+	Reply                            // the answer to any of them
+	RunStages                        // StagesAsk -> StagesReply, StagesReply; its close ends the job
+	PullReplicas                     // PullReplicas -> ReplicaChanges
+	CachedPrefix                     // KeptAsk -> KeptReply
+	TrialLease                       // TrialAsk -> TrialReply when it is the sender's turn, then QuarantineCase; its close ends the trial
+	SendGrant                        // PaceAsk -> PaceReply
 )
 
 // Unknown answers a stream whose kind the peer does not know. It stands apart from
 // the kinds that builds add, so that each later build knows it.
-const Unknown Kind = 255
+const UnknownKind Kind = 255
 
 // MaxLen bounds a frame; larger ones end the stream.
 const MaxLen = 8 << 20
@@ -51,10 +51,10 @@
 
 // ErrUnknown says that the peer does not know the kind of a stream: it runs an
 // older build.
-var ErrUnknown = errors.New("frame: the peer does not know this kind")
+var ErrUnknownKind = errors.New("frame: the peer does not know this kind")
 
 // Refuse answers a stream of a kind that is not known.
-func Refuse(w io.Writer) error { return Write(w, Unknown, &emptypb.Empty{}) }
+func ReplyUnknownKind(w io.Writer) error { return Write(w, UnknownKind, &emptypb.Empty{}) }
 
 // Write sends one message.
 func Write(w io.Writer, k Kind, m proto.Message) error {
@@ -90,8 +90,8 @@
 // Read receives one message of any kind into m.
 func Read(r io.Reader, m proto.Message) error {
 	k, b, err := ReadRaw(r)
-	if err == nil && k == Unknown {
-		err = ErrUnknown
+	if err == nil && k == UnknownKind {
+		err = ErrUnknownKind
 	}
 	if err != nil {
 		return err
--- a/protocol/frame/frame_test.go
+++ b/protocol/frame/frame_test.go
@@ -44,8 +44,8 @@
 func TestKindsKeepTheirNumbers(t *testing.T) {
 	is := is.New(t)
 	for kind, number := range map[Kind]byte{
-		Beat: 1, PullConfig: 2, PullMembers: 3, Watch: 4, Permits: 5, Run: 6, Handover: 7, Leaving: 8, Limits: 9, Drain: 10, Reply: 11,
-		Stages: 12, PullReplicas: 13, Kept: 14, Trial: 15, Unknown: 255,
+		Beat: 1, PullConfig: 2, PullMembers: 3, Watch: 4, Permits: 5, Run: 6, Handover: 7, DrainingReplicas: 8, Limits: 9, Drain: 10, Reply: 11,
+		RunStages: 12, PullReplicas: 13, CachedPrefix: 14, TrialLease: 15, UnknownKind: 255,
 	} {
 		is.Equal(byte(kind), number)
 	}
--- a/protocol/pack/pack.go
+++ b/protocol/pack/pack.go
@@ -11,16 +11,16 @@
 )
 
 // MaxText bounds an opened declaration in bytes.
-const MaxText = 8 << 20
+const MaxTextSize = 8 << 20
 
 // ErrTooLarge is returned for what would open to more than MaxText.
 var ErrTooLarge = errors.New("pack: the text is too large")
 
 // Text compresses a text as small as can be, for what is kept.
-func Text(text string) ([]byte, error) { return compress([]byte(text), gzip.BestCompression) }
+func Compress(text string) ([]byte, error) { return compress([]byte(text), gzip.BestCompression) }
 
 // Fast compresses a text with little processor time, for what is sent once.
-func Fast(text []byte) ([]byte, error) { return compress(text, gzip.BestSpeed) }
+func CompressFast(text []byte) ([]byte, error) { return compress(text, gzip.BestSpeed) }
 
 func compress(text []byte, level int) ([]byte, error) {
 	var b bytes.Buffer
@@ -36,13 +36,13 @@
 }
 
 // Open is the reverse of Text.
-func Open(packed []byte) ([]byte, error) {
+func Decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(r, MaxText+1))
-	if err == nil && len(text) > MaxText {
+	text, err := io.ReadAll(io.LimitReader(r, MaxTextSize+1))
+	if err == nil && len(text) > MaxTextSize {
 		return nil, ErrTooLarge
 	}
 	return text, err
--- a/protocol/pack/pack_test.go
+++ b/protocol/pack/pack_test.go
@@ -10,20 +10,20 @@
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat("[[customer]]\n", 1000)
-	b, err := Text(text)
+	b, err := Compress(text)
 	is.NoErr(err)
 	is.True(len(b) < len(text)/10)
-	got, err := Open(b)
+	got, err := Decompress(b)
 	is.NoErr(err)
 	is.Equal(string(got), text)
 }
 
 func TestRefusesWhatGrowsTooLarge(t *testing.T) {
 	is := is.New(t)
-	b, err := Text(strings.Repeat("x", MaxText+1))
+	b, err := Compress(strings.Repeat("x", MaxTextSize+1))
 	is.NoErr(err)
-	_, err = Open(b)
+	_, err = Decompress(b)
 	is.Equal(err, ErrTooLarge)
-	_, err = Open([]byte("not packed"))
+	_, err = Decompress([]byte("not packed"))
 	is.True(err != nil)
 }
--- a/protocol/settings/declaration.go
+++ b/protocol/settings/declaration.go
@@ -42,7 +42,7 @@
 
 // LoadPacked reads and checks a declaration as it travels.
 func LoadPacked(packed []byte) (*fleet.Fleet, error) {
-	text, err := pack.Open(packed)
+	text, err := pack.Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
--- a/protocol/settings/instance.go
+++ b/protocol/settings/instance.go
@@ -24,18 +24,18 @@
 
 // Entry is where the entry process listens; all are IP:port.
 type Entry struct {
-	HTTP  string `toml:"http"`  // callers
-	Link  string `toml:"link"`  // peers
-	Known string `toml:"known"` // the link as peers reach it, when not the same
-	Admin string `toml:"admin"` // metrics, health, state dump
+	HTTP           string `toml:"http"`  // callers
+	Link           string `toml:"link"`  // peers
+	AdvertisedLink string `toml:"known"` // the link as peers reach it, when not the same
+	Admin          string `toml:"admin"` // metrics, health, state dump
 }
 
 // Coord is where the coord process listens; all are IP:port.
 type Coord struct {
-	Link      string `toml:"link"`      // local entry and peers
-	Known     string `toml:"known"`     // the link as peers reach it, when not the same
-	Operators string `toml:"operators"` // intent API
-	Admin     string `toml:"admin"`     // metrics, health, state dump
+	Link           string `toml:"link"`      // local entry and peers
+	AdvertisedLink string `toml:"known"`     // the link as peers reach it, when not the same
+	Operators      string `toml:"operators"` // intent API
+	Admin          string `toml:"admin"`     // metrics, health, state dump
 }
 
 // Operator may use the intent API.
@@ -65,14 +65,14 @@
 	d.address("coord.link", s.Coord.Link)
 	d.address("coord.operators", s.Coord.Operators)
 	d.address("coord.admin", s.Coord.Admin)
-	if s.Entry.Known == "" {
-		s.Entry.Known = s.Entry.Link
+	if s.Entry.AdvertisedLink == "" {
+		s.Entry.AdvertisedLink = s.Entry.Link
 	}
-	if s.Coord.Known == "" {
-		s.Coord.Known = s.Coord.Link
+	if s.Coord.AdvertisedLink == "" {
+		s.Coord.AdvertisedLink = s.Coord.Link
 	}
-	d.address("entry.known", s.Entry.Known)
-	d.address("coord.known", s.Coord.Known)
+	d.address("entry.known", s.Entry.AdvertisedLink)
+	d.address("coord.known", s.Coord.AdvertisedLink)
 	for i, a := range s.Seeds {
 		d.address(elem("seeds", i), a)
 	}
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -58,7 +58,7 @@
 
 // ListReplicas reads the list of upstream replicas, which lags behind their
 // actual state, and returns its size in bytes.
-func (c *Client) ListReplicas() (list []api.Listed, size int, err error) {
+func (c *Client) ListReplicas() (list []api.ListedReplica, size int, err error) {
 	var raw json.RawMessage
 	if err := c.call("GET", "/v1/instances", nil, &raw, callTimeout); err != nil {
 		return nil, 0, err
--- a/transport/upstream/call.go
+++ b/transport/upstream/call.go
@@ -80,9 +80,9 @@
 		return nil, ErrWrongRequest
 	}
 	a := &Answer{Status: h.StatusCode()}
-	a.Draining = len(h.Peek(api.HeaderLeaving)) > 0
+	a.Draining = len(h.Peek(api.HeaderDraining)) > 0
 	a.Refused = a.Status == fasthttp.StatusServiceUnavailable
-	a.Incarnation, _ = strconv.ParseUint(string(h.Peek(api.HeaderIncarnat)), 10, 64)
+	a.Incarnation, _ = strconv.ParseUint(string(h.Peek(api.HeaderIncarnation)), 10, 64)
 	if h.ContentLength() == -1 {
 		return a, cn.readStream(c, a)
 	}
@@ -103,12 +103,12 @@
 	req.Header.Set(api.HeaderRequest, c.Request)
 	req.Header.Set(api.HeaderStage, c.Stage)
 	req.Header.Set(api.HeaderAttempt, strconv.Itoa(c.Attempt))
-	req.Header.Set(api.HeaderDigest, digest)
-	req.Header.Set(api.HeaderOp, c.Operation)
-	req.Header.Set(api.HeaderClass, strconv.Itoa(c.Class))
-	req.Header.Set(api.HeaderLeft, strconv.FormatInt(time.Until(c.Deadline).Milliseconds(), 10))
+	req.Header.Set(api.HeaderInputDigest, digest)
+	req.Header.Set(api.HeaderOperation, c.Operation)
+	req.Header.Set(api.HeaderPriority, strconv.Itoa(c.Class))
+	req.Header.Set(api.HeaderDeadline, strconv.FormatInt(time.Until(c.Deadline).Milliseconds(), 10))
 	if len(c.PriorTokens) > 0 {
-		req.Header.Set(api.HeaderOffset, strconv.Itoa(len(c.PriorTokens)))
+		req.Header.Set(api.HeaderResumeOffset, strconv.Itoa(len(c.PriorTokens)))
 	}
 	req.SetBodyRaw(c.Input)
 }
@@ -118,7 +118,7 @@
 	return string(h.Peek(api.HeaderRequest)) == c.Request &&
 		string(h.Peek(api.HeaderStage)) == c.Stage &&
 		string(h.Peek(api.HeaderAttempt)) == strconv.Itoa(c.Attempt) &&
-		string(h.Peek(api.HeaderDigest)) == digest
+		string(h.Peek(api.HeaderInputDigest)) == digest
 }
 
 // StreamEnd is the last event of a replica's stream, by which the stream is
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -24,7 +24,7 @@
 func startReplica(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		for _, h := range []string{api.HeaderRequest, api.HeaderStage, api.HeaderAttempt, api.HeaderDigest} {
+		for _, h := range []string{api.HeaderRequest, api.HeaderStage, api.HeaderAttempt, api.HeaderInputDigest} {
 			w.Header().Set(h, q.Header.Get(h))
 		}
 		handler(w, q)
--- a/transport/web/web.go
+++ b/transport/web/web.go
@@ -139,7 +139,7 @@
 
 // Bearer returns the request's bearer token, or "".
 func Bearer(ctx *fasthttp.RequestCtx) string {
-	h := string(ctx.Request.Header.Peek(api.HeaderKey))
+	h := string(ctx.Request.Header.Peek(api.HeaderAuthorization))
 	if !strings.HasPrefix(h, bearerPrefix) {
 		return ""
 	}
