--- a/protocol/api/api.go
+++ b/protocol/api/api.go
@@ -1,20 +1,22 @@
-// Package api holds the JSON that callers, operators and the platform see.
+// Package api defines the HTTP headers and JSON bodies that are exchanged with
+// callers, operators, upstreams and the platform.
 package api
 
 import (
 	"quinceroad/coordination/outcome"
 )
 
-// The HTTP headers of a request to the system.
+// HTTP headers of a caller's request.
 const (
 	HeaderAuthorization = "Authorization" // "Bearer KEY"
 	HeaderTicket        = "Quince-Ticket" // PREFIX.NUMBER, for pipelines that may not be repeated
 	HeaderRequestID     = "Quince-Request-Id"
-	HeaderHall          = "Quince-Hall" // the caller's hall, for near addresses
+	HeaderHall          = "Quince-Hall" // the caller's hall, to prefer addresses in it
 )
 
-// The HTTP headers between an entry and an upstream. A replica repeats those
-// of identity; an answer is taken only when they match.
+// HTTP headers between an entry and an upstream. A replica repeats the identity
+// headers (request, stage, attempt, input digest) in its answer, which is
+// accepted only if they match.
 const (
 	HeaderRequest      = "X-Request"
 	HeaderStage        = "X-Stage"
@@ -26,12 +28,12 @@
 	HeaderResumeOffset = "X-Resume-Offset"
 	HeaderDraining     = "X-Leaving"
 	HeaderIncarnation  = "X-Incarnation"
-	HeaderFence        = "X-Fence" // of an order: the fencing token of who gives it
+	HeaderFence        = "X-Fence" // of an order: the fencing token of the coord that sends it
 )
 
-// Error is the body of every answer that is not a whole result.
+// Error is the body of every answer that is not a complete result.
 type Error struct {
-	ID           string       `json:"id"` // the request's
+	ID           string       `json:"id"` // of the request
 	Code         string       `json:"code"`
 	Detail       string       `json:"detail"`
 	Outcome      outcome.Kind `json:"outcome"`
@@ -46,24 +48,24 @@
 // RunRequest is the body of POST /v1/pipelines/NAME/runs.
 type RunRequest struct {
 	Input      string `json:"input"`
-	DeadlineMS int    `json:"deadline_ms,omitempty"` // from receipt; the pipeline's when absent
+	DeadlineMS int    `json:"deadline_ms,omitempty"` // from receipt; defaults to the pipeline's deadline
 	Priority   string `json:"priority,omitempty"`
-	Stream     bool   `json:"stream,omitempty"` // tokens as server-sent events
+	Stream     bool   `json:"stream,omitempty"` // send tokens as server-sent events
 }
 
-// RunAnswer is the body of a whole answer, and the last event of a stream.
+// RunAnswer is the body of a complete answer, and the last event of a stream.
 type RunAnswer struct {
 	ID        string       `json:"id"`
 	Outcome   outcome.Kind `json:"outcome"`
 	Output    string       `json:"output,omitempty"`
-	Count     int          `json:"count"`  // bytes of the output
+	Count     int          `json:"count"`  // length of the output in bytes
 	Digest    string       `json:"digest"` // xxhash64 of the output, in hex
 	ElapsedMS float64      `json:"elapsed_ms"`
 	Cost      float64      `json:"cost"`
 	Stages    []Stage      `json:"stages"`
 }
 
-// Stage reports one stage of a run.
+// Stage describes the execution of one stage of a run.
 type Stage struct {
 	Name     string  `json:"name"`
 	Service  string  `json:"service"`
@@ -74,12 +76,12 @@
 	Cost     float64 `json:"cost"`
 }
 
-// Token is one event of a stream.
+// Token is the data of one token event of a stream.
 type Token struct {
 	Text string `json:"text"`
 }
 
-// Address is one entry a caller may use.
+// Address is an entry that a caller may use.
 type Address struct {
 	Instance string `json:"instance"`
 	Address  string `json:"address"` // IP:port
@@ -90,11 +92,11 @@
 type AddressAnswer struct {
 	Addresses  []Address `json:"addresses"` // best first
 	LifetimeMS int64     `json:"lifetime_ms"`
-	Ticket     string    `json:"ticket"` // prefix; the caller appends ".NUMBER"
-	Home       string    `json:"home"`   // IP:port of the entry that runs the ticket's numbers
+	Ticket     string    `json:"ticket"` // prefix to which the caller appends ".NUMBER"
+	Home       string    `json:"home"`   // IP:port of the entry that runs requests with this ticket
 }
 
-// Plan answers an intent.
+// Plan is the answer to an operator's intent.
 type Plan struct {
 	ID        string         `json:"id"`
 	Base      uint64         `json:"base_revision"`
@@ -109,56 +111,56 @@
 	Text      string         `json:"declaration"`
 }
 
-// PlanInputs is what a plan saw of the fleet.
+// PlanInputs are the sizes of the fleet on which a plan is based.
 type PlanInputs struct {
 	Instances int `json:"instances"`
 	Replicas  int `json:"replicas"`
 }
 
-// PlannedStep says where a stage runs and how much capacity it gets.
+// PlannedStage is where a stage runs and how much capacity it gets.
 type PlannedStage struct {
 	Pipeline          string   `json:"pipeline"`
 	Stage             string   `json:"stage"`
 	Service           string   `json:"service"`
 	Halls             []string `json:"halls"`
 	Slots             int      `json:"slots"`
-	CapacityPerSecond float64  `json:"capacity_per_second"` // of the service, at the stage's expected time
+	CapacityPerSecond float64  `json:"capacity_per_second"` // of the service, if each call takes the stage's expected time
 	BudgetMS          int      `json:"budget_ms"`           // the stage's share of the deadline
 	Cost              float64  `json:"cost_per_request"`
 }
 
-// PlannedNeed is how much capacity a service should get at the declared peak.
+// CapacityNeed is how much capacity a service needs at the declared peak.
 type CapacityNeed struct {
 	Service  string  `json:"service"`
 	Load     float64 `json:"load_slots"`
-	Target   float64 `json:"target_use"` // share of the slots in use at most
+	Target   float64 `json:"target_use"` // maximum share of slots in use
 	Replicas int     `json:"replicas"`
 	Have     int     `json:"have"`
 	CostSec  float64 `json:"cost_per_second"`
 }
 
-// Outlook is what a pipeline can expect at the declared peak: worked out from
-// expected times, not measured.
+// Forecast is what a pipeline can expect at the declared peak, computed from
+// expected times rather than measured.
 type Forecast struct {
 	Pipeline   string  `json:"pipeline"`
 	Attainment float64 `json:"attainment"`
 	Cost       float64 `json:"cost_per_request"`
 }
 
-// Confirmed answers a confirmation.
+// Confirmation is the answer to the confirmation of a plan.
 type Confirmation struct {
 	Plan     string `json:"plan"`
 	Revision uint64 `json:"revision"`
 	State    string `json:"state"` // confirmed, conflict or undetermined
 }
 
-// StoredPlan is a plan as it lies on the platform, without its text.
+// StoredPlan is a plan as stored on the platform, with its text compressed.
 type StoredPlan struct {
 	Plan
 	Declaration []byte `json:"packed"` // see package pack
 }
 
-// InForce answers GET /v1/config.
+// ActiveConfig is the body of GET /v1/config: the accepted configuration.
 type ActiveConfig struct {
 	Revision    uint64         `json:"revision"`
 	PlanID      string         `json:"plan_id"`
@@ -166,7 +168,7 @@
 	History     []PastRevision `json:"history"`
 }
 
-// Stored is the accepted configuration as it lies on the platform.
+// StoredConfig is the accepted configuration as stored on the platform.
 type StoredConfig struct {
 	Revision    uint64         `json:"revision"`
 	PlanID      string         `json:"plan_id"`
@@ -175,10 +177,10 @@
 	History     []PastRevision `json:"history"`     // newest first, at most MaxHistory
 }
 
-// MaxHistory bounds the revisions that Stored remembers.
+// MaxHistory is the maximum number of revisions in StoredConfig.History.
 const MaxHistory = 50
 
-// Past is one accepted revision.
+// PastRevision is a revision that was accepted.
 type PastRevision struct {
 	Revision uint64 `json:"revision"`
 	PlanID   string `json:"plan_id"`
@@ -202,10 +204,10 @@
 	Leaving     bool   `json:"leaving"`
 	Incarnation string `json:"incarnation"`
 	Entry       string `json:"entry"`
-	Revision    uint64 `json:"revision"` // in force there; 0: no answer
+	Revision    uint64 `json:"revision"` // applied there; 0: unknown because the instance did not answer
 }
 
-// Drained answers POST /v1/instances/NAME/drain.
+// DrainAnswer is the body of the answer to POST /v1/instances/NAME/drain.
 type DrainAnswer struct {
 	Instance string `json:"instance"`
 }
--- a/protocol/convert/convert.go
+++ b/protocol/convert/convert.go
@@ -1,5 +1,5 @@
-// Package convert translates between the decisions' types and the messages
-// that carry them.
+// Package convert converts between the types of the coordination packages and
+// protobuf messages.
 package convert
 
 import (
@@ -12,7 +12,7 @@
 	"quinceroad/protocol/pb"
 )
 
-// Micros is the unit of durations in messages.
+// Micros returns a duration in microseconds, the unit of durations in messages.
 func Micros(d time.Duration) int64 { return d.Microseconds() }
 
 // FromMicros is the reverse of Micros.
@@ -90,7 +90,7 @@
 	return out
 }
 
-// FromListed translates the platform's list.
+// FromListedReplicas converts the platform's list of replicas.
 func FromListedReplicas(list []api.ListedReplica) []replicas.Replica {
 	out := make([]replicas.Replica, len(list))
 	for i, l := range list {
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds a client's request in the product's own terms, as it
-// goes from the front to a replica.
+// Package exchange holds a client's request in internal form, independent of the
+// platform's header names, on its way from the client to a replica.
 package exchange
 
 import (
@@ -9,28 +9,29 @@
 	"quinceroad/state/catalog"
 )
 
-// Request is one attempt of a client.
+// Request is one attempt of a client; a retry by the client is another Request.
 type Request struct {
 	ID              string
 	Method          string
-	Target          string // as it stood in the request line
+	Target          string // request target as in the request line
 	Host            string
 	Path            string
 	Key             string
-	Headers         http.Header // those that go through to the replica
+	Headers         http.Header // end-to-end headers, which are forwarded to the replica
 	Body            []byte
-	Timeout         time.Duration // that the client waits; 0: not said
-	ItemCounts      []int         // for each stage of the route
+	Timeout         time.Duration // how long the client waits; 0: not stated
+	ItemCounts      []int         // number of items for each stage of the route
 	ItemKey         string
 	Prompt          []catalog.PromptPart
 	InputTokens     int
-	MaxOutputTokens int // most that it generates
+	MaxOutputTokens int // maximum number of generated tokens
 	Model           string
 	LastEventID     string
-	ArrivedAt       time.Duration // by the clock of the process that took it
+	ArrivedAt       time.Duration // by the clock of the process that received it
 }
 
-// Shared returns the parts of the prompt before the last, which is the request's own.
+// SharedPrefix returns the prompt's parts without the last one, which is specific
+// to the request.
 func (r *Request) SharedPrefix() []catalog.PromptPart {
 	if len(r.Prompt) == 0 {
 		return nil
--- a/protocol/frame/frame.go
+++ b/protocol/frame/frame.go
@@ -1,5 +1,6 @@
-// Package frame puts one protobuf message on a link's stream: four bytes of
-// length (big endian, of kind and message), one byte of kind, the message.
+// Package frame writes and reads protobuf messages on a link's stream. A frame is
+// four bytes of length (big endian, of kind and message), one byte of kind, and
+// the message.
 package frame
 
 import (
@@ -11,10 +12,11 @@
 	"google.golang.org/protobuf/types/known/emptypb"
 )
 
-// Kind tells what a frame carries and so what a new stream is for.
+// Kind is the type of a frame's message; the kind of a stream's first frame
+// determines the stream's purpose.
 type Kind byte
 
-// The kinds; a stream opens with one of them.
+// The kinds of frames, with the messages of request and reply.
 const (
 	Beat             Kind = iota + 1 // Beat -> BeatReply
 	PullConfig                       // PullConfig -> Config
@@ -23,58 +25,60 @@
 	Permits                          // PermitFrame both ways
 	Run                              // Run -> RunReply
 	Handover                         // Handover -> HandoverReply
-	DrainingReplicas                 // Beat with leaving replicas, from an entry -> Noted
+	DrainingReplicas                 // Beat with draining replicas, from an entry -> Noted
 	Limits                           // Demands -> Demands
 	Drain                            // Noted -> Noted
-	Reply                            // the answer to any of them
-	RunStages                        // StagesAsk -> StagesReply, StagesReply; its close ends the job
+	Reply                            // the reply to any of them
+	RunStages                        // StagesAsk -> StagesReply, StagesReply; closing the stream ends the job
 	PullReplicas                     // PullReplicas -> ReplicaChanges
 	CachedPrefix                     // KeptAsk -> KeptReply
-	TrialLease                       // TrialAsk -> TrialReply when it is the sender's turn, then QuarantineCase; its close ends the trial
+	TrialLease                       // TrialAsk -> TrialReply once the sender has the lease, then QuarantineCase; closing the stream ends the lease
 	SendGrant                        // PaceAsk -> PaceReply
 )
 
-// Unknown answers a stream whose kind the peer does not know. It stands apart from
-// the kinds that builds add, so that each later build knows it.
+// UnknownKind is the reply to a stream whose kind the peer does not know. It is the
+// highest number, away from the kinds that later builds add, so that all builds
+// agree on it.
 const UnknownKind Kind = 255
 
-// MaxLen bounds a frame; larger ones end the stream.
+// MaxLen is the maximum length of a frame's kind and message in bytes; a larger
+// frame ends the stream.
 const MaxLen = 8 << 20
 
 const (
-	lenBytes  = 4
-	headBytes = lenBytes + 1
+	lengthBytes = 4
+	headerBytes = lengthBytes + 1
 )
 
 // ErrTooLarge is returned for a frame over MaxLen or without a kind.
-var ErrTooLarge = errors.New("frame: bad length")
+var ErrTooLarge = errors.New("frame: invalid length")
 
-// ErrUnknown says that the peer does not know the kind of a stream: it runs an
-// older build.
-var ErrUnknownKind = errors.New("frame: the peer does not know this kind")
+// ErrUnknownKind is returned when the peer does not know the kind of a stream
+// because it runs an older build.
+var ErrUnknownKind = errors.New("frame: kind is unknown to the peer")
 
-// Refuse answers a stream of a kind that is not known.
+// ReplyUnknownKind replies to a stream of an unknown kind.
 func ReplyUnknownKind(w io.Writer) error { return Write(w, UnknownKind, &emptypb.Empty{}) }
 
-// Write sends one message.
+// Write writes one message as a frame.
 func Write(w io.Writer, k Kind, m proto.Message) error {
-	b := make([]byte, headBytes, headBytes+proto.Size(m))
+	b := make([]byte, headerBytes, headerBytes+proto.Size(m))
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
 		return err
 	}
-	if len(b)-lenBytes > MaxLen {
+	if len(b)-lengthBytes > MaxLen {
 		return ErrTooLarge
 	}
-	binary.BigEndian.PutUint32(b, uint32(len(b)-lenBytes))
-	b[lenBytes] = byte(k)
+	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthBytes))
+	b[lengthBytes] = byte(k)
 	_, err = w.Write(b)
 	return err
 }
 
-// ReadRaw receives one frame.
+// ReadRaw reads one frame and returns its kind and its encoded message.
 func ReadRaw(r io.Reader) (Kind, []byte, error) {
-	var head [headBytes]byte
+	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
@@ -84,10 +88,10 @@
 	}
 	b := make([]byte, n-1)
 	_, err := io.ReadFull(r, b)
-	return Kind(head[lenBytes]), b, err
+	return Kind(head[lengthBytes]), b, err
 }
 
-// Read receives one message of any kind into m.
+// Read reads one frame of any kind and decodes its message into m.
 func Read(r io.Reader, m proto.Message) error {
 	k, b, err := ReadRaw(r)
 	if err == nil && k == UnknownKind {
--- a/protocol/frame/frame_test.go
+++ b/protocol/frame/frame_test.go
@@ -32,7 +32,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, b, err := ReadRaw(bytes.NewReader(data))
 		if err == nil && len(b) > len(data) {
-			t.Fatal("more than came")
+			t.Fatal("message is longer than the input")
 		}
 		if err != nil && !errors.Is(err, ErrTooLarge) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatal(err)
@@ -40,8 +40,9 @@
 	})
 }
 
-// Builds of several landings serve side by side: a kind keeps its number.
-func TestKindsKeepTheirNumbers(t *testing.T) {
+// Builds of several releases run concurrently, so the number of a kind must not
+// change.
+func TestKindNumbersAreStable(t *testing.T) {
 	is := is.New(t)
 	for kind, number := range map[Kind]byte{
 		Beat: 1, PullConfig: 2, PullMembers: 3, Watch: 4, Permits: 5, Run: 6, Handover: 7, DrainingReplicas: 8, Limits: 9, Drain: 10, Reply: 11,
--- a/protocol/pack/pack.go
+++ b/protocol/pack/pack.go
@@ -1,6 +1,7 @@
-// Package pack compresses declarations for links and the platform: a
-// declaration of 5,400 customers would fill the platform's megabyte and most of
-// a node's bytes for control (docs/CAPACITY.md).
+// Package pack compresses declarations for links and the platform. Without
+// compression a declaration of 5,400 customers would fill the platform's limit of
+// one megabyte and use up most of a node's bandwidth for control traffic
+// (docs/CAPACITY.md).
 package pack
 
 import (
@@ -10,16 +11,17 @@
 	"io"
 )
 
-// MaxText bounds an opened declaration in bytes.
+// MaxTextSize is the maximum size of a decompressed declaration in bytes.
 const MaxTextSize = 8 << 20
 
-// ErrTooLarge is returned for what would open to more than MaxText.
-var ErrTooLarge = errors.New("pack: the text is too large")
+// ErrTooLarge is returned for data that decompresses to more than MaxTextSize.
+var ErrTooLarge = errors.New("pack: decompressed text is too large")
 
-// Text compresses a text as small as can be, for what is kept.
+// Compress compresses a text with the best ratio, for storage.
 func Compress(text string) ([]byte, error) { return compress([]byte(text), gzip.BestCompression) }
 
-// Fast compresses a text with little processor time, for what is sent once.
+// CompressFast compresses a text with little processor time, for data that is
+// sent once.
 func CompressFast(text []byte) ([]byte, error) { return compress(text, gzip.BestSpeed) }
 
 func compress(text []byte, level int) ([]byte, error) {
@@ -35,7 +37,7 @@
 	return b.Bytes(), err
 }
 
-// Open is the reverse of Text.
+// Decompress is the reverse of Compress and CompressFast.
 func Decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/protocol/pack/pack_test.go
+++ b/protocol/pack/pack_test.go
@@ -18,7 +18,7 @@
 	is.Equal(string(got), text)
 }
 
-func TestRefusesWhatGrowsTooLarge(t *testing.T) {
+func TestDecompressRejectsOversizedText(t *testing.T) {
 	is := is.New(t)
 	b, err := Compress(strings.Repeat("x", MaxTextSize+1))
 	is.NoErr(err)
--- a/protocol/pb/landings_test.go
+++ b/protocol/pb/compatibility_test.go
@@ -17,42 +17,42 @@
 	"quinceroad/protocol/pb"
 )
 
-// Builds of several landings serve side by side, so each reads what the others
-// write. testdata holds, by landing, every message with all its fields as that
-// build wrote it, and how that build described them. A landing's folder is written
-// by its own build: go test ./protocol/pb -record testdata/COMMIT.
+// Builds of several releases run concurrently, so each must read what the others
+// write. For each release, testdata holds every message with all its fields as
+// encoded by that build, and the build's descriptor. The folder of a release is
+// written by its own build: go test ./protocol/pb -record testdata/COMMIT.
 
 var record = flag.String("record", "", "folder in which to write this build's messages")
 
 const descriptorFile = "descriptor.bin"
 
-// deepest is how far messages within messages are filled.
-const deepest = 4
+// maxDepth is the depth up to which nested messages are filled.
+const maxDepth = 4
 
-func fill(m protoreflect.Message, depth int) {
+func fillMessage(m protoreflect.Message, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
 		switch {
-		case f.IsMap() || f.Message() != nil && depth == deepest:
+		case f.IsMap() || f.Message() != nil && depth == maxDepth:
 		case f.IsList():
 			list := m.Mutable(f).List()
 			for n := range 2 {
-				list.Append(value(f, list.NewElement, n, depth))
+				list.Append(fieldValue(f, list.NewElement, n, depth))
 			}
 		default:
-			m.Set(f, value(f, func() protoreflect.Value { return m.NewField(f) }, 0, depth))
+			m.Set(f, fieldValue(f, func() protoreflect.Value { return m.NewField(f) }, 0, depth))
 		}
 	}
 }
 
-// value is a value of a field that no default equals.
-func value(f protoreflect.FieldDescriptor, fresh func() protoreflect.Value, n, depth int) protoreflect.Value {
+// fieldValue returns a value that differs from the field's default.
+func fieldValue(f protoreflect.FieldDescriptor, newValue func() protoreflect.Value, n, depth int) protoreflect.Value {
 	number := int64(f.Number())*7 + int64(n) + 1
 	switch f.Kind() {
 	case protoreflect.MessageKind, protoreflect.GroupKind:
-		v := fresh()
-		fill(v.Message(), depth+1)
+		v := newValue()
+		fillMessage(v.Message(), depth+1)
 		return v
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString(fmt.Sprint("text", number))
@@ -77,9 +77,9 @@
 	}
 }
 
-func TestRecordThisBuildsMessages(t *testing.T) {
+func TestRecordMessages(t *testing.T) {
 	if *record == "" {
-		return // by hand, for a landing
+		return // run by hand, for a release
 	}
 	is := is.New(t)
 	is.NoErr(os.MkdirAll(*record, 0o755))
@@ -92,17 +92,17 @@
 	write(descriptorFile, protodesc.ToFileDescriptorProto(file))
 	for i := range file.Messages().Len() {
 		m := dynamicpb.NewMessage(file.Messages().Get(i))
-		fill(m, 0)
+		fillMessage(m, 0)
 		write(string(m.Descriptor().Name())+".bin", m)
 	}
 }
 
-// landings returns the folders of the landings that are recorded.
-func landings(t *testing.T) []string {
+// recordedReleases returns the folders of the recorded releases.
+func recordedReleases(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("testdata/*/" + descriptorFile)
 	if err != nil || len(all) < 2 {
-		t.Fatalf("%d landings are recorded, %v", len(all), err)
+		t.Fatalf("%d releases are recorded, want at least 2; error: %v", len(all), err)
 	}
 	for i, f := range all {
 		all[i] = filepath.Dir(f)
@@ -110,11 +110,12 @@
 	return all
 }
 
-// What an earlier landing wrote is read whole, and written again as it was.
-func TestMessagesOfLandingsAreRead(t *testing.T) {
+// Messages of an earlier release must decode without unknown fields and encode to
+// the same bytes again.
+func TestRecordedMessagesAreRead(t *testing.T) {
 	file := (&pb.Heartbeat{}).ProtoReflect().Descriptor().ParentFile()
-	for _, landing := range landings(t) {
-		names, err := filepath.Glob(landing + "/*.bin")
+	for _, release := range recordedReleases(t) {
+		names, err := filepath.Glob(release + "/*.bin")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,7 +130,7 @@
 			}
 			d := file.Messages().ByName(protoreflect.Name(base[:len(base)-len(".bin")]))
 			if d == nil {
-				t.Errorf("%s: this build has no such message", name)
+				t.Errorf("%s: message does not exist in this build", name)
 				continue
 			}
 			m := dynamicpb.NewMessage(d)
@@ -137,41 +138,42 @@
 				t.Errorf("%s: %v", name, err)
 				continue
 			}
-			for _, fault := range unread(m) {
+			for _, fault := range unknownFields(m) {
 				t.Errorf("%s: %s", name, fault)
 			}
 			if again, err := (proto.MarshalOptions{Deterministic: true}).Marshal(m); err != nil || string(again) != string(data) {
-				t.Errorf("%s: written again it differs, %v", name, err)
+				t.Errorf("%s: encoding differs after decoding, error: %v", name, err)
 			}
 		}
 	}
 }
 
-// unread names the messages of which fields were not known.
-func unread(m protoreflect.Message) (out []string) {
+// unknownFields describes the messages that have unknown fields.
+func unknownFields(m protoreflect.Message) (out []string) {
 	if len(m.GetUnknown()) > 0 {
-		out = append(out, "fields of "+string(m.Descriptor().Name())+" are not known")
+		out = append(out, "message "+string(m.Descriptor().Name())+" has unknown fields")
 	}
 	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		switch {
 		case f.Message() == nil || f.IsMap():
 		case f.IsList():
 			for i := range v.List().Len() {
-				out = append(out, unread(v.List().Get(i).Message())...)
+				out = append(out, unknownFields(v.List().Get(i).Message())...)
 			}
 		default:
-			out = append(out, unread(v.Message())...)
+			out = append(out, unknownFields(v.Message())...)
 		}
 		return true
 	})
 	return out
 }
 
-// A field keeps its number, name and type, or its number and name are reserved.
-func TestFieldsOfLandingsAreKept(t *testing.T) {
+// A field must keep its number, name and type, or its number and name must be
+// reserved.
+func TestRecordedFieldsAreKept(t *testing.T) {
 	file := (&pb.Heartbeat{}).ProtoReflect().Descriptor().ParentFile()
-	for _, landing := range landings(t) {
-		data, err := os.ReadFile(filepath.Join(landing, descriptorFile))
+	for _, release := range recordedReleases(t) {
+		data, err := os.ReadFile(filepath.Join(release, descriptorFile))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,13 +181,13 @@
 		if err := proto.Unmarshal(data, old); err != nil {
 			t.Fatal(err)
 		}
-		for _, fault := range broken(old, file) {
-			t.Errorf("%s: %s", landing, fault)
+		for _, fault := range incompatibilities(old, file) {
+			t.Errorf("%s: %s", release, fault)
 		}
 	}
 }
 
-func broken(old *descriptorpb.FileDescriptorProto, file protoreflect.FileDescriptor) (out []string) {
+func incompatibilities(old *descriptorpb.FileDescriptorProto, file protoreflect.FileDescriptor) (out []string) {
 	for _, m := range old.MessageType {
 		now := file.Messages().ByName(protoreflect.Name(m.GetName()))
 		if now == nil {
@@ -193,7 +195,7 @@
 			continue
 		}
 		for _, f := range m.Field {
-			if fault := changed(f, now); fault != "" {
+			if fault := fieldIncompatibility(f, now); fault != "" {
 				out = append(out, m.GetName()+"."+f.GetName()+" "+fault)
 			}
 		}
@@ -201,7 +203,7 @@
 	return out
 }
 
-func changed(f *descriptorpb.FieldDescriptorProto, now protoreflect.MessageDescriptor) string {
+func fieldIncompatibility(f *descriptorpb.FieldDescriptorProto, now protoreflect.MessageDescriptor) string {
 	number, name := protoreflect.FieldNumber(f.GetNumber()), protoreflect.Name(f.GetName())
 	n := now.Fields().ByNumber(number)
 	switch {
@@ -219,9 +221,9 @@
 	return ""
 }
 
-// A number that another field gets, a type that changes and a field that goes are
-// noticed, by name; a field that is added is not.
-func TestABreakingChangeIsNoticed(t *testing.T) {
+// A reused number, a changed type and a removed field are detected and named; an
+// added field is allowed.
+func TestBreakingChangeIsDetected(t *testing.T) {
 	is := is.New(t)
 	file := (&pb.Heartbeat{}).ProtoReflect().Descriptor().ParentFile()
 	for _, c := range []struct {
@@ -241,9 +243,9 @@
 				c.change(m.Field[1])
 			}
 		}
-		is.Equal(broken(old, file), []string{c.fault})
+		is.Equal(incompatibilities(old, file), []string{c.fault})
 	}
 	older := protodesc.ToFileDescriptorProto(file)
 	older.MessageType[0].Field = older.MessageType[0].Field[1:]
-	is.Equal(len(broken(older, file)), 0)
+	is.Equal(len(incompatibilities(older, file)), 0)
 }
--- a/protocol/settings/declaration.go
+++ b/protocol/settings/declaration.go
@@ -8,7 +8,7 @@
 	"quinceroad/state/fleet"
 )
 
-// The ranges of a declaration's values.
+// Limits of values in a declaration.
 const (
 	maxSlots      = 4096
 	maxDeadlineMS = 600_000
@@ -18,29 +18,29 @@
 	maxWeight     = 1000
 )
 
-// LoadFleet reads and checks a declaration.
+// LoadFleet decodes and checks a declaration.
 func LoadFleet(file string, data []byte) (*fleet.Fleet, error) {
 	var f fleet.Fleet
 	d := Decode(file, data, &f)
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
-	d.need("name", f.Name)
-	d.need("region", f.Region)
+	d.requireValue("name", f.Name)
+	d.requireValue("region", f.Region)
 	if len(f.Halls) == 0 {
-		d.Add("halls", "wants at least one hall")
+		d.Add("halls", "needs at least one hall")
 	}
-	d.between("attainment_weight", f.AttainmentWeight, 0, 1)
-	d.between("address_lifetime_seconds", float64(f.AddressTTLSeconds), minLifetime, maxLifetime)
-	d.between("shed", f.ShedSlackFactor, 0, 10)
-	d.oneOf("policy", f.Policy, scheduler.Policies...)
-	d.services(&f)
-	d.pipelines(&f)
-	d.customers(&f)
+	d.requireRange("attainment_weight", f.AttainmentWeight, 0, 1)
+	d.requireRange("address_lifetime_seconds", float64(f.AddressTTLSeconds), minLifetime, maxLifetime)
+	d.requireRange("shed", f.ShedSlackFactor, 0, 10)
+	d.requireOneOf("policy", f.Policy, scheduler.Policies...)
+	d.checkServices(&f)
+	d.checkPipelines(&f)
+	d.checkCustomers(&f)
 	return &f, d.Err()
 }
 
-// LoadPacked reads and checks a declaration as it travels.
+// LoadPacked decompresses, decodes and checks a declaration.
 func LoadPacked(packed []byte) (*fleet.Fleet, error) {
 	text, err := pack.Decompress(packed)
 	if err != nil {
@@ -49,102 +49,102 @@
 	return LoadFleet("revision", text)
 }
 
-func (d *Document) services(f *fleet.Fleet) {
-	names := d.unique("service")
+func (d *Document) checkServices(f *fleet.Fleet) {
+	names := d.newUniqueNames("service")
 	for i, s := range f.Services {
-		key := elem("service", i)
+		key := indexedKey("service", i)
 		names.add(i, s.Name)
-		d.oneOf(key+".kind", string(s.Kind), string(fleet.Engine), string(fleet.Pool), string(fleet.Plain))
-		d.between(key+".slots", float64(s.Slots), 1, maxSlots)
-		d.between(key+".cost", s.Cost, 0, 1e6)
+		d.requireOneOf(key+".kind", string(s.Kind), string(fleet.Engine), string(fleet.Pool), string(fleet.Plain))
+		d.requireRange(key+".slots", float64(s.Slots), 1, maxSlots)
+		d.requireRange(key+".cost", s.Cost, 0, 1e6)
 		if s.Model != "" && s.Kind != fleet.Engine {
 			d.Add(key+".model", "only a service of kind engine has a model")
 		}
 	}
 }
 
-func (d *Document) pipelines(f *fleet.Fleet) {
-	names := d.unique("pipeline")
+func (d *Document) checkPipelines(f *fleet.Fleet) {
+	names := d.newUniqueNames("pipeline")
 	services := make([]string, len(f.Services))
 	for i, s := range f.Services {
 		services[i] = s.Name
 	}
 	for i, p := range f.Pipelines {
-		key := elem("pipeline", i)
+		key := indexedKey("pipeline", i)
 		names.add(i, p.Name)
-		d.between(key+".deadline_ms", float64(p.DeadlineMS), 1, maxDeadlineMS)
-		d.class(key+".priority", p.Priority)
-		d.between(key+".rate", p.Rate, 0, 1e9)
-		d.between(key+".stage", float64(len(p.Stages)), 1, maxStages)
+		d.requireRange(key+".deadline_ms", float64(p.DeadlineMS), 1, maxDeadlineMS)
+		d.requirePriority(key+".priority", p.Priority)
+		d.requireRange(key+".rate", p.Rate, 0, 1e9)
+		d.requireRange(key+".stage", float64(len(p.Stages)), 1, maxStages)
 		if p.Repeatable == p.HasAtMostOnceStage() {
 			d.Add(key+".repeatable", "is %t, but it has a stage with once = true: %t", p.Repeatable, p.HasAtMostOnceStage())
 		}
-		stages := d.unique(key + ".stage")
+		stages := d.newUniqueNames(key + ".stage")
 		for j, s := range p.Stages {
-			at := elem(key+".stage", j)
+			at := indexedKey(key+".stage", j)
 			stages.add(j, s.Name)
-			d.need(at+".operation", s.Operation)
-			d.between(at+".expect_ms", float64(s.ExpectedMS), 1, maxDeadlineMS)
+			d.requireValue(at+".operation", s.Operation)
+			d.requireRange(at+".expect_ms", float64(s.ExpectedMS), 1, maxDeadlineMS)
 			if _, ok := f.Service(s.Service); !ok {
-				d.undeclared(at+".service", s.Service, services)
+				d.addUndeclared(at+".service", s.Service, services)
 			}
 		}
 	}
 }
 
-func (d *Document) customers(f *fleet.Fleet) {
-	names := d.unique("customer")
+func (d *Document) checkCustomers(f *fleet.Fleet) {
+	names := d.newUniqueNames("customer")
 	for i, c := range f.Customers {
-		key := elem("customer", i)
+		key := indexedKey("customer", i)
 		names.add(i, c.Name)
-		d.digest(key+".key_sha256", c.KeySHA256)
-		d.between(key+".weight", float64(c.Weight), 1, maxWeight)
-		d.class(key+".priority", c.Priority)
-		d.between(key+".rate", c.Rate, 0, 1e9)
-		d.between(key+".burst", c.Burst, 0, 1e9)
+		d.requireDigest(key+".key_sha256", c.KeySHA256)
+		d.requireRange(key+".weight", float64(c.Weight), 1, maxWeight)
+		d.requirePriority(key+".priority", c.Priority)
+		d.requireRange(key+".rate", c.Rate, 0, 1e9)
+		d.requireRange(key+".burst", c.Burst, 0, 1e9)
 	}
 }
 
-func (d *Document) class(key, value string) {
-	d.oneOf(key, value, "urgent", "normal", "batch")
+func (d *Document) requirePriority(key, value string) {
+	d.requireOneOf(key, value, "urgent", "normal", "batch")
 }
 
-func (d *Document) between(key string, v, low, high float64) {
+func (d *Document) requireRange(key string, v, low, high float64) {
 	if v < low || v > high {
-		d.Add(key, "wants %g to %g, has %g", low, high, v)
+		d.Add(key, "must be between %g and %g, got %g", low, high, v)
 	}
 }
 
-func (d *Document) undeclared(key, name string, names []string) {
-	if hint := nearest(name, names); hint != "" {
+func (d *Document) addUndeclared(key, name string, names []string) {
+	if hint := closestName(name, names); hint != "" {
 		d.Add(key, "%q is not declared; did you mean %q?", name, hint)
 		return
 	}
 	d.Add(key, "%q is not declared", name)
 }
 
-// uniqueNames collects the names of one list.
+// uniqueNames checks that the names of one list are present and unique.
 type uniqueNames struct {
 	doc  *Document
 	list string
 	seen map[string]int
 }
 
-func (d *Document) unique(list string) *uniqueNames {
+func (d *Document) newUniqueNames(list string) *uniqueNames {
 	return &uniqueNames{doc: d, list: list, seen: make(map[string]int)}
 }
 
 func (u *uniqueNames) add(i int, name string) {
-	key := elem(u.list, i) + ".name"
+	key := indexedKey(u.list, i) + ".name"
 	if name == "" {
 		u.doc.Add(key, "is missing")
 		return
 	}
 	if first, ok := u.seen[name]; ok {
-		u.doc.Add(key, "%q stands already at line %d", name, u.doc.line(elem(u.list, first)+".name"))
+		u.doc.Add(key, "%q is already declared at line %d", name, u.doc.lineOf(indexedKey(u.list, first)+".name"))
 		return
 	}
 	u.seen[name] = i
 }
 
-func elem(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
+func indexedKey(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
--- a/protocol/settings/decode.go
+++ b/protocol/settings/decode.go
@@ -12,63 +12,64 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Document is a decoded file; the lines of its keys are looked up when there is
-// something to say of one.
+// Document is a decoded file and the findings in it. The lines of its keys are
+// determined only when there is a finding.
 type Document struct {
-	File  string
-	data  []byte
-	lines map[string]int
-	found Findings
+	File     string
+	data     []byte
+	lines    map[string]int
+	findings Findings
 }
 
-// Decode reads data into the struct dst points to. The document collects what
-// is wrong; dst holds a value only when Err returns nil.
+// Decode decodes data into the struct that dst points to. The returned document
+// holds the findings; dst is valid only if its Err returns nil.
 func Decode(file string, data []byte, dst any) *Document {
 	d := &Document{File: file, data: data}
-	// Most files are good: one strict pass, with few allocations, says so.
+	// Most files are valid, which one strict pass with few allocations confirms.
 	if toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(dst) == nil {
 		return d
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return d
 	}
-	d.walk("", tree, reflect.TypeOf(dst).Elem())
-	if len(d.found) > 0 {
+	d.checkTree("", tree, reflect.TypeOf(dst).Elem())
+	if len(d.findings) > 0 {
 		return d
 	}
 	if err := toml.Unmarshal(data, dst); err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 	}
 	return d
 }
 
-// Add notes a finding at the line of key, or of the nearest part of it that is there.
+// Add adds a finding at the line of key, or of the longest prefix of key that
+// exists in the file.
 func (d *Document) Add(key, format string, args ...any) {
-	d.found = append(d.found, Finding{File: d.File, Line: d.line(key), Key: key, Text: fmt.Sprintf(format, args...)})
+	d.findings = append(d.findings, Finding{File: d.File, Line: d.lineOf(key), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
 // Err returns the findings, or nil.
-func (d *Document) Err() error { return d.found.Err() }
+func (d *Document) Err() error { return d.findings.Err() }
 
 // Findings returns the findings so far.
-func (d *Document) Findings() Findings { return d.found }
+func (d *Document) Findings() Findings { return d.findings }
 
-func (d *Document) syntax(err error) {
+func (d *Document) addSyntaxError(err error) {
 	var de *toml.DecodeError
 	f := Finding{File: d.File, Text: err.Error()}
 	if errors.As(err, &de) {
 		f.Line, _ = de.Position()
 		f.Key = strings.Join(de.Key(), ".")
 	}
-	d.found = append(d.found, f)
+	d.findings = append(d.findings, f)
 }
 
-func (d *Document) line(key string) int {
+func (d *Document) lineOf(key string) int {
 	if d.lines == nil {
 		d.lines = make(map[string]int)
-		d.index(d.data)
+		d.indexLines(d.data)
 	}
 	for key != "" {
 		if n, ok := d.lines[key]; ok {
@@ -83,11 +84,12 @@
 	return 0
 }
 
-// index notes the line of each key under its path, such as "pipeline[1].stage[0].name".
-func (d *Document) index(data []byte) {
+// indexLines records the line of each key under its path, such as
+// "pipeline[1].stage[0].name".
+func (d *Document) indexLines(data []byte) {
 	counts := make(map[string]int)
 	prefix := ""
-	breaks := lineBreaks(data)
+	breaks := lineEndOffsets(data)
 	p := unstable.Parser{}
 	p.Reset(data)
 	for p.NextExpression() {
@@ -95,10 +97,10 @@
 		it := e.Key()
 		path, line := "", 0
 		for it.Next() {
-			path = join(path, string(it.Node().Data))
+			path = joinKey(path, string(it.Node().Data))
 			line = lineAt(breaks, int(it.Node().Raw.Offset))
 			if !it.IsLast() {
-				path = element(path, counts)
+				path = latestElement(path, counts)
 			}
 		}
 		switch e.Kind {
@@ -106,9 +108,9 @@
 			prefix = path
 		case unstable.ArrayTable:
 			counts[path]++
-			prefix = element(path, counts)
+			prefix = latestElement(path, counts)
 		case unstable.KeyValue:
-			path = join(prefix, path)
+			path = joinKey(prefix, path)
 			d.lines[path] = line
 			continue
 		}
@@ -116,9 +118,9 @@
 	}
 }
 
-// lineBreaks returns the offsets of all line ends; the parser's own way to a
-// line reads the file from its start, each time.
-func lineBreaks(data []byte) []int {
+// lineEndOffsets returns the offsets of all line ends. The parser's own line
+// lookup scans the file from its start each time.
+func lineEndOffsets(data []byte) []int {
 	var out []int
 	for i, b := range data {
 		if b == '\n' {
@@ -133,46 +135,47 @@
 	return i + 1
 }
 
-// element names the latest element when path is an array of tables.
-func element(path string, counts map[string]int) string {
+// latestElement returns the path of the latest element if path is an array of
+// tables, otherwise path itself.
+func latestElement(path string, counts map[string]int) string {
 	if n := counts[path]; n > 0 {
 		return fmt.Sprintf("%s[%d]", path, n-1)
 	}
 	return path
 }
 
-func join(prefix, key string) string {
+func joinKey(prefix, key string) string {
 	if prefix == "" {
 		return key
 	}
 	return prefix + "." + key
 }
 
-// walk compares a decoded tree with the type it is meant for.
-func (d *Document) walk(path string, v any, t reflect.Type) {
+// checkTree compares a decoded value with the type that it is decoded into.
+func (d *Document) checkTree(path string, v any, t reflect.Type) {
 	switch t.Kind() {
 	case reflect.Struct:
-		d.walkStruct(path, v, t)
+		d.checkStruct(path, v, t)
 	case reflect.Slice:
 		list, ok := v.([]any)
 		if !ok {
-			d.Add(path, "wants a list, has %s", kindOf(v))
+			d.Add(path, "expected a list, got %s", tomlType(v))
 			return
 		}
 		for i, e := range list {
-			d.walk(fmt.Sprintf("%s[%d]", path, i), e, t.Elem())
+			d.checkTree(fmt.Sprintf("%s[%d]", path, i), e, t.Elem())
 		}
 	default:
-		if !fits(v, t.Kind()) {
-			d.Add(path, "wants %s, has %s", t.Kind(), kindOf(v))
+		if !isAssignable(v, t.Kind()) {
+			d.Add(path, "expected %s, got %s", t.Kind(), tomlType(v))
 		}
 	}
 }
 
-func (d *Document) walkStruct(path string, v any, t reflect.Type) {
+func (d *Document) checkStruct(path string, v any, t reflect.Type) {
 	tree, ok := v.(map[string]any)
 	if !ok {
-		d.Add(path, "wants a table, has %s", kindOf(v))
+		d.Add(path, "expected a table, got %s", tomlType(v))
 		return
 	}
 	fields := make(map[string]reflect.Type, t.NumField())
@@ -184,18 +187,18 @@
 	}
 	for k, e := range tree {
 		ft, ok := fields[k]
-		switch hint := nearest(k, names); {
+		switch hint := closestName(k, names); {
 		case ok:
-			d.walk(join(path, k), e, ft)
+			d.checkTree(joinKey(path, k), e, ft)
 		case hint != "":
-			d.Add(join(path, k), "unknown key; did you mean %q?", hint)
+			d.Add(joinKey(path, k), "unknown key; did you mean %q?", hint)
 		default:
-			d.Add(join(path, k), "unknown key")
+			d.Add(joinKey(path, k), "unknown key")
 		}
 	}
 }
 
-func fits(v any, k reflect.Kind) bool {
+func isAssignable(v any, k reflect.Kind) bool {
 	switch v.(type) {
 	case string:
 		return k == reflect.String
@@ -209,7 +212,7 @@
 	return false
 }
 
-func kindOf(v any) string {
+func tomlType(v any) string {
 	switch v.(type) {
 	case string:
 		return "a string"
--- a/protocol/settings/findings.go
+++ b/protocol/settings/findings.go
@@ -1,5 +1,5 @@
-// Package settings reads TOML strictly: what is wrong with a file is collected
-// with its place and reported together, in one run.
+// Package settings reads and strictly checks TOML files. All findings in a file
+// are collected with their lines and reported together.
 package settings
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Finding is one thing wrong with a file.
+// Finding is one error in a file.
 type Finding struct {
 	File string `json:"file"`
 	Line int    `json:"line"` // 0 when the key is absent
@@ -21,10 +21,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Text)
 }
 
-// Findings is all that is wrong with a file; it is an error when not empty.
+// Findings holds all errors in a file; it is an error if it is not empty.
 type Findings []Finding
 
-// Error returns one finding a line.
+// Error returns one finding per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -33,7 +33,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the findings in the order of their lines, or nil when there are none.
+// Err returns the findings sorted by line, or nil if there are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -42,19 +42,20 @@
 	return f
 }
 
-// nearest returns the name closest to word, or "" when none is close.
-func nearest(word string, names []string) string {
+// closestName returns the name closest to word, or "" if none has a Levenshtein
+// distance below 3.
+func closestName(word string, names []string) string {
 	best, least := "", 3
 	for _, n := range names {
-		if d := distance(word, n); d < least {
+		if d := levenshtein(word, n); d < least {
 			best, least = n, d
 		}
 	}
 	return best
 }
 
-// distance is the Levenshtein distance of a and b.
-func distance(a, b string) int {
+// levenshtein returns the Levenshtein distance of a and b.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/protocol/settings/instance.go
+++ b/protocol/settings/instance.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Instance is the settings file of one instance; its entry and its coord read
-// the same file.
+// Instance is the settings file of one instance, which its entry and its coord
+// both read.
 type Instance struct {
 	Name       string     `toml:"name"`
 	Hall       string     `toml:"hall"`
@@ -22,23 +22,23 @@
 	Operators  []Operator `toml:"operator"`
 }
 
-// Entry is where the entry process listens; all are IP:port.
+// Entry holds the listen addresses of the entry process, all IP:port.
 type Entry struct {
-	HTTP           string `toml:"http"`  // callers
-	Link           string `toml:"link"`  // peers
-	AdvertisedLink string `toml:"known"` // the link as peers reach it, when not the same
+	HTTP           string `toml:"http"`  // for callers
+	Link           string `toml:"link"`  // for peers
+	AdvertisedLink string `toml:"known"` // address of Link as seen by peers; defaults to Link
 	Admin          string `toml:"admin"` // metrics, health, state dump
 }
 
-// Coord is where the coord process listens; all are IP:port.
+// Coord holds the listen addresses of the coord process, all IP:port.
 type Coord struct {
-	Link           string `toml:"link"`      // local entry and peers
-	AdvertisedLink string `toml:"known"`     // the link as peers reach it, when not the same
+	Link           string `toml:"link"`      // for the local entry and peers
+	AdvertisedLink string `toml:"known"`     // address of Link as seen by peers; defaults to Link
 	Operators      string `toml:"operators"` // intent API
 	Admin          string `toml:"admin"`     // metrics, health, state dump
 }
 
-// Operator may use the intent API.
+// Operator is a user of the intent API.
 type Operator struct {
 	Name        string `toml:"name"`
 	TokenSHA256 string `toml:"token_sha256"`
@@ -53,46 +53,46 @@
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
-	d.need("name", s.Name)
-	d.need("hall", s.Hall)
-	d.need("region", s.Region)
-	d.oneOf("log_level", s.LogLevel, "", "trace", "debug", "info", "warn", "error")
-	d.oneOf("log_format", s.LogFormat, "", "text", "json")
-	d.address("platform", s.Platform)
-	d.address("entry.http", s.Entry.HTTP)
-	d.address("entry.link", s.Entry.Link)
-	d.address("entry.admin", s.Entry.Admin)
-	d.address("coord.link", s.Coord.Link)
-	d.address("coord.operators", s.Coord.Operators)
-	d.address("coord.admin", s.Coord.Admin)
+	d.requireValue("name", s.Name)
+	d.requireValue("hall", s.Hall)
+	d.requireValue("region", s.Region)
+	d.requireOneOf("log_level", s.LogLevel, "", "trace", "debug", "info", "warn", "error")
+	d.requireOneOf("log_format", s.LogFormat, "", "text", "json")
+	d.requireAddress("platform", s.Platform)
+	d.requireAddress("entry.http", s.Entry.HTTP)
+	d.requireAddress("entry.link", s.Entry.Link)
+	d.requireAddress("entry.admin", s.Entry.Admin)
+	d.requireAddress("coord.link", s.Coord.Link)
+	d.requireAddress("coord.operators", s.Coord.Operators)
+	d.requireAddress("coord.admin", s.Coord.Admin)
 	if s.Entry.AdvertisedLink == "" {
 		s.Entry.AdvertisedLink = s.Entry.Link
 	}
 	if s.Coord.AdvertisedLink == "" {
 		s.Coord.AdvertisedLink = s.Coord.Link
 	}
-	d.address("entry.known", s.Entry.AdvertisedLink)
-	d.address("coord.known", s.Coord.AdvertisedLink)
+	d.requireAddress("entry.known", s.Entry.AdvertisedLink)
+	d.requireAddress("coord.known", s.Coord.AdvertisedLink)
 	for i, a := range s.Seeds {
-		d.address(elem("seeds", i), a)
+		d.requireAddress(indexedKey("seeds", i), a)
 	}
 	if len(s.TicketKeys) == 0 {
-		d.Add("ticket_keys", "wants at least one key")
+		d.Add("ticket_keys", "needs at least one key")
 	}
 	for i, k := range s.TicketKeys {
 		if b, err := hex.DecodeString(k); err != nil || len(b) < minKeyBytes {
-			d.Add(elem("ticket_keys", i), "wants at least %d bytes in hex", minKeyBytes)
+			d.Add(indexedKey("ticket_keys", i), "must have at least %d bytes, in hex", minKeyBytes)
 		}
 	}
-	names := d.unique("operator")
+	names := d.newUniqueNames("operator")
 	for i, o := range s.Operators {
 		names.add(i, o.Name)
-		d.digest(elem("operator", i)+".token_sha256", o.TokenSHA256)
+		d.requireDigest(indexedKey("operator", i)+".token_sha256", o.TokenSHA256)
 	}
 	return &s, d.Err()
 }
 
-// Keys returns the ticket keys; the first signs.
+// Keys returns the decoded ticket keys; the first is used for signing.
 func (s *Instance) Keys() [][]byte {
 	out := make([][]byte, len(s.TicketKeys))
 	for i, k := range s.TicketKeys {
@@ -101,32 +101,32 @@
 	return out
 }
 
-func (d *Document) need(key, value string) {
+func (d *Document) requireValue(key, value string) {
 	if value == "" {
 		d.Add(key, "is missing")
 	}
 }
 
-func (d *Document) oneOf(key, value string, names ...string) {
+func (d *Document) requireOneOf(key, value string, names ...string) {
 	if slices.Contains(names, value) {
 		return
 	}
-	if hint := nearest(value, names); hint != "" {
+	if hint := closestName(value, names); hint != "" {
 		d.Add(key, "unknown value %q; did you mean %q?", value, hint)
 		return
 	}
-	d.Add(key, "unknown value %q; wants one of %q", value, names)
+	d.Add(key, "unknown value %q; must be one of %q", value, names)
 }
 
-// address wants IP:port, since the platform names nothing by host name.
-func (d *Document) address(key, value string) {
+// requireAddress accepts only IP:port, since the platform has no host names.
+func (d *Document) requireAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		d.Add(key, "wants IP:port, has %q", value)
+		d.Add(key, "must be IP:port, got %q", value)
 	}
 }
 
-func (d *Document) digest(key, value string) {
+func (d *Document) requireDigest(key, value string) {
 	if b, err := hex.DecodeString(value); err != nil || len(b) != 32 {
-		d.Add(key, "wants a SHA-256 digest in hex")
+		d.Add(key, "must be a SHA-256 digest in hex")
 	}
 }
--- a/protocol/settings/settings_test.go
+++ b/protocol/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-const badFleet = `name = "x"
+const malformedFleet = `name = "x"
 region = "r"
 halls = ["h"]
 attainment_weight = 1.5
@@ -26,7 +26,7 @@
 slots = "four"
 `
 
-const dangling = `name = "x"
+const invalidFleet = `name = "x"
 region = "r"
 halls = ["h"]
 attainment_weight = 1.5
@@ -58,21 +58,21 @@
 once = true
 `
 
-// All findings of a file come in one run, each with its line.
-func TestFindingsTogether(t *testing.T) {
+// All findings in a file are reported together, each with its line.
+func TestAllFindingsAreReported(t *testing.T) {
 	cases := []struct {
 		name, text string
 		want       []string
 	}{
-		{"shape", badFleet, []string{
+		{"shape", malformedFleet, []string{
 			`f.toml:8: polcy: unknown key; did you mean "policy"?`,
-			`f.toml:13: service[0].slots: wants int, has a string`,
+			`f.toml:13: service[0].slots: expected int, got a string`,
 		}},
-		{"meaning", dangling, []string{
-			`f.toml:4: attainment_weight: wants 0 to 1, has 1.5`,
+		{"meaning", invalidFleet, []string{
+			`f.toml:4: attainment_weight: must be between 0 and 1, got 1.5`,
 			`f.toml:6: policy: unknown value "permit"; did you mean "permits"?`,
-			`f.toml:15: service[1].name: "enc" stands already at line 10`,
-			`f.toml:17: service[1].slots: wants 1 to 4096, has 0`,
+			`f.toml:15: service[1].name: "enc" is already declared at line 10`,
+			`f.toml:17: service[1].slots: must be between 1 and 4096, got 0`,
 			`f.toml:23: pipeline[0].repeatable: is true, but it has a stage with once = true: true`,
 			`f.toml:27: pipeline[0].stage[0].service: "encc" is not declared; did you mean "enc"?`,
 		}},
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	fleets, err := filepath.Glob("../../examples/*/fleet.toml")
 	is.NoErr(err)
@@ -115,8 +115,8 @@
 	}
 }
 
-// BenchmarkLoadFleet reads a declaration of so many customers: its time must
-// grow with the text, not with its square.
+// BenchmarkLoadFleet loads declarations with growing numbers of customers: the
+// time must grow linearly with the length of the text, not quadratically.
 func BenchmarkLoadFleet(b *testing.B) {
 	text, err := os.ReadFile("../../examples/kalahari/fleet.toml")
 	if err != nil {
@@ -140,13 +140,13 @@
 }
 
 func FuzzLoadFleet(f *testing.F) {
-	f.Add([]byte(badFleet))
-	f.Add([]byte(dangling))
+	f.Add([]byte(malformedFleet))
+	f.Add([]byte(invalidFleet))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, err := LoadFleet("f", text)
 		var found Findings
 		if err != nil && !errors.As(err, &found) {
-			t.Fatalf("not findings: %v", err)
+			t.Fatalf("error is not of type Findings: %v", err)
 		}
 	})
 }
