--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -5,7 +5,7 @@
 
 	"quinceroad/coordination/cells"
 	"quinceroad/platform"
-	"quinceroad/protocol/exchange"
+	"quinceroad/protocol/clientrequest"
 	"quinceroad/state/catalog"
 )
 
@@ -117,7 +117,7 @@
 
 // cellOfRequest returns the cell of a region that a request belongs to. Requests
 // that share a prompt belong to the same cell.
-func (w *snapshot) cellOfRequest(r *exchange.Request, region string) int {
+func (w *snapshot) cellOfRequest(r *clientrequest.Request, region string) int {
 	key := r.ID
 	if shared := r.SharedPrefix(); len(shared) > 0 {
 		key = shared[len(shared)-1].ID
--- a/cmd/node/listeners.go
+++ b/cmd/node/listeners.go
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 
 	"quinceroad/platform"
+	"quinceroad/protocol/clientrequest"
 	"quinceroad/protocol/event"
-	"quinceroad/protocol/exchange"
 )
 
 // Limits of client requests, where no configuration sets them.
@@ -120,7 +120,7 @@
 	n.handleRequest(r.Context(), w, req)
 }
 
-func (n *Node) writeError(w http.ResponseWriter, req *exchange.Request, err error) {
+func (n *Node) writeError(w http.ResponseWriter, req *clientrequest.Request, err error) {
 	own := &answerError{status: http.StatusBadRequest, text: err.Error()}
 	var as *answerError
 	if errors.As(err, &as) {
@@ -137,7 +137,7 @@
 }
 
 // readRequest reads a request and checks it against the size limits.
-func (n *Node) readRequest(w http.ResponseWriter, r *http.Request, arrived time.Duration) (*exchange.Request, error) {
+func (n *Node) readRequest(w http.ResponseWriter, r *http.Request, arrived time.Duration) (*clientrequest.Request, error) {
 	req, err := platform.ParseRequest(r)
 	req.ArrivedAt = arrived
 	if err != nil {
--- a/cmd/node/regions_test.go
+++ b/cmd/node/regions_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"quinceroad/protocol/exchange"
+	"quinceroad/protocol/clientrequest"
 	"quinceroad/state/catalog"
 )
 
@@ -23,6 +23,6 @@
 	before, after := &snapshot{config: route(true)}, &snapshot{config: route(false)}
 	n := &Node{}
 	n.world.Store(after)
-	s := &requestHandler{node: n, world: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
+	s := &requestHandler{node: n, world: before, route: &before.config.Routes[0], req: &clientrequest.Request{Host: "h", Path: "/x"}}
 	is.Equal(s.allowedRegions().Names(), []string{"north"})
 }
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -12,8 +12,8 @@
 	"quinceroad/coordination/regions"
 	"quinceroad/coordination/retry"
 	"quinceroad/platform"
+	"quinceroad/protocol/clientrequest"
 	"quinceroad/protocol/event"
-	"quinceroad/protocol/exchange"
 	"quinceroad/state/catalog"
 )
 
@@ -41,7 +41,7 @@
 type requestHandler struct {
 	node        *Node
 	w           http.ResponseWriter
-	req         *exchange.Request
+	req         *clientrequest.Request
 	world       *snapshot
 	route       *catalog.Route
 	service     *catalog.Service
@@ -83,7 +83,7 @@
 )
 
 // handleRequest serves a request until it is answered.
-func (n *Node) handleRequest(ctx context.Context, w http.ResponseWriter, req *exchange.Request) {
+func (n *Node) handleRequest(ctx context.Context, w http.ResponseWriter, req *clientrequest.Request) {
 	n.counters.requests.Inc(1)
 	s, err := n.admit(w, req)
 	if err != nil {
@@ -106,7 +106,7 @@
 }
 
 // admit finds the request's route, customer and service.
-func (n *Node) admit(w http.ResponseWriter, req *exchange.Request) (*requestHandler, error) {
+func (n *Node) admit(w http.ResponseWriter, req *clientrequest.Request) (*requestHandler, error) {
 	world := n.world.Load()
 	if world.config == nil {
 		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoConfiguration.Error()}
--- a/protocol/exchange/exchange.go
+++ b/protocol/clientrequest/request.go
@@ -1,6 +1,6 @@
-// Package exchange holds a client's request in internal form, independent of the
+// Package clientrequest holds a client's request in internal form, independent of the
 // platform's header names, on its way from the client to a replica.
-package exchange
+package clientrequest
 
 import (
 	"net/http"
