--- a/cmd/coord/list.go
+++ b/cmd/coord/list.go
@@ -50,7 +50,7 @@
 // can't wait, a replica's leaving, comes by signs.
 func (c *Coord) pollList() time.Duration {
 	c.count.platformReads.Inc(1)
-	list, size, err := c.platform.Instances()
+	list, size, err := c.platform.ListReplicas()
 	if err != nil {
 		c.count.platformFailed.Inc(1)
 		if !c.hasList() {
@@ -58,7 +58,7 @@
 		}
 		return 0
 	}
-	c.takeList(convert.FromListed(list))
+	c.takeList(convert.FromListedReplicas(list))
 	return time.Duration(float64(size) / listBytes * float64(time.Second))
 }
 
@@ -167,7 +167,7 @@
 
 func (c *Coord) logLeaving(rs []replicas.Replica, sign string) {
 	for _, r := range rs {
-		event.ReplicaLeaves.Log(c.log, "replica", r.ID, "incarnation", r.Incarnation, "sign", sign)
+		event.ReplicaDraining.Log(c.log, "replica", r.ID, "incarnation", r.Incarnation, "sign", sign)
 	}
 }
 
--- a/cmd/entry/attempt.go
+++ b/cmd/entry/attempt.go
@@ -112,7 +112,7 @@
 	if !ok {
 		conn.Close()
 		sl.release(0, false)
-		return nil, 0, upstream.ErrToken
+		return nil, 0, upstream.ErrNotDispatched
 	}
 	s.attempts++
 	s.atMostOnceSent = s.stage.AtMostOnce
@@ -123,7 +123,7 @@
 	s.addCost(took)
 	if ans != nil {
 		s.tokens = append(s.tokens, ans.Tokens...)
-		e.recordAnswer(rep, ans.Leaving, ans.Incarnation)
+		e.recordAnswer(rep, ans.Draining, ans.Incarnation)
 	}
 	if err == nil {
 		err = checkAnswer(s, ans)
@@ -144,8 +144,8 @@
 		deadline = s.deadline.Add(atMostOnceGrace)
 	}
 	c := &upstream.Call{
-		Request: s.id, Stage: s.stage.Name, Attempt: s.attempts, Op: s.stage.Operation, Class: int(s.class),
-		Input: s.input, Earlier: slices.Clone(s.tokens), Deadline: deadline,
+		Request: s.id, Stage: s.stage.Name, Attempt: s.attempts, Operation: s.stage.Operation, Class: int(s.class),
+		Input: s.input, PriorTokens: slices.Clone(s.tokens), Deadline: deadline,
 	}
 	if s.streamsTokens() {
 		c.OnToken = s.onToken
@@ -243,8 +243,8 @@
 
 // recordDropped counts and logs a response that was discarded.
 func (e *Entry) recordDropped(s *stageRun, replica string, err error) {
-	if errors.Is(err, upstream.ErrCrossed) || errors.Is(err, upstream.ErrCut) {
+	if errors.Is(err, upstream.ErrWrongRequest) || errors.Is(err, upstream.ErrIncomplete) {
 		e.counters.dropped.Inc(1)
-		event.LateAnswer.Log(e.log, "request", s.id, "stage", s.stage.Name, "replica", replica, "error", err.Error())
+		event.AnswerDropped.Log(e.log, "request", s.id, "stage", s.stage.Name, "replica", replica, "error", err.Error())
 	}
 }
--- a/cmd/entry/draining.go
+++ b/cmd/entry/draining.go
@@ -35,7 +35,7 @@
 	advisory := &pb.Beat{Leaving: []*pb.Replica{convert.Replica(r)}}
 	go func() {
 		// On failure the advisory arrives from peers or with the list of replicas.
-		_ = e.links.Call(e.settings.Coord.Link, frame.Leaving, advisory, &pb.Noted{}, advisoryTimeout)
+		_ = e.links.Call(e.settings.Coord.Link, frame.DrainingReplicas, advisory, &pb.Noted{}, advisoryTimeout)
 	}()
 }
 
@@ -53,8 +53,8 @@
 	if e.probeClient.DoTimeout(req, resp, probeTimeout) != nil {
 		return false // the attempt itself will fail or succeed
 	}
-	leaving := len(resp.Header.Peek(api.HeaderLeaving)) > 0
-	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(api.HeaderIncarnat)), 10, 64)
+	leaving := len(resp.Header.Peek(api.HeaderDraining)) > 0
+	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(api.HeaderIncarnation)), 10, 64)
 	e.recordAnswer(r, leaving, incarnation)
 	return leaving
 }
--- a/cmd/entry/entry.go
+++ b/cmd/entry/entry.go
@@ -144,7 +144,7 @@
 
 // Start implements process.Process.
 func (e *Entry) Start() (err error) {
-	onPanic := func(v any) { event.Panicked.Log(e.log, "panic", v) }
+	onPanic := func(v any) { event.EntryPanicked.Log(e.log, "panic", v) }
 	if e.peerServer, err = link.Listen(e.settings.Entry.Link, e.servePeer, e.traffic); err != nil {
 		return err
 	}
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -61,10 +61,10 @@
 		err = e.publishSuccession(successor)
 	}
 	if err != nil {
-		event.HandoverFails.Log(e.log, "error", err.Error())
+		event.LedgerHandoverFailed.Log(e.log, "error", err.Error())
 		return
 	}
-	event.HandedOver.Log(e.log, "heir", successor.Name, "entries", len(entries))
+	event.LedgerHandedOver.Log(e.log, "heir", successor.Name, "entries", len(entries))
 	time.Sleep(successionDelay)
 }
 
@@ -189,6 +189,6 @@
 	e.ledger.Adopt(pending.lineage, pending.entries, e.now())
 	e.adoptedIncarnations = e.ledger.AdoptedIncarnations()
 	e.ledgerMu.Unlock()
-	event.Adopted.Log(e.log, "from", from, "entries", len(pending.entries))
+	event.LedgerAdopted.Log(e.log, "from", from, "entries", len(pending.entries))
 	e.announceToCoord()
 }
--- a/cmd/entry/owner_stream.go
+++ b/cmd/entry/owner_stream.go
@@ -130,7 +130,7 @@
 func (o *ownerStream) markUnresponsive(service string) {
 	until := int64(o.client.entry.now() + ownerBackoff)
 	if o.backoffUntil.Swap(until) < int64(o.client.entry.now()) {
-		event.OwnerLost.Log(o.client.entry.log, "service", service, "owner", o.addr)
+		event.SlotOwnerUnreachable.Log(o.client.entry.log, "service", service, "owner", o.addr)
 	}
 }
 
--- a/cmd/entry/requests.go
+++ b/cmd/entry/requests.go
@@ -75,7 +75,7 @@
 	}
 	// The map is keyed by digests, so timing differences of the lookup do not help
 	// to guess a key.
-	c, ok := v.customers[web.Digest(key)]
+	c, ok := v.customers[web.KeyDigest(key)]
 	if !ok {
 		event.Unauthorized.Log(e.log, "code", codeUnknownCustomer, "path", string(ctx.Path()))
 		return nil, badRequest("", 401, codeUnknownCustomer, "no customer has this key")
@@ -157,7 +157,7 @@
 		e.rejectRequest(ctx, unknownIfNumbered(fail, ticketText))
 		return
 	}
-	label := string(ctx.Request.Header.Peek(api.HeaderID))
+	label := string(ctx.Request.Header.Peek(api.HeaderRequestID))
 	if fail := r.assignID(label); fail != nil {
 		e.rejectRequest(ctx, fail)
 		return
@@ -169,7 +169,7 @@
 		e.serveStream(ctx, r)
 	default:
 		// fasthttp does not report when a client disconnects.
-		r.probeConnection = func() bool { return peek.Look(ctx.Conn()) == peek.Closed }
+		r.probeConnection = func() bool { return peek.Inspect(ctx.Conn()) == peek.Closed }
 		e.writeResult(ctx, e.admitAndRun(r))
 	}
 }
@@ -214,7 +214,7 @@
 // assignID sets the run's id: the client's label, or "r" without one, and a random suffix.
 func (r *run) assignID(label string) *api.Error {
 	if len(label) > maxLabelBytes || strings.ContainsFunc(label, func(c rune) bool { return c <= ' ' || c > '~' || c == '.' }) {
-		return badRequest("", 400, "bad_request_id", "%s wants at most %d visible ASCII characters without a dot", api.HeaderID, maxLabelBytes)
+		return badRequest("", 400, "bad_request_id", "%s wants at most %d visible ASCII characters without a dot", api.HeaderRequestID, maxLabelBytes)
 	}
 	if label == "" {
 		label = "r"
--- a/cmd/entry/stream.go
+++ b/cmd/entry/stream.go
@@ -60,7 +60,7 @@
 func (e *Entry) runRecovered(r *run) (f *runResult) {
 	defer func() {
 		if v := recover(); v != nil {
-			event.Panicked.Log(e.log, "panic", v)
+			event.EntryPanicked.Log(e.log, "panic", v)
 			f = &runResult{err: unknownOutcome(r.id, "internal", "internal error; the request may have run")}
 		}
 	}()
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -44,7 +44,7 @@
 		return
 	}
 	a := e.runNumbered(n, 0)
-	web.Raw(ctx, a.status, a.body)
+	web.RawJSON(ctx, a.status, a.body)
 }
 
 func (e *Entry) parseTicket(r *run, ticketText string) (*numberedRun, *api.Error) {
@@ -195,14 +195,14 @@
 		return reply{}, true
 	case err == nil:
 		return reply{status: int(r.GetStatus()), body: r.GetBody()}, false
-	case home.Leaving && link.NotSent(err):
+	case home.Leaving && link.IsDialError(err):
 		return reply{}, true
 	}
 	return e.homeUnreachable(n), false
 }
 
 func (e *Entry) homeUnreachable(n *numberedRun) reply {
-	event.HomeLost.Log(e.log, "request", n.id, "home", n.prefix.Home)
+	event.TicketHomeUnreachable.Log(e.log, "request", n.id, "home", n.prefix.Home)
 	e.countOutcome(outcome.Unknown)
 	return encodeError(unknownOutcome(n.id, "home_unreachable", "only "+n.prefix.Home+" may run this number and it can't be reached; the request may have run"))
 }
@@ -211,7 +211,7 @@
 func (e *Entry) servePeer(k frame.Kind, first []byte, s net.Conn) {
 	defer func() { // a panic ends only the stream whose message caused it
 		if v := recover(); v != nil {
-			event.Panicked.Log(e.log, "panic", v)
+			event.EntryPanicked.Log(e.log, "panic", v)
 		}
 	}()
 	switch k {
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		if err != nil && e.viewErr.Swap(&err) == nil {
-			event.ViewLost.Log(e.log, "error", err.Error())
+			event.CoordUnreachable.Log(e.log, "error", err.Error())
 		}
 		select {
 		case <-ctx.Done():
@@ -124,7 +124,7 @@
 	return &pb.Watch{
 		EntryIncarnation: e.incarnation,
 		EntryHttp:        http,
-		EntryLink:        e.settings.Entry.Known,
+		EntryLink:        e.settings.Entry.AdvertisedLink,
 		Succeeds:         succeeds,
 		Leaving:          e.draining.Load(),
 	}
@@ -171,7 +171,7 @@
 			next.replicas[r.ID] = r
 			addrs[r.Address] = true
 		}
-		e.upstreams.Forget(addrs)
+		e.upstreams.CloseIdleExcept(addrs)
 		changed = true
 	}
 	if changed {
@@ -185,13 +185,13 @@
 func (e *Entry) applyConfig(v *view, c *pb.Config) bool {
 	if c.GetRevision() <= v.revision {
 		if c.GetRevision() < v.revision {
-			event.ViewRefused.Log(e.log, "revision", c.GetRevision(), "error", "older than the one in force")
+			event.EntryConfigRefused.Log(e.log, "revision", c.GetRevision(), "error", "older than the one in force")
 		}
 		return false
 	}
 	f, err := settings.LoadPacked(c.GetDeclaration())
 	if err != nil {
-		event.ViewRefused.Log(e.log, "revision", c.GetRevision(), "error", err.Error())
+		event.EntryConfigRefused.Log(e.log, "revision", c.GetRevision(), "error", err.Error())
 		return false
 	}
 	v.revision, v.fleet = c.GetRevision(), f
@@ -203,7 +203,7 @@
 	for i := range f.Customers {
 		v.customers[f.Customers[i].KeySHA256] = &f.Customers[i]
 	}
-	event.ViewAdopted.Log(e.log, "revision", v.revision)
+	event.EntryConfigAdopted.Log(e.log, "revision", v.revision)
 	return true
 }
 
--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -117,7 +117,7 @@
 	logged, isNew := s.unknownFields.Record(service, name)
 	s.mu.Unlock()
 	if isNew {
-		event.NodeWordUnread.Log(n.log, "service", service, "word", logged, "in", source)
+		event.NodeUnknownReplicaField.Log(n.log, "service", service, "word", logged, "in", source)
 	}
 }
 
@@ -129,7 +129,7 @@
 	if !isNew {
 		return
 	}
-	event.NodeReplicaSaysLeaves.Log(n.log, "replica", incarnation, "by", source)
+	event.NodeReplicaDrainAdvisory.Log(n.log, "replica", incarnation, "by", source)
 	n.publish()
 }
 
@@ -143,7 +143,7 @@
 	n.detectorMu.Unlock()
 	if isNew {
 		n.counters.backoffs.Inc(1)
-		event.NodeReplicaRests.Log(n.log, "replica", from.incarnation, "service", from.service, "for", duration)
+		event.NodeReplicaBackoff.Log(n.log, "replica", from.incarnation, "service", from.service, "for", duration)
 	}
 }
 
@@ -183,10 +183,10 @@
 		}
 	})
 	for _, incarnation := range changes.BackoffEnded {
-		event.NodeReplicaRested.Log(n.log, "replica", incarnation)
+		event.NodeReplicaBackoffEnded.Log(n.log, "replica", incarnation)
 	}
 	for _, incarnation := range changes.Removed {
-		event.NodeReplicaLeft.Log(n.log, "replica", incarnation)
+		event.NodeReplicaRemoved.Log(n.log, "replica", incarnation)
 	}
 	n.counters.setReplicaGauges("leaving", draining)
 	n.counters.setReplicaGauges("resting", inBackoff)
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -73,7 +73,7 @@
 		return errNoReplicaReached
 	}
 	defer func() { n.advisories.endAttempt(advisoryAttempt) }()
-	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.Asleep(), advisoryAttempt: advisoryAttempt}
+	a := &attempt{requestHandler: s, replica: r, conn: conn, sentAt: n.now(), suspendedBefore: n.clock.TotalSuspended(), advisoryAttempt: advisoryAttempt}
 	token, ok := s.record.Dispatch()
 	if !ok {
 		conn.Close()
@@ -149,10 +149,10 @@
 		err = errClientGone
 	}
 	kind := a.endingKind(ctx, err)
-	suspended := n.clock.Asleep() != a.suspendedBefore
+	suspended := n.clock.TotalSuspended() != a.suspendedBefore
 	if err != nil {
-		event.NodeAttempt.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
-			"took", took, "kept", a.conn.Kept(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Backoff, "leaves", a.head.Draining)
+		event.NodeAttemptFailed.Log(n.log, "request", a.req.ID, "fingerprint", a.fingerprint, "replica", a.replica.ID, "why", err,
+			"took", took, "kept", a.conn.IsReused(), "last_event", a.stream.lastEventID, "chosen", a.chosenBy, "rest", a.head.Backoff, "leaves", a.head.Draining)
 	}
 	n.detectorMu.Lock()
 	if err == nil && !suspended {
@@ -262,7 +262,7 @@
 		TimeLeft:  a.deadline - a.node.now(),
 		FetchFrom: fetch,
 		Urgency:   -1,
-		LastEvent: a.req.LastEvent,
+		LastEvent: a.req.LastEventID,
 	}
 	if a.service.Engine != nil {
 		send.Urgency = a.rank / customerRankFactor
@@ -327,7 +327,7 @@
 		return a.forwardStream(timer)
 	}
 	body, err := io.ReadAll(io.LimitReader(a.exchange, maxAnswerBytes))
-	if err != nil || !a.exchange.Whole() {
+	if err != nil || !a.exchange.IsComplete() {
 		return a.abortReasonOr(errAnswerBroken)
 	}
 	timer.Stop()
--- a/cmd/node/backoff.go
+++ b/cmd/node/backoff.go
@@ -110,7 +110,7 @@
 	if s.route.Objective == 0 {
 		return s.deadline
 	}
-	return min(s.req.Arrived+s.route.Objective, s.deadline)
+	return min(s.req.ArrivedAt+s.route.Objective, s.deadline)
 }
 
 // checkAllDraining returns errAllDraining if the service has replicas and all of them are
@@ -141,7 +141,7 @@
 		return false
 	}
 	now := s.node.now()
-	latest := s.req.Arrived + time.Duration(float64(s.route.Objective)*maxWaitShare)
+	latest := s.req.ArrivedAt + time.Duration(float64(s.route.Objective)*maxWaitShare)
 	if s.stream.headersSent || s.job != nil && len(s.job.handles) > 0 {
 		latest = s.latestUsefulAnswer()
 	}
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -98,7 +98,7 @@
 
 func (c *cell) runCall(ctx context.Context, call pipeline.Call) {
 	n := c.owner.node
-	startedAt, asleep := n.now(), n.clock.Asleep()
+	startedAt, asleep := n.now(), n.clock.TotalSuspended()
 	replica := catalog.Replica{ID: call.Replica, Service: call.Service, Version: n.versionOf(call.Replica)}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -113,7 +113,7 @@
 	} else {
 		leaveRollout()
 	}
-	n.recordRolloutBatch(&replica, endingOf(outcome, results), n.clock.Asleep() != asleep, n.now()-startedAt)
+	n.recordRolloutBatch(&replica, endingOf(outcome, results), n.clock.TotalSuspended() != asleep, n.now()-startedAt)
 	c.logCall(call, results, n.now()-startedAt)
 	c.mu.Lock()
 	if cancel := c.calls[call.ID]; cancel != nil {
@@ -125,7 +125,7 @@
 	n.counters.items.Inc(int64(len(call.Items)))
 	if outcome != pipeline.Answered {
 		n.counters.lostBatches.Inc(1)
-		event.NodeCallLost.Log(n.log, "replica", call.Replica, "pieces", len(call.Items), "fate", int(outcome))
+		event.NodeBatchFailed.Log(n.log, "replica", call.Replica, "pieces", len(call.Items), "fate", int(outcome))
 	}
 	if outcome == pipeline.WrongReplica {
 		n.recordDrainSign(call.Replica, "stranger")
@@ -193,7 +193,7 @@
 	for _, r := range results {
 		counts[r.Reason]++
 	}
-	event.NodeCallDone.Log(n.log, "replica", call.Replica, "service", call.Service, "pieces", len(call.Items), "took", duration,
+	event.NodeBatchDone.Log(n.log, "replica", call.Replica, "service", call.Service, "pieces", len(call.Items), "took", duration,
 		"no_room", counts[pipeline.MemoryFull], "gone", counts[pipeline.InputMissing], "late", counts[pipeline.Expired], "failed", counts[pipeline.ItemFailed])
 }
 
@@ -263,7 +263,7 @@
 	n := c.owner.node
 	parts, err := n.fetchCachedParts(r)
 	if err != nil {
-		event.NodeKeptUnknown.Log(n.log, "replica", r.ID, "error", err)
+		event.NodeCachedPrefixesUnknown.Log(n.log, "replica", r.ID, "error", err)
 		return
 	}
 	c.mu.Lock()
--- a/cmd/node/compatibility_test.go
+++ b/cmd/node/compatibility_test.go
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
 	source := &manualTime{}
-	n.clock = clock.From(source)
+	n.clock = clock.NewFromSource(source)
 	n.recordStatedDrain("e1@7", "its own")
 	n.recordDrainSign("e2", "peer")
 	for range 100 {
@@ -150,7 +150,7 @@
 	is.NoErr(err)
 	defer server.Stop()
 	err = n.links.Call(at, frame.Kind(200), &pb.TrialAsk{}, &pb.TrialReply{}, time.Second)
-	is.Equal(err, frame.ErrUnknown)
+	is.Equal(err, frame.ErrUnknownKind)
 }
 
 func freePort(t *testing.T) int {
--- a/cmd/node/grant_queue.go
+++ b/cmd/node/grant_queue.go
@@ -37,7 +37,7 @@
 		return true
 	}
 	n.counters.jobsRefused.Inc(1)
-	event.NodeTurnRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.maxGrantWait(), "per_second", supply.PerSecond)
+	event.NodeSendGrantRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.maxGrantWait(), "per_second", supply.PerSecond)
 	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.maxGrantWait()).Microseconds()}) // on failure the peer sees the stream end
 	return false
 }
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -118,7 +118,7 @@
 		settings:       s,
 		log:            log,
 		store:          platform.NewStore(s.StoreAddress),
-		clients:        upstream.WithClock(c),
+		clients:        upstream.NewWithClock(c),
 		registry:       metrics.NewRegistry(),
 		clock:          c,
 		places:         regions.New(s.RegionByHall),
@@ -154,7 +154,7 @@
 		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.HeartbeatPort)),
 	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
-	n.clock.OnWake(n.handleResume)
+	n.clock.OnResume(n.handleResume)
 	n.world.Store(&snapshot{regions: n.places, eligibleByService: make(map[string][]catalog.Replica)})
 	return n
 }
@@ -202,11 +202,11 @@
 func (n *Node) Reload() {
 	s, err := platform.LoadSettings()
 	if err != nil {
-		event.NodeReloadFails.Log(n.log, "error", err)
+		event.NodeSettingsReloadFailed.Log(n.log, "error", err)
 		return
 	}
 	n.seeds.Store(&s.Seeds)
-	event.NodeReloaded.Log(n.log, "seeds", len(s.Seeds))
+	event.NodeSettingsReloaded.Log(n.log, "seeds", len(s.Seeds))
 	n.announceToSeeds()
 }
 
@@ -262,11 +262,11 @@
 			listed[r.ID] = true
 			addresses[r.Address] = true
 		}
-		n.clock.Look()
+		n.clock.CheckSuspension()
 		n.logDropped()
 		n.rollouts.prune()
 		n.pruneQuarantine()
-		n.clients.Forget(addresses)
+		n.clients.CloseIdleExcept(addresses)
 		n.links.Sweep(time.Now())
 		n.detectorMu.Lock()
 		defer n.detectorMu.Unlock()
--- a/cmd/node/owned_request.go
+++ b/cmd/node/owned_request.go
@@ -22,11 +22,11 @@
 func (o *owner) serveStagesStream(first []byte, stream net.Conn) {
 	ask := &pb.StagesAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(o.node.log, "what", "stages request", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(o.node.log, "what", "stages request", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	if err := validateStagesAsk(ask); err != nil {
-		event.NodeMessageBroken.Log(o.node.log, "what", "stages request", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(o.node.log, "what", "stages request", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	updates := make(chan *pb.StagesNews)
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -115,9 +115,9 @@
 	if len(answer.Declaration) == 0 {
 		return
 	}
-	text, err := pack.Open(answer.Declaration)
+	text, err := pack.Decompress(answer.Declaration)
 	if err != nil {
-		event.NodeConfigBroken.Log(n.log, "from", addr, "error", err)
+		event.NodeConfigInvalid.Log(n.log, "from", addr, "error", err)
 		return
 	}
 	n.offerConfiguration(text, "peer")
@@ -140,7 +140,7 @@
 // compressForPeers returns the compressed configuration: uncompressed, a large one sent
 // to every instance of a hall would saturate a small machine's link for seconds.
 func (r *rawConfig) compressForPeers() []byte {
-	r.once.Do(func() { r.compressed, _ = pack.Fast(r.text) })
+	r.once.Do(func() { r.compressed, _ = pack.CompressFast(r.text) })
 	return r.compressed
 }
 
@@ -184,7 +184,7 @@
 	n.followMu.Lock()
 	n.replicas.changeLog.ApplyUpdate(update)
 	n.followMu.Unlock()
-	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(update.Entries), "at", update.Revision)
+	event.NodeReplicasChanged.Log(n.log, "from", addr, "changes", len(update.Entries), "at", update.Revision)
 	n.publish()
 	if have == 0 {
 		n.sendHeartbeats() // other instances may have started at the same time and lack the list
@@ -195,7 +195,7 @@
 func (n *Node) answerReplicasPull(first []byte) proto.Message {
 	ask := &pb.PullReplicas{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "replica changes request", "from", "", "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "replica changes request", "from", "", "error", err)
 		return &pb.ReplicaChanges{}
 	}
 	n.followMu.Lock()
@@ -229,10 +229,10 @@
 	}
 	text, err := proto.Marshal(out)
 	if err == nil {
-		text, err = pack.Fast(text)
+		text, err = pack.CompressFast(text)
 	}
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "replica changes", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "replica changes", "from", n.settings.Name, "error", err)
 		return out, size
 	}
 	return &pb.ReplicaChanges{Packed: text}, len(text)
@@ -243,7 +243,7 @@
 	if len(answer.Packed) == 0 {
 		return answer, nil
 	}
-	text, err := pack.Open(answer.Packed)
+	text, err := pack.Decompress(answer.Packed)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -17,7 +17,7 @@
 	quarantineOffsets = 1000 // number of offsets among which instances start their repeated announcements
 )
 
-var errQuarantined = errors.New(event.WhyCondemned)
+var errQuarantined = errors.New(event.ReasonQuarantined)
 
 // quarantineTracker holds what an instance knows of requests that crash replicas.
 type quarantineTracker struct {
@@ -103,11 +103,11 @@
 	}
 	switch c.After {
 	case quarantine.Unsuspected:
-		event.NodeAcquits.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", cause)
+		event.NodeRequestReleased.Log(n.log, "fingerprint", c.Fingerprint, "was", c.Before, "why", cause)
 	case quarantine.Suspect:
-		event.NodeSuspects.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
+		event.NodeRequestSuspected.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
 	case quarantine.Quarantined:
-		event.NodeCondemns.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
+		event.NodeRequestQuarantined.Log(n.log, "fingerprint", c.Fingerprint, "ended", c.Ended, "why", cause)
 	}
 }
 
--- a/cmd/node/rate_limits.go
+++ b/cmd/node/rate_limits.go
@@ -51,9 +51,9 @@
 		if previous.Stated {
 			previousRate = previous.PerSecond
 		}
-		event.NodeReplicaLimits.Log(n.log, "replica", report.Incarnation, "service", n.serviceOfIncarnation(report.Incarnation), "per_second", report.Limit.PerSecond, "was", previousRate, "by", source)
+		event.NodeReplicaRateLimited.Log(n.log, "replica", report.Incarnation, "service", n.serviceOfIncarnation(report.Incarnation), "per_second", report.Limit.PerSecond, "was", previousRate, "by", source)
 	case pace.Removed:
-		event.NodeReplicaUnlimited.Log(n.log, "replica", report.Incarnation, "by", source)
+		event.NodeReplicaRateLimitLifted.Log(n.log, "replica", report.Incarnation, "by", source)
 	}
 	if source == sourceOwnAnswer {
 		n.sendHeartbeats()
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -28,7 +28,7 @@
 func (n *Node) runBatch(ctx context.Context, c pipeline.Call) ([]pipeline.Result, pipeline.Outcome) {
 	path, body, err := platform.BatchRequest(c.Items)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
 	if !n.replicaAcceptsWork(c.Replica) || !n.rollouts.tryRecordSend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
@@ -53,7 +53,7 @@
 	}
 	results, err := platform.ParseBatchResponse(data, len(c.Items))
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "results of a batch", "from", c.Replica, "error", err)
 		return nil, pipeline.Broken
 	}
 	return results, pipeline.Answered
@@ -70,7 +70,7 @@
 func (n *Node) sendFreeResults(f pipeline.Free) {
 	path, body, err := platform.FreeRequest(f.Handles)
 	if err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "results to free", "from", n.settings.Name, "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
@@ -82,7 +82,7 @@
 // logSideCallFailure logs the failure of a call that no request depends on.
 func (n *Node) logSideCallFailure(what, to string, err error) {
 	if err != nil {
-		event.NodeAsideFails.Log(n.log, "what", what, "to", to, "error", err)
+		event.NodeSideCallFailed.Log(n.log, "what", what, "to", to, "error", err)
 	}
 }
 
@@ -97,7 +97,7 @@
 		return platform.Report{}, err
 	}
 	if status != fasthttp.StatusOK {
-		return platform.Report{}, upstream.ErrCut
+		return platform.Report{}, upstream.ErrIncomplete
 	}
 	return platform.ParseReport(data)
 }
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
-		return nil, upstream.ErrCut
+		return nil, upstream.ErrIncomplete
 	}
 	return platform.ParseCachedParts(data)
 }
@@ -172,8 +172,8 @@
 	}
 	head := n.recordHead(c.source, advisoryAttempt, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
-	if err == nil && !x.Whole() {
-		err = upstream.ErrCut
+	if err == nil && !x.IsComplete() {
+		err = upstream.ErrIncomplete
 	}
 	x.Release(idleTimeoutAfter(&head, defaultCallConnIdle))
 	return x.Header.StatusCode(), head, data, err
@@ -195,7 +195,7 @@
 
 // connectReplica returns a connection to a replica, a pooled one if there is one.
 func (n *Node) connectReplica(ctx context.Context, address string, within time.Duration) (*upstream.Conn, error) {
-	if cn := n.clients.Kept(address); cn != nil {
+	if cn := n.clients.IdleConn(address); cn != nil {
 		return cn, nil
 	}
 	n.counters.connections.Inc(1)
--- a/cmd/node/request_registry.go
+++ b/cmd/node/request_registry.go
@@ -58,7 +58,7 @@
 	for _, r := range replicas {
 		n.counters.replicaRestarts.Inc(1)
 		n.recordReplicaRestart(r.ID)
-		n.clients.Drop(r.Address)
-		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.activeRequests.cancel(r.ID))
+		n.clients.CloseIdle(r.Address)
+		event.NodeReplicaRestarted.Log(n.log, "replica", r.ID, "ended", n.activeRequests.cancel(r.ID))
 	}
 }
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		service, _ := items[i].RolloutService()
-		event.RolloutBroken.Log(n.log, "service", service, "error", err)
+		event.RolloutOrderInvalid.Log(n.log, "service", service, "error", err)
 		n.rollouts.mu.Lock()
 		if s, ok := n.rollouts.view.Current(service); ok {
 			orders = append(orders, s.Order)
@@ -137,7 +137,7 @@
 		if !e.Gone {
 			var err error
 			if e.Order, err = items[i].RolloutOrder(); err != nil {
-				event.RolloutBroken.Log(n.log, "service", service, "error", err)
+				event.RolloutOrderInvalid.Log(n.log, "service", service, "error", err)
 				continue
 			}
 		}
@@ -175,7 +175,7 @@
 		event.RolloutEnded.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from)
 	default:
 		n.rolloutCounter(c.Service, c.Target, "phase_"+c.Phase.String()).Inc(1)
-		event.RolloutWord.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.OrderedAt)
+		event.RolloutPhase.Log(n.log, "service", c.Service, "target", c.Target, "order", c.Revision, "phase", c.Phase, "from", from, "age", now-c.OrderedAt)
 	}
 }
 
--- a/cmd/node/send_grants.go
+++ b/cmd/node/send_grants.go
@@ -194,7 +194,7 @@
 	}
 	answers := make(chan answer, 1)
 	go func() {
-		stream, err := n.links.Open(link, frame.Pace, &pb.PaceAsk{Limit: n.limitMessage(incarnation)})
+		stream, err := n.links.Open(link, frame.SendGrant, &pb.PaceAsk{Limit: n.limitMessage(incarnation)})
 		if err != nil {
 			answers <- answer{err: err}
 			return
@@ -229,7 +229,7 @@
 func (n *Node) answerGrantRequest(first []byte, from string) *pb.PaceReply {
 	ask := &pb.PaceAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "send grant request", "from", from, "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "send grant request", "from", from, "error", err)
 		return &pb.PaceReply{Elsewhere: true}
 	}
 	n.recordPeerLimits(from, []*pb.ReplicaLimit{ask.Limit})
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -87,7 +87,7 @@
 	if n.settings.AdminPort == 0 {
 		return nil
 	}
-	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, Acquit: n.releaseFingerprint}
+	admin := &web.Admin{Registry: n.registry, Ready: n.readiness, State: func() any { return n.State() }, ReleaseQuarantined: n.releaseFingerprint}
 	server, err := web.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.AdminPort)), admin.Handler, func(p any) {
 		event.NodePanicked.Log(n.log, "panic", p)
 	})
--- a/cmd/node/throttled.go
+++ b/cmd/node/throttled.go
@@ -29,7 +29,7 @@
 		if !known {
 			since = now
 			if lines++; lines <= maxThrottledLogLines {
-				event.NodeCustomerHeld.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
+				event.NodeCustomerThrottled.Log(log, "cell", c.number, "customer", r.Customer, "service", r.Resource, "asked", r.Demand, "share", r.Share)
 			}
 		}
 		throttled[key] = since
@@ -39,7 +39,7 @@
 			continue
 		}
 		if lines++; lines <= maxThrottledLogLines {
-			event.NodeCustomerFree.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
+			event.NodeCustomerUnthrottled.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
 		}
 	}
 	c.throttledSince = throttled
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -53,7 +53,7 @@
 		if t, err = n.requestTrial(ctx, arbiter, f); err == nil {
 			return t, nil
 		}
-		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // builds without trials close unknown streams
+		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknownKind) { // builds without trials close unknown streams
 			n.level.recordNoTrialLeases(arbiter)
 			continue
 		}
@@ -61,7 +61,7 @@
 		if errors.Is(err, errNoTrial) {
 			return nil, err
 		}
-		event.NodeAsideFails.Log(n.log, "what", "trial lease", "to", arbiter.Name, "error", err)
+		event.NodeSideCallFailed.Log(n.log, "what", "trial lease", "to", arbiter.Name, "error", err)
 	}
 	return nil, errors.Join(errNoTrial, err)
 }
@@ -103,7 +103,7 @@
 	}
 	n.mergeQuarantine([]*pb.QuarantineCase{reply.Known})
 	return &trialLease{release: sync.OnceFunc(func() {
-		_ = frame.Write(stream, frame.Trial, n.quarantineCase(f)) // if it is lost, heartbeats carry the same result
+		_ = frame.Write(stream, frame.TrialLease, n.quarantineCase(f)) // if it is lost, heartbeats carry the same result
 		_ = stream.Close()
 	})}, nil
 }
@@ -111,7 +111,7 @@
 // openTrial opens a stream to an arbiter, which may be this instance.
 func (n *Node) openTrial(arbiter gossip.Instance, ask *pb.TrialAsk) (net.Conn, error) {
 	if arbiter.Name != n.settings.Name {
-		return n.links.Open(arbiter.PeerAddress, frame.Trial, ask)
+		return n.links.Open(arbiter.PeerAddress, frame.TrialLease, ask)
 	}
 	clientEnd, serverEnd := net.Pipe()
 	first, err := proto.Marshal(ask)
@@ -141,7 +141,7 @@
 func (n *Node) serveTrial(first []byte, stream net.Conn) {
 	ask := &pb.TrialAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
-		event.NodeMessageBroken.Log(n.log, "what", "trial request", "from", stream.RemoteAddr().String(), "error", err)
+		event.NodeMessageInvalid.Log(n.log, "what", "trial request", "from", stream.RemoteAddr().String(), "error", err)
 		return
 	}
 	f := quarantine.Fingerprint(ask.GetKnown().GetFingerprint())
--- a/transport/upstream/call.go
+++ b/transport/upstream/call.go
@@ -18,112 +18,114 @@
 	"quinceroad/protocol/api"
 )
 
-// Call is one attempt at one stage.
+// Call is one attempt to execute one stage.
 type Call struct {
-	Request  string
-	Stage    string
-	Attempt  int
-	Op       string
-	Class    int
-	Input    []byte
-	Earlier  []string       // tokens that earlier attempts brought; this one goes on after them
-	Deadline time.Time      // by when the answer must be whole
-	OnToken  func(t string) // nil unless the answer streams
+	Request     string
+	Stage       string
+	Attempt     int
+	Operation   string
+	Class       int
+	Input       []byte
+	PriorTokens []string       // tokens received by earlier attempts; this attempt resumes after them
+	Deadline    time.Time      // when the answer must be complete
+	OnToken     func(t string) // called for each token; nil if the answer is not streamed
 }
 
-// Answer is what a replica said.
+// Answer is a replica's answer to a call.
 type Answer struct {
 	Status      int
 	Body        []byte
-	Tokens      []string // of this attempt, without those resumed over
-	Refused     bool     // the replica says that it did not run the call
-	Leaving     bool     // the replica says that it leaves
+	Tokens      []string // of this attempt, without Call.PriorTokens
+	Refused     bool     // the replica reports that it did not run the call
+	Draining    bool     // the replica reports that it is draining
 	Incarnation uint64   // of the replica
 }
 
-// Digest is the form in which inputs and outputs are compared: xxhash64 in hex.
+// Digest returns the xxhash64 of b in hex, by which inputs and outputs are
+// compared.
 func Digest(b []byte) string { return strconv.FormatUint(xxhash.Sum64(b), 16) }
 
-// Do sends the call and reads the whole answer. On success the connection goes
-// back to its client, else it is closed; a missed deadline is
-// os.ErrDeadlineExceeded too.
+// Do sends the call and reads the complete answer. On success the connection
+// returns to its client, otherwise it is closed. The error of a missed deadline
+// also matches os.ErrDeadlineExceeded.
 func (cn *Conn) Do(d outcome.DispatchToken, c *Call) (*Answer, error) {
 	a, err := cn.do(d, c)
 	if err != nil {
 		cn.Close()
-		if !time.Now().Before(c.Deadline) { // the library names a time-out its own way
+		if !time.Now().Before(c.Deadline) { // fasthttp has its own timeout error
 			err = errors.Join(err, os.ErrDeadlineExceeded)
 		}
 		return a, err
 	}
-	cn.client.give(cn)
+	cn.client.putIdle(cn)
 	return a, nil
 }
 
 func (cn *Conn) do(d outcome.DispatchToken, c *Call) (*Answer, error) {
 	digest := Digest(c.Input)
 	if err := cn.net.SetDeadline(c.Deadline); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	c.fill(req, cn.addr, digest)
+	c.fillRequest(req, cn.addr, digest)
 	if err := cn.send(d, req); err != nil {
 		return nil, err
 	}
 	var h fasthttp.ResponseHeader
 	if err := h.Read(cn.r); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	if !c.matches(&h, digest) {
-		return nil, ErrCrossed
+		return nil, ErrWrongRequest
 	}
 	a := &Answer{Status: h.StatusCode()}
-	a.Leaving = len(h.Peek(api.HeaderLeaving)) > 0
+	a.Draining = len(h.Peek(api.HeaderDraining)) > 0
 	a.Refused = a.Status == fasthttp.StatusServiceUnavailable
-	a.Incarnation, _ = strconv.ParseUint(string(h.Peek(api.HeaderIncarnat)), 10, 64)
+	a.Incarnation, _ = strconv.ParseUint(string(h.Peek(api.HeaderIncarnation)), 10, 64)
 	if h.ContentLength() == -1 {
 		return a, cn.readStream(c, a)
 	}
-	if h.ContentLength() < 0 || h.ContentLength() > maxAnswer {
-		return nil, ErrCut // without a length a cut answer looks whole
+	if h.ContentLength() < 0 || h.ContentLength() > maxAnswerBytes {
+		return nil, ErrIncomplete // without a length a truncated answer looks complete
 	}
 	a.Body = make([]byte, h.ContentLength())
 	if _, err := io.ReadFull(cn.r, a.Body); err != nil {
-		return nil, errors.Join(ErrCut, err)
+		return nil, errors.Join(ErrIncomplete, err)
 	}
 	return a, nil
 }
 
-func (c *Call) fill(req *fasthttp.Request, addr, digest string) {
+func (c *Call) fillRequest(req *fasthttp.Request, addr, digest string) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("/v1/execute")
 	req.Header.SetHost(addr)
 	req.Header.Set(api.HeaderRequest, c.Request)
 	req.Header.Set(api.HeaderStage, c.Stage)
 	req.Header.Set(api.HeaderAttempt, strconv.Itoa(c.Attempt))
-	req.Header.Set(api.HeaderDigest, digest)
-	req.Header.Set(api.HeaderOp, c.Op)
-	req.Header.Set(api.HeaderClass, strconv.Itoa(c.Class))
-	req.Header.Set(api.HeaderLeft, strconv.FormatInt(time.Until(c.Deadline).Milliseconds(), 10))
-	if len(c.Earlier) > 0 {
-		req.Header.Set(api.HeaderOffset, strconv.Itoa(len(c.Earlier)))
+	req.Header.Set(api.HeaderInputDigest, digest)
+	req.Header.Set(api.HeaderOperation, c.Operation)
+	req.Header.Set(api.HeaderPriority, strconv.Itoa(c.Class))
+	req.Header.Set(api.HeaderDeadline, strconv.FormatInt(time.Until(c.Deadline).Milliseconds(), 10))
+	if len(c.PriorTokens) > 0 {
+		req.Header.Set(api.HeaderResumeOffset, strconv.Itoa(len(c.PriorTokens)))
 	}
 	req.SetBodyRaw(c.Input)
 }
 
-// matches reports whether an answer names the call's own identity.
+// matches reports whether an answer repeats the call's identity headers.
 func (c *Call) matches(h *fasthttp.ResponseHeader, digest string) bool {
 	return string(h.Peek(api.HeaderRequest)) == c.Request &&
 		string(h.Peek(api.HeaderStage)) == c.Stage &&
 		string(h.Peek(api.HeaderAttempt)) == strconv.Itoa(c.Attempt) &&
-		string(h.Peek(api.HeaderDigest)) == digest
+		string(h.Peek(api.HeaderInputDigest)) == digest
 }
 
-// StreamEnd is the last event of a replica's stream: what makes it whole.
+// StreamEnd is the last event of a replica's stream, by which the stream is
+// checked for completeness.
 type StreamEnd struct {
-	Count  int    `json:"count"`  // tokens, those resumed over included
-	Digest string `json:"digest"` // of all tokens, joined
+	Count  int    `json:"count"`  // number of tokens, including Call.PriorTokens
+	Digest string `json:"digest"` // of all tokens concatenated
 }
 
 var (
@@ -131,9 +133,9 @@
 	endPrefix  = []byte("event: end")
 )
 
-// readStream reads server-sent tokens until the end event, and checks the end.
+// readStream reads server-sent tokens up to the end event and verifies them.
 func (cn *Conn) readStream(c *Call, a *Answer) error {
-	body := newLines(httputil.NewChunkedReader(cn.r))
+	body := newLineReader(httputil.NewChunkedReader(cn.r))
 	ended := false
 	var end StreamEnd
 	for {
@@ -142,19 +144,19 @@
 			break
 		}
 		if err != nil {
-			return errors.Join(ErrCut, err)
+			return errors.Join(ErrIncomplete, err)
 		}
-		if err := takeLine(line, c, a, &ended, &end); err != nil {
+		if err := parseLine(line, c, a, &ended, &end); err != nil {
 			return err
 		}
 	}
 	if _, err := cn.r.Discard(len("\r\n")); err != nil { // after the last chunk
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrIncomplete, err)
 	}
-	return checkEnd(c, a, end)
+	return verifyEnd(c, a, end)
 }
 
-func takeLine(line []byte, c *Call, a *Answer, ended *bool, end *StreamEnd) error {
+func parseLine(line []byte, c *Call, a *Answer, ended *bool, end *StreamEnd) error {
 	if bytes.HasPrefix(line, endPrefix) {
 		*ended = true
 		return nil
@@ -165,13 +167,13 @@
 	}
 	if *ended {
 		if err := json.Unmarshal(data, end); err != nil {
-			return fmt.Errorf("%w: %w", ErrCut, err)
+			return fmt.Errorf("%w: %w", ErrIncomplete, err)
 		}
 		return nil
 	}
 	var t api.Token
 	if err := json.Unmarshal(data, &t); err != nil {
-		return fmt.Errorf("%w: %w", ErrCut, err)
+		return fmt.Errorf("%w: %w", ErrIncomplete, err)
 	}
 	a.Tokens = append(a.Tokens, t.Text)
 	if c.OnToken != nil {
@@ -180,19 +182,19 @@
 	return nil
 }
 
-// checkEnd compares the replica's count and digest with the tokens that came,
-// those of earlier attempts included.
-func checkEnd(c *Call, a *Answer, end StreamEnd) error {
+// verifyEnd compares the replica's count and digest with the received tokens,
+// including those of earlier attempts.
+func verifyEnd(c *Call, a *Answer, end StreamEnd) error {
 	var all bytes.Buffer
-	for _, t := range c.Earlier {
+	for _, t := range c.PriorTokens {
 		all.WriteString(t)
 	}
 	for _, t := range a.Tokens {
 		all.WriteString(t)
 	}
-	n := len(c.Earlier) + len(a.Tokens)
+	n := len(c.PriorTokens) + len(a.Tokens)
 	if n != end.Count || Digest(all.Bytes()) != end.Digest {
-		return fmt.Errorf("%w: %d tokens of %d, or another digest", ErrCut, n, end.Count)
+		return fmt.Errorf("%w: received %d of %d tokens, or the digest differs", ErrIncomplete, n, end.Count)
 	}
 	a.Body = all.Bytes()
 	return nil
