--- a/cmd/coord/limits.go
+++ b/cmd/coord/limits.go
@@ -12,11 +12,11 @@
 type limits struct {
 	coord   *Coord
 	mu      sync.Mutex // table.RankLimits
-	budgets map[string]*limit.Budget
+	budgets map[string]*limit.Allocator
 }
 
 func newLimits(c *Coord) *limits {
-	return &limits{coord: c, budgets: make(map[string]*limit.Budget)}
+	return &limits{coord: c, budgets: make(map[string]*limit.Allocator)}
 }
 
 // serve answers an entry's demands with its shares.
@@ -36,7 +36,7 @@
 		}
 		b, ok := l.budgets[x.GetCustomer()]
 		if !ok {
-			b = limit.NewBudget()
+			b = limit.NewAllocator()
 			l.budgets[x.GetCustomer()] = b
 		}
 		share := b.Share(now, d.GetEntry(), x.GetRate(), c.Rate)
--- a/cmd/entry/entry.go
+++ b/cmd/entry/entry.go
@@ -108,7 +108,7 @@
 
 type stageEstimate struct {
 	mu sync.Mutex
-	*estimate.Stage
+	*estimate.Estimator
 }
 
 // New returns an entry that is not running.
--- a/cmd/entry/run.go
+++ b/cmd/entry/run.go
@@ -127,7 +127,7 @@
 // estimate returns the learnt times of a stage.
 func (e *Entry) estimate(p *fleet.Pipeline, s *fleet.Stage) *stageEstimate {
 	return e.estimates.GetOrPut(stageKey{p.Name, s.Name}, func() *stageEstimate {
-		return &stageEstimate{Stage: estimate.New(s.ExpectedTime())}
+		return &stageEstimate{Estimator: estimate.New(s.ExpectedTime())}
 	})
 }
 
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -25,7 +25,7 @@
 	mu           sync.Mutex
 	number       int
 	scheduler    *pipeline.Scheduler
-	engines      *placement.Table
+	engines      *placement.Placer
 	next         uint64                          // number of the next request at an engine
 	waiting      map[uint64]chan pipeline.Action // by job: its Deliver or Fail
 	calls        map[uint64]context.CancelFunc
@@ -206,7 +206,7 @@
 		if !job.Uses(p.Service) {
 			continue
 		}
-		out = append(out, fmt.Sprintf("%s:%d waiting, through in %v, %d replicas", p.Service, p.Waiting, p.Clear.Round(time.Millisecond), p.Serving))
+		out = append(out, fmt.Sprintf("%s:%d waiting, through in %v, %d replicas", p.Service, p.WaitingItems, p.BacklogTime.Round(time.Millisecond), p.ServingReplicas))
 	}
 	return strings.Join(out, "; ")
 }
--- a/cmd/node/limits.go
+++ b/cmd/node/limits.go
@@ -147,8 +147,8 @@
 	}
 	var lives []string
 	s.withPaces(func(b *pace.Tracker) {
-		s.told.Prune(now)
-		b.Sweep(now, func(life string) bool { _, ok := listed[life]; return ok })
+		s.told.Expire(now)
+		b.Expire(now, func(life string) bool { _, ok := listed[life]; return ok })
 		lives = b.LimitedIncarnations()
 	})
 	limited := make(map[string]int64)
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -85,7 +85,7 @@
 
 	judgeMu   sync.Mutex
 	judge     *health.Detector
-	loads     *balancer.Table
+	loads     *balancer.Balancer
 	rates     map[string]*serviceRates
 	lending   regionTrackers
 	deadlines longestDeadlines
@@ -131,7 +131,7 @@
 		pulse:      newPulse(),
 		spread:     spreadOf(s.Name),
 		judge:      health.New(health.DefaultOptions()),
-		loads:      balancer.NewTable(),
+		loads:      balancer.New(),
 		rates:      make(map[string]*serviceRates),
 		deadlines:  make(longestDeadlines),
 		lending:    newRegionTrackers(),
@@ -269,7 +269,7 @@
 		n.links.Sweep(time.Now())
 		n.judgeMu.Lock()
 		defer n.judgeMu.Unlock()
-		n.judge.Prune(n.now(), forgetAfter)
+		n.judge.Expire(n.now(), forgetAfter)
 		n.loads.Prune(func(id string) bool { return known[id] })
 	})
 }
--- a/cmd/node/owned.go
+++ b/cmd/node/owned.go
@@ -275,16 +275,16 @@
 
 func jobOf(ask *pb.StagesAsk) pipeline.Job {
 	j := pipeline.Job{
-		RequestID:   ask.RequestId,
-		Key:         ask.Key,
-		Customer:    ask.Customer,
-		UsualShare:  shares.UsageReport{Fraction: float64(ask.CustomerPart), Requests: float64(ask.CustomerOf)},
-		Rank:        int(ask.Rank),
-		Objective:   time.Duration(ask.ObjectiveUs) * time.Microsecond,
-		Deadline:    time.Duration(ask.DeadlineUs) * time.Microsecond,
-		Retry:       ask.Again,
-		AllowLate:   ask.LateToo,
-		ReplicaEnds: int(ask.Ended),
+		RequestID:     ask.RequestId,
+		Key:           ask.Key,
+		Customer:      ask.Customer,
+		ReportedUsage: shares.UsageReport{Fraction: float64(ask.CustomerPart), Requests: float64(ask.CustomerOf)},
+		Rank:          int(ask.Rank),
+		Objective:     time.Duration(ask.ObjectiveUs) * time.Microsecond,
+		Deadline:      time.Duration(ask.DeadlineUs) * time.Microsecond,
+		Retry:         ask.Again,
+		AllowLate:     ask.LateToo,
+		ReplicaEnds:   int(ask.Ended),
 	}
 	total := 0
 	for _, w := range ask.Stages {
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -121,7 +121,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return casesOf(q.book.Announce(n.now()))
+	return casesOf(q.book.Updates(n.now()))
 }
 
 // allOfQuarantine is what an instance that has just started is told.
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -21,7 +21,7 @@
 
 	mu     sync.Mutex
 	view   *rollout.View
-	ledger *rollout.Ledger
+	ledger *rollout.TrafficSplitter
 	orders map[uint64]*orderSeen // by revision
 	others map[string]bool       // services that replicas of another version than the ordered one could serve
 	moved  map[string]bool       // services whose requests all go to the new version, in the world in force
@@ -49,7 +49,7 @@
 		canary: s.CanaryShare,
 		slack:  s.CanarySlack,
 		view:   rollout.NewView(),
-		ledger: rollout.NewLedger(newRandom().Float64()),
+		ledger: rollout.NewTrafficSplitter(newRandom().Float64()),
 		orders: make(map[uint64]*orderSeen),
 		others: make(map[string]bool),
 		moved:  make(map[string]bool),
@@ -132,8 +132,8 @@
 		if !ok {
 			continue
 		}
-		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Gone: items[i].Gone}
-		if !e.Gone {
+		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Deleted: items[i].Gone}
+		if !e.Deleted {
 			var err error
 			if e.Order, err = items[i].Rollout(); err != nil {
 				event.RolloutBroken.Log(n.log, "service", service, "error", err)
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -22,7 +22,7 @@
 	origin  uint32
 	cell    int
 	service string
-	figures speed.Figures
+	figures speed.Estimate
 }
 
 // noteSpeeds takes what the own cells observed among the records, and logs what
@@ -51,7 +51,7 @@
 		c.mu.Lock()
 		for service, s := range c.engines.Speeds() {
 			if s.IsReliable() {
-				out = append(out, cellSpeed{origin: self.Key() + uint32(c.number), cell: c.number, service: service, figures: s.Figures()})
+				out = append(out, cellSpeed{origin: self.Key() + uint32(c.number), cell: c.number, service: service, figures: s.Estimate()})
 			}
 		}
 		c.mu.Unlock()
@@ -59,25 +59,25 @@
 	return out
 }
 
-func (n *Node) logSpeed(e *event.Event, cell int, service string, f *speed.Figures) {
-	e.Log(n.log, "service", service, "cell", cell, "base", f.Usual.Base, "per_token", f.Usual.PerToken,
-		"likely_base", f.Likely.Base, "likely_per_token", f.Likely.PerToken, "per_out", f.PerOut, "longest", f.Longest, "count", f.Count)
+func (n *Node) logSpeed(e *event.Event, cell int, service string, f *speed.Estimate) {
+	e.Log(n.log, "service", service, "cell", cell, "base", f.Median.Base, "per_token", f.Median.PerToken,
+		"likely_base", f.UpperBound.Base, "likely_per_token", f.UpperBound.PerToken, "per_out", f.PerOutputToken, "longest", f.LongestPrompt, "count", f.Count)
 }
 
-func (n *Node) gaugeSpeed(service string, f *speed.Figures) {
+func (n *Node) gaugeSpeed(service string, f *speed.Estimate) {
 	set := func(name string, value time.Duration) {
 		metrics.GetOrRegisterGauge("node.engines."+service+"."+name, n.registry).Update(int64(value))
 	}
-	set("base_ns", f.Usual.Base)
-	set("token_ns", f.Usual.PerToken)
-	set("out_ns", f.PerOut)
+	set("base_ns", f.Median.Base)
+	set("token_ns", f.Median.PerToken)
+	set("out_ns", f.PerOutputToken)
 }
 
 // takeSpeeds takes in what a peer tells, for the own cells too that have
 // observed little.
 func (n *Node) takeSpeeds(told []*pb.EngineSpeed) {
 	now := n.now()
-	fresh := make(map[string]speed.Figures)
+	fresh := make(map[string]speed.Estimate)
 	n.speeds.mu.Lock()
 	for _, p := range told {
 		if !n.speeds.records.Merge(now, recordOf(p)) {
@@ -97,8 +97,8 @@
 }
 
 // knownSpeeds returns what peers know of the services in force.
-func (n *Node) knownSpeeds() map[string]speed.Figures {
-	out := make(map[string]speed.Figures)
+func (n *Node) knownSpeeds() map[string]speed.Estimate {
+	out := make(map[string]speed.Estimate)
 	w, now := n.world.Load(), n.now()
 	if w.config == nil {
 		return out
@@ -117,7 +117,7 @@
 }
 
 // knowSpeeds begins with what peers know of engines.
-func (c *cell) knowSpeeds(known map[string]speed.Figures) {
+func (c *cell) knowSpeeds(known map[string]speed.Estimate) {
 	n := c.owner.node
 	for service, f := range known {
 		c.mu.Lock()
@@ -134,9 +134,9 @@
 func (n *Node) speedsToTell(all bool) []*pb.EngineSpeed {
 	n.speeds.mu.Lock()
 	defer n.speeds.mu.Unlock()
-	records := n.speeds.records.All(n.now())
+	records := n.speeds.records.Snapshot(n.now())
 	if !all {
-		records = n.speeds.records.NextMessage(n.now())
+		records = n.speeds.records.Updates(n.now())
 	}
 	out := make([]*pb.EngineSpeed, 0, len(records))
 	for _, r := range records {
@@ -146,24 +146,24 @@
 }
 
 func toldOf(r *speed.Record) *pb.EngineSpeed {
-	f := &r.Figures
+	f := &r.Estimate
 	return &pb.EngineSpeed{
 		Service: r.Service, Origin: r.Origin, Count: uint32(f.Count), AgeS: uint32(r.Age.Seconds()),
-		BaseUs: uint32(f.Usual.Base.Microseconds()), TokenNs: uint32(f.Usual.PerToken),
-		LikelyBaseUs: uint32(f.Likely.Base.Microseconds()), LikelyTokenNs: uint32(f.Likely.PerToken),
-		OutUs: uint32(f.PerOut.Microseconds()), Longest: uint32(f.Longest),
+		BaseUs: uint32(f.Median.Base.Microseconds()), TokenNs: uint32(f.Median.PerToken),
+		LikelyBaseUs: uint32(f.UpperBound.Base.Microseconds()), LikelyTokenNs: uint32(f.UpperBound.PerToken),
+		OutUs: uint32(f.PerOutputToken.Microseconds()), Longest: uint32(f.LongestPrompt),
 	}
 }
 
 func recordOf(p *pb.EngineSpeed) speed.Record {
 	return speed.Record{
 		Service: p.Service, Origin: p.Origin, Age: time.Duration(p.AgeS) * time.Second,
-		Figures: speed.Figures{
-			Usual:   speed.Line{Base: micros(p.BaseUs), PerToken: time.Duration(p.TokenNs)},
-			Likely:  speed.Line{Base: micros(p.LikelyBaseUs), PerToken: time.Duration(p.LikelyTokenNs)},
-			PerOut:  micros(p.OutUs),
-			Longest: int(p.Longest),
-			Count:   int(p.Count),
+		Estimate: speed.Estimate{
+			Median:         speed.Line{Base: micros(p.BaseUs), PerToken: time.Duration(p.TokenNs)},
+			UpperBound:     speed.Line{Base: micros(p.LikelyBaseUs), PerToken: time.Duration(p.LikelyTokenNs)},
+			PerOutputToken: micros(p.OutUs),
+			LongestPrompt:  int(p.Longest),
+			Count:          int(p.Count),
 		},
 	}
 }
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -24,10 +24,10 @@
 	return n, n.owner.cell(0)
 }
 
-func (c *cell) figures() speed.Figures {
+func (c *cell) figures() speed.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.engines.Speeds()["llm"].Figures()
+	return c.engines.Speeds()["llm"].Estimate()
 }
 
 // told is a heartbeat's part of what owners observed, over the wire.
@@ -53,7 +53,7 @@
 	service := speed.New(speed.DefaultOptions())
 	seen.engines.Speeds()["llm"] = service
 	for i := range 100 {
-		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.Replica{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
+		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.ReplicaEstimator{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
 	}
 	seen.mu.Unlock()
 	old.noteSpeeds()
@@ -64,14 +64,14 @@
 	begun, cell := owning("begun")
 	cell.prepare()
 	begun.takeSpeeds(told(t, between))
-	is.True(cell.figures().Usual.PerToken < 10*time.Microsecond)
+	is.True(cell.figures().Median.PerToken < 10*time.Microsecond)
 
 	late, _ := owning("late")
 	late.takeSpeeds(told(t, between))
 	cell = late.owner.cell(1)
 	cell.prepare()
-	is.True(cell.figures().Usual.PerToken < 10*time.Microsecond)
-	is.True(cell.figures().Longest > 20_000)
+	is.True(cell.figures().Median.PerToken < 10*time.Microsecond)
+	is.True(cell.figures().LongestPrompt > 20_000)
 }
 
 // A heartbeat stays one datagram, however many owners and services there are.
@@ -79,9 +79,9 @@
 	is := is.New(t)
 	n, _ := owning("n")
 	f := speed.Prior(9 * time.Microsecond)
-	f.Count, f.Longest = 5000, 50_000
+	f.Count, f.LongestPrompt = 5000, 50_000
 	for i := range uint32(100) {
-		n.takeSpeeds([]*pb.EngineSpeed{toldOf(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Figures: f})})
+		n.takeSpeeds([]*pb.EngineSpeed{toldOf(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Estimate: f})})
 	}
 	for range 50 {
 		is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedsToTell(false)}) < 200)
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -69,8 +69,8 @@
 	Calls   int // of pieces, under way
 	Streams int // at engines
 	Pools   []pipeline.PoolState
-	Engines map[string]speed.Figures // by service, as observed and told
-	Shares  []shares.Row             // of the customers that ask for most, and of all that are held to one
+	Engines map[string]speed.Estimate // by service, as observed and told
+	Shares  []shares.Row              // of the customers that ask for most, and of all that are held to one
 }
 
 // These say why a node is not ready.
@@ -162,9 +162,9 @@
 	}
 	for _, c := range n.owner.all() {
 		c.mu.Lock()
-		engines := make(map[string]speed.Figures)
+		engines := make(map[string]speed.Estimate)
 		for service, known := range c.engines.Speeds() {
-			engines[service] = known.Figures()
+			engines[service] = known.Estimate()
 		}
 		s.Cells = append(s.Cells, CellState{
 			Number: c.number, Jobs: c.scheduler.Jobs(), Calls: len(c.calls), Streams: c.engines.Running(), Pools: c.scheduler.Pools(n.now()),
--- a/cmd/node/statements.go
+++ b/cmd/node/statements.go
@@ -34,7 +34,7 @@
 }
 
 func newStatements() *statements {
-	return &statements{book: advisory.New(advisory.Standard()), free: make(map[string]*pipeline.Free), unread: advisory.NewUnknownFields(), paces: pace.New(pace.Standard()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
+	return &statements{book: advisory.New(advisory.DefaultOptions()), free: make(map[string]*pipeline.Free), unread: advisory.NewUnknownFields(), paces: pace.New(pace.DefaultOptions()), told: pace.NewRetrySchedule(), quiet: true, unlimited: true}
 }
 
 // with runs f on the book.
@@ -171,7 +171,7 @@
 		}
 	}
 	s.with(func(b *advisory.Tracker) {
-		changes = b.Sweep(now, func(life string) bool { return listed[life] != "" })
+		changes = b.Expire(now, func(life string) bool { return listed[life] != "" })
 		for _, life := range b.Draining() {
 			count(leaving, life)
 		}
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -50,7 +50,7 @@
 	var entries []evacuation.Entry
 	for i := range items {
 		if hall, ok := items[i].EmptiedHall(); ok {
-			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Gone})
+			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Deleted: items[i].Gone})
 		}
 	}
 	n.empty(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -72,16 +72,16 @@
 			h.services.Put(s.Name, svc)
 		}
 		h.with(s.Name, func(sc *scheduler.Scheduler, now time.Duration) []scheduler.Action {
-			sc.Configure(scheduler.Shed(f.ShedSlackFactor), scheduler.Share(share))
+			sc.Configure(scheduler.WithShedSlackFactor(f.ShedSlackFactor), scheduler.WithShare(share))
 			return sc.SetReplicas(now, slots)
 		})
 	}
 }
 
 func newService(p scheduler.Policy, shed float64) *service {
-	opts := []scheduler.Option{scheduler.WithPolicy(p), scheduler.Shed(shed)}
+	opts := []scheduler.Option{scheduler.WithPolicy(p), scheduler.WithShedSlackFactor(shed)}
 	if p == scheduler.RoundRobin || p == scheduler.LeastInflight {
-		opts = append(opts, scheduler.SlowRatio(0))
+		opts = append(opts, scheduler.WithSlowRatio(0))
 	}
 	return &service{policy: p, sched: scheduler.New(rand.Uint64(), opts...)}
 }
--- a/coordination/advisory/advisory.go
+++ b/coordination/advisory/advisory.go
@@ -28,7 +28,7 @@
 }
 
 // Standard returns the options used in production.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{RampAnswers: 4, RampInterval: 500 * time.Millisecond, UnlistedRetention: 2 * time.Minute, MaxUnlisted: 4096}
 }
 
@@ -179,7 +179,7 @@
 func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
 // Sweep removes obsolete entries and returns what has changed by the passage of time.
-func (t *Tracker) Sweep(now time.Duration, listedAt func(incarnation string) bool) Changes {
+func (t *Tracker) Expire(now time.Duration, listedAt func(incarnation string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
 	for incarnation, r := range t.entries {
--- a/coordination/advisory/advisory_test.go
+++ b/coordination/advisory/advisory_test.go
@@ -24,25 +24,25 @@
 // two more minutes. Other incarnations are not affected.
 func TestADrainHoldsForOneIncarnation(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	is.True(canSend(tr, 0, "r@1"))
 	is.True(tr.RecordDrain(0, "r@1"))
 	is.True(!tr.RecordDrain(second, "r@1")) // already recorded
 	for now := second; now < 3600*second; now += second {
-		is.Equal(len(tr.Sweep(now, all).Removed), 0)
+		is.Equal(len(tr.Expire(now, all).Removed), 0)
 		ok, from := tr.CanSend(now, "r@1")
 		is.True(!ok && from == Never)
 	}
 	is.True(canSend(tr, 3600*second, "r@2"))
-	is.Equal(len(tr.Sweep(3599*second+tr.opts.UnlistedRetention, none).Removed), 0) // last listed at 3,599 s
-	is.Equal(tr.Sweep(3600*second+tr.opts.UnlistedRetention, none).Removed, []string{"r@1"})
+	is.Equal(len(tr.Expire(3599*second+tr.opts.UnlistedRetention, none).Removed), 0) // last listed at 3,599 s
+	is.Equal(tr.Expire(3600*second+tr.opts.UnlistedRetention, none).Removed, []string{"r@1"})
 	is.Equal(len(tr.entries), 0)
 }
 
 // The longest of several backoffs holds, in whatever order the answers arrive.
 func TestTheLongestBackoffHolds(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	is.True(tr.RecordBackoff(0, "r", 3*second))
 	is.True(!tr.RecordBackoff(second, "r", second)) // shorter: the first one holds
 	to, backingOff := tr.BackoffUntil(second, "r")
@@ -50,16 +50,16 @@
 	tr.RecordBackoff(2*second, "r", 4*second) // longer
 	is.True(!canSend(tr, 6*second-1, "r"))
 	is.True(canSend(tr, 6*second, "r"))
-	is.Equal(tr.Sweep(6*second-1, all).BackoffEnded, nil)
-	is.Equal(tr.Sweep(6*second, all).BackoffEnded, []string{"r"})
-	is.Equal(tr.Sweep(7*second, all).BackoffEnded, nil) // reported once only
+	is.Equal(tr.Expire(6*second-1, all).BackoffEnded, nil)
+	is.Equal(tr.Expire(6*second, all).BackoffEnded, []string{"r"})
+	is.Equal(tr.Expire(7*second, all).BackoffEnded, nil) // reported once only
 }
 
 // After a backoff one request may be sent, then one more with each answer, then any
 // number.
 func TestRequestsRampUpAfterABackoff(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	tr.RecordBackoff(0, "r", second)
 	_, ok := tr.Begin(second-1, "r")
 	is.True(!ok)
@@ -87,14 +87,14 @@
 		_, ok := tr.Begin(second+6, "r")
 		is.True(ok)
 	}
-	tr.Sweep(second+7, all)
+	tr.Expire(second+7, all)
 	is.Equal(len(tr.entries), 0)
 }
 
 // An unanswered request blocks the others for RampInterval only.
 func TestASlowAnswerDoesNotBlockTheRamp(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	tr.RecordBackoff(0, "r", second)
 	_, ok := tr.Begin(second, "r")
 	is.True(ok)
@@ -109,7 +109,7 @@
 // A second backoff restarts the ramp; requests sent before it don't count.
 func TestASecondBackoffRestartsTheRamp(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	tr.RecordBackoff(0, "r", second)
 	old, _ := tr.Begin(second, "r")
 	tr.RecordBackoff(second+1, "r", second)
@@ -125,12 +125,12 @@
 // instances that start later receive all of them.
 func TestOldUpdatesAreRepeatedInTurn(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	for i := range 9 {
 		tr.RecordDrain(0, fmt.Sprint("old", i))
 	}
 	tr.RecordDrain(10*second, "new")
-	tr.Sweep(10*second, all)
+	tr.Expire(10*second, all)
 	announced := make(map[string]bool)
 	for range 5 {
 		updates := tr.Updates(10*second, 3*second, 16)
@@ -149,7 +149,7 @@
 // other: once neither lists it, both remove it.
 func TestARemovedIncarnationIsForgottenByAll(t *testing.T) {
 	is := is.New(t)
-	a, b := New(Standard()), New(Standard())
+	a, b := New(DefaultOptions()), New(DefaultOptions())
 	a.RecordDrain(0, "r@1")
 	removed := 0
 	for now := time.Duration(0); now < 3600*second; now += 200 * time.Millisecond {
@@ -159,7 +159,7 @@
 				pair[1].RecordDrain(now, incarnation)
 			}
 		}
-		removed += len(a.Sweep(now, listedBy(60*second)).Removed) + len(b.Sweep(now, listedBy(100*second)).Removed) // one of the two has an older list
+		removed += len(a.Expire(now, listedBy(60*second)).Removed) + len(b.Expire(now, listedBy(100*second)).Removed) // one of the two has an older list
 	}
 	is.Equal(removed, 2) // once at each instance
 	is.True(a.Empty() && b.Empty())
@@ -169,14 +169,14 @@
 // it, for example when it started while the store was unavailable.
 func TestAnIncarnationListedByOthersIsKept(t *testing.T) {
 	is := is.New(t)
-	a, b := New(Standard()), New(Standard())
+	a, b := New(DefaultOptions()), New(DefaultOptions())
 	a.RecordDrain(0, "r@1")
 	for now := 4 * second; now < 3600*second; now += second {
-		a.Sweep(now, all)
+		a.Expire(now, all)
 		for _, incarnation := range a.Updates(now, 3*second, 16) {
 			b.RecordDrain(now, incarnation)
 		}
-		b.Sweep(now, none)
+		b.Expire(now, none)
 		is.True(b.IsDraining("r@1"))
 	}
 }
@@ -188,7 +188,7 @@
 	for i := range 50 {
 		tr.RecordDrain(time.Duration(i), fmt.Sprint("life", 100+i))
 	}
-	is.Equal(len(tr.Sweep(second, none).Removed), 40)
+	is.Equal(len(tr.Expire(second, none).Removed), 40)
 	is.Equal(tr.Draining()[0], "life140")
 }
 
@@ -196,7 +196,7 @@
 // and once all backoffs have ended every other incarnation is used.
 func TestAdvisoriesHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := New(Standard())
+		tr := New(DefaultOptions())
 		incarnations := []string{"a", "b", "c"}
 		draining, backoffUntil := make(map[string]bool), make(map[string]time.Duration)
 		var attempts []Attempt
@@ -232,7 +232,7 @@
 					attempts = attempts[1:]
 				}
 			case 6:
-				tr.Sweep(now, all)
+				tr.Expire(now, all)
 			}
 		}
 		now += 10 * second
--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -18,7 +18,7 @@
 )
 
 // Table tracks the load of each replica. It is not safe for concurrent use.
-type Table struct {
+type Balancer struct {
 	loads map[string]*replicaLoad
 }
 
@@ -30,9 +30,9 @@
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{loads: make(map[string]*replicaLoad)} }
+func New() *Balancer { return &Balancer{loads: make(map[string]*replicaLoad)} }
 
-func (t *Table) loadOf(id string) *replicaLoad {
+func (t *Balancer) loadOf(id string) *replicaLoad {
 	r := t.loads[id]
 	if r == nil {
 		r = &replicaLoad{}
@@ -42,11 +42,11 @@
 }
 
 // Begin counts a request sent to a replica; End counts it off again.
-func (t *Table) Begin(id string) { t.loadOf(id).inFlight++ }
+func (t *Balancer) Begin(id string) { t.loadOf(id).inFlight++ }
 
 // End records the end of a request and its answer time; 0 if there was no
 // answer.
-func (t *Table) End(id string, took time.Duration) {
+func (t *Balancer) End(id string, took time.Duration) {
 	r := t.loadOf(id)
 	r.inFlight--
 	if took > 0 {
@@ -56,14 +56,14 @@
 
 // RecordLoad records the number of running requests that a replica reports,
 // without the one that it just answered.
-func (t *Table) RecordLoad(now time.Duration, id string, running int) {
+func (t *Balancer) RecordLoad(now time.Duration, id string, running int) {
 	r := t.loadOf(id)
 	r.reported, r.reportedAt = max(running, 0), now
 }
 
 // MeanAnswerTime returns the moving average of a replica's answer times; 0 if
 // unknown.
-func (t *Table) MeanAnswerTime(id string) time.Duration {
+func (t *Balancer) MeanAnswerTime(id string) time.Duration {
 	if r := t.loads[id]; r != nil {
 		return time.Duration(r.meanAnswerSeconds * float64(time.Second))
 	}
@@ -72,7 +72,7 @@
 
 // Prune drops the replicas without requests in flight for which keep returns
 // false.
-func (t *Table) Prune(keep func(id string) bool) {
+func (t *Balancer) Prune(keep func(id string) bool) {
 	for id, r := range t.loads {
 		if r.inFlight == 0 && !keep(id) {
 			delete(t.loads, id)
@@ -101,7 +101,7 @@
 // time of up to three random candidates (power of random choices). Closer
 // replicas win if the times are similar; remote regions are only considered if
 // the best local replica is full.
-func (t *Table) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (t *Balancer) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var local, remote []catalog.Replica
 	for _, r := range candidates {
 		if distance(r.Hall) == regions.Remote {
@@ -123,7 +123,7 @@
 	return best
 }
 
-func (t *Table) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (t *Balancer) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	best := candidates[random.IntN(len(candidates))]
 	for range min(len(candidates)-1, 2) {
 		other := candidates[random.IntN(len(candidates))]
@@ -140,7 +140,7 @@
 	crossRegionTime   = 0.06  // seconds: the round trip, and as much again for the transfer
 )
 
-func (t *Table) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
+func (t *Balancer) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
 	x := t.loadOf(r.ID)
 	took := x.meanAnswerSeconds
 	if took == 0 {
@@ -180,7 +180,7 @@
 // choose the same home and requests with common parts meet there. If the home
 // is overloaded, the next engine in rank runs the request and fetches the
 // cached prefix from the home.
-func (t *Table) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
+func (t *Balancer) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
 	key := request
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -16,7 +16,7 @@
 
 // Stage estimates the duration of one pipeline stage. It is not safe for
 // concurrent use.
-type Stage struct {
+type Estimator struct {
 	prior   time.Duration
 	buckets [buckets]statistics
 	all     statistics
@@ -29,27 +29,27 @@
 }
 
 // New returns an estimator that starts from the declared duration.
-func New(prior time.Duration) *Stage { return &Stage{prior: prior} }
+func New(prior time.Duration) *Estimator { return &Estimator{prior: prior} }
 
 // Observe records a measured duration for an input of the given bytes.
-func (s *Stage) Observe(size int, took time.Duration) {
+func (s *Estimator) Observe(size int, took time.Duration) {
 	s.buckets[bucket(size)].add(took)
 	s.all.add(took)
 }
 
 // Mean returns the expected duration for an input of the given bytes.
-func (s *Stage) Mean(size int) time.Duration {
+func (s *Estimator) Mean(size int) time.Duration {
 	m, _ := s.statistics(size)
 	return m
 }
 
 // UpperBound returns a duration that few inputs of that size exceed.
-func (s *Stage) UpperBound(size int) time.Duration {
+func (s *Estimator) UpperBound(size int) time.Duration {
 	m, d := s.statistics(size)
 	return m + upperBoundDeviations*d
 }
 
-func (s *Stage) statistics(size int) (mean, dev time.Duration) {
+func (s *Estimator) statistics(size int) (mean, dev time.Duration) {
 	b := &s.buckets[bucket(size)]
 	if b.n < minSamples {
 		b = &s.all
--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -19,7 +19,7 @@
 type Entry struct {
 	Hall     string
 	Revision uint64
-	Gone     bool // the hall is returned to service
+	Deleted  bool // the hall is returned to service
 }
 
 // Return is a hall that was returned to service.
@@ -89,7 +89,7 @@
 	for _, e := range entries {
 		switch {
 		case e.Revision <= v.revision:
-		case e.Gone:
+		case e.Deleted:
 			delete(next, e.Hall)
 		default:
 			next[e.Hall] = true
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -41,7 +41,7 @@
 		if gone {
 			delete(s.drained, hall)
 		}
-		s.history = append(s.history, Entry{Hall: hall, Revision: s.revision, Gone: gone})
+		s.history = append(s.history, Entry{Hall: hall, Revision: s.revision, Deleted: gone})
 	})
 }
 
@@ -121,8 +121,8 @@
 	is := is.New(t)
 	v := New()
 	is.Equal(v.Replace(0, []string{"b", "a"}, 7), []Change{{"a", true}, {"b", true}})
-	is.Equal(len(v.Replace(0, nil, 7)), 0)                                         // same revision as the view's
-	is.Equal(len(v.Apply(0, []Entry{{Hall: "a", Revision: 6, Gone: true}}, 9)), 0) // older
+	is.Equal(len(v.Replace(0, nil, 7)), 0)                                            // same revision as the view's
+	is.Equal(len(v.Apply(0, []Entry{{Hall: "a", Revision: 6, Deleted: true}}, 9)), 0) // older
 	is.Equal(v.Apply(0, []Entry{{"a", 10, true}, {"b", 11, true}, {"b", 12, false}}, 12), []Change{{"a", false}})
 	is.Equal(v.Halls(), []string{"b"})
 }
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -154,7 +154,7 @@
 }
 
 // Prune drops replicas without a record for longer than after.
-func (d *Detector) Prune(now, after time.Duration) {
+func (d *Detector) Expire(now, after time.Duration) {
 	for id, r := range d.replicas {
 		if now-r.lastRecord > after {
 			delete(d.replicas, id)
--- a/coordination/ledger/bench_test.go
+++ b/coordination/ledger/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkNumber(b *testing.B) {
 	for _, held := range []int{100, 10_000, 100_000} {
 		b.Run("records="+strconv.Itoa(held), func(b *testing.B) {
-			l := New(1, MaxRecords(1<<30))
+			l := New(1, WithMaxRecords(1<<30))
 			for i := range held {
 				l.Begin(number(1, -1-i, 0), 0)
 			}
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 
 func TestBegin(t *testing.T) {
 	is := is.New(t)
-	l := New(1, Horizon(time.Minute), MaxRecords(2))
+	l := New(1, WithHorizon(time.Minute), WithMaxRecords(2))
 	v, r := l.Begin(number(1, 1, 0), time.Second)
 	is.Equal(v, Start)
 	v, joined := l.Begin(number(1, 1, 0), 2*time.Second)
@@ -40,7 +40,7 @@
 // ticket has.
 func TestANumberWhoseRecordIsGoneDoesNotStart(t *testing.T) {
 	is := is.New(t)
-	l := New(2, Horizon(time.Minute))
+	l := New(2, WithHorizon(time.Minute))
 	v, _ := l.Begin(number(2, 1, 0), 0)
 	is.Equal(v, Start)
 	v, _ = l.Begin(number(2, 1, 0), 181*time.Second)
@@ -91,7 +91,7 @@
 
 func (m *fleetModel) spawn() {
 	m.lastIncarnation++
-	m.nodes = append(m.nodes, &node{incarnation: m.lastIncarnation, start: m.now, ledger: New(m.lastIncarnation, Horizon(time.Minute))})
+	m.nodes = append(m.nodes, &node{incarnation: m.lastIncarnation, start: m.now, ledger: New(m.lastIncarnation, WithHorizon(time.Minute))})
 }
 
 func (m *fleetModel) pick(t *rapid.T) *node {
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -21,7 +21,7 @@
 }
 
 // Horizon sets the time that numbers of a prefix may start.
-func Horizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
+func WithHorizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
 
 // MaxRecords sets the maximum number of records.
-func MaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
+func WithMaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -26,7 +26,7 @@
 
 func TestSharesFollowDemand(t *testing.T) {
 	is := is.New(t)
-	b := NewBudget()
+	b := NewAllocator()
 	is.Equal(b.Share(0, "a", 300, 400), 400.0) // a single holder gets all of it
 	is.Equal(b.Share(0, "b", 0, 400), 50.0)    // half of the unused rate
 	is.Equal(b.Share(0, "c", 500, 400), 250.0) // 500 of 800
@@ -39,7 +39,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "wants")
 		rate := rapid.Float64Range(1, 2000).Draw(t, "rate")
-		b := NewBudget()
+		b := NewAllocator()
 		name := func(i int) string { return string(rune('a' + i)) }
 		for i, w := range demands {
 			b.Share(0, name(i), w, rate)
--- a/coordination/limit/share.go
+++ b/coordination/limit/share.go
@@ -9,7 +9,7 @@
 // its requests, in proportion to the demand at each. It is kept by the customer's
 // owner; while two instances both act as the owner, slightly more than the rate is let
 // through. It is not safe for concurrent use.
-type Budget struct{ holders map[string]report }
+type Allocator struct{ holders map[string]report }
 
 type report struct {
 	demand float64 // requests per second
@@ -17,12 +17,12 @@
 }
 
 // NewBudget returns a budget without holders.
-func NewBudget() *Budget { return &Budget{holders: make(map[string]report)} }
+func NewAllocator() *Allocator { return &Allocator{holders: make(map[string]report)} }
 
 // Share records a holder's demand in requests per second and returns the rate that it
 // may let through: its demand and an equal part of the unused rate, or a proportional
 // part of the rate when demand exceeds it.
-func (b *Budget) Share(now time.Duration, holder string, demand, rate float64) float64 {
+func (b *Allocator) Share(now time.Duration, holder string, demand, rate float64) float64 {
 	b.holders[holder] = report{demand, now}
 	total := 0.0
 	for h, d := range b.holders {
@@ -39,7 +39,7 @@
 }
 
 // Idle reports whether no holder has reported lately.
-func (b *Budget) Idle(now time.Duration) bool {
+func (b *Allocator) Idle(now time.Duration) bool {
 	for _, d := range b.holders {
 		if now-d.at <= reportLifetime {
 			return false
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -39,7 +39,7 @@
 
 func TestSuspectDiesAndRefutes(t *testing.T) {
 	is := is.New(t)
-	v := New(member("a", 1), SuspectTimeout(time.Second))
+	v := New(member("a", 1), WithSuspectTimeout(time.Second))
 	v.Merge(0, member("b", 1))
 	m, suspect := v.MarkSuspect(0, "b")
 	is.True(suspect)
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -20,4 +20,4 @@
 }
 
 // SuspectTimeout sets the time that a suspect has to refute.
-func SuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
+func WithSuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
--- a/coordination/pace/fleet_test.go
+++ b/coordination/pace/fleet_test.go
@@ -105,7 +105,7 @@
 }
 
 func (x *modelInstance) start() {
-	x.tracker, x.announced, x.grantors = New(Standard()), make(map[int]time.Duration), nil
+	x.tracker, x.announced, x.grantors = New(DefaultOptions()), make(map[int]time.Duration), nil
 }
 
 func (m *model) after(d time.Duration, run func()) {
@@ -263,7 +263,7 @@
 			m.announce(x, m.instances[m.random.IntN(len(m.instances))])
 		}
 	}
-	x.tracker.Sweep(m.now, func(string) bool { return true })
+	x.tracker.Expire(m.now, func(string) bool { return true })
 	for _, r := range m.replicas[:m.limited] {
 		x.tracker.SetGrantor(m.now, r.incarnation, m.grantor(x, r) == x)
 	}
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -34,7 +34,7 @@
 }
 
 // Standard returns the options used in production.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{
 		Burst:             250 * time.Millisecond,
 		MaxInterval:       10 * time.Second,
@@ -278,7 +278,7 @@
 
 // Sweep removes limits that ended RemovedRetention ago and entries of incarnations that
 // have been unlisted for UnlistedRetention.
-func (t *Tracker) Sweep(now time.Duration, listed func(incarnation string) bool) {
+func (t *Tracker) Expire(now time.Duration, listed func(incarnation string) bool) {
 	for incarnation, r := range t.entries {
 		if listed(incarnation) {
 			r.listedAt = now
--- a/coordination/pace/pace_test.go
+++ b/coordination/pace/pace_test.go
@@ -12,7 +12,7 @@
 
 func TestGrantsAreSpaced(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	is.True(tr.TryGrant(0, "r")) // no limit
 	is.Equal(tr.Record(0, Report{Incarnation: "r", Limit: stated(2)}), Added)
 	is.True(!tr.TryGrant(time.Hour, "r")) // another instance is the grantor
@@ -31,7 +31,7 @@
 // Unused grants accumulate for 250 ms only.
 func TestUnusedGrantsDoNotAccumulate(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	tr.Record(0, Report{Incarnation: "r", Limit: stated(20)})
 	tr.SetGrantor(0, "r", true)
 	granted := 0
@@ -44,7 +44,7 @@
 // A new grantor doesn't know what its predecessor granted and waits for one interval.
 func TestANewGrantorWaitsOneInterval(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	tr.Record(0, Report{Incarnation: "r", Limit: stated(1)})
 	for now := time.Duration(0); now < 100*time.Second; now += 500 * time.Millisecond {
 		tr.SetGrantor(now, "r", true)
@@ -56,7 +56,7 @@
 // The newest report wins, in whatever order reports arrive.
 func TestTheNewestReportWins(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	is.Equal(tr.Record(5*time.Second, Report{Incarnation: "r"}), Unchanged) // no limit was ever stated
 	is.Equal(tr.Record(5*time.Second, Report{Incarnation: "r", Limit: stated(1), Age: time.Second}), Added)
 	is.Equal(tr.Record(5*time.Second, Report{Incarnation: "r", Age: 2 * time.Second}), Unchanged)
@@ -73,7 +73,7 @@
 // Not every change is logged.
 func TestLimitChangesAreLoggedAtALimitedRate(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	is.True(!tr.ShouldLog(0, "r")) // no limit stated
 	logged := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
@@ -93,7 +93,7 @@
 func TestAZeroLimitIsProbed(t *testing.T) {
 	is := is.New(t)
 	for _, perSecond := range []float64{0, 0.001} {
-		tr := New(Standard())
+		tr := New(DefaultOptions())
 		tr.Record(0, Report{Incarnation: "r", Limit: stated(perSecond)})
 		tr.SetGrantor(0, "r", true)
 		granted := 0
@@ -108,25 +108,25 @@
 
 func TestStaleLimitsAreRemoved(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	tr.Record(0, Report{Incarnation: "r", Limit: stated(1)})
-	tr.Sweep(time.Hour, all)
+	tr.Expire(time.Hour, all)
 	is.True(tr.HasLimits()) // limits of listed incarnations don't expire
-	tr.Sweep(time.Hour+tr.opts.UnlistedRetention, none)
+	tr.Expire(time.Hour+tr.opts.UnlistedRetention, none)
 	is.True(tr.HasLimits())
-	tr.Sweep(time.Hour+tr.opts.UnlistedRetention+1, none)
+	tr.Expire(time.Hour+tr.opts.UnlistedRetention+1, none)
 	is.Equal(len(tr.entries), 0)
 	is.True(!tr.HasLimits())
 	tr.Record(0, Report{Incarnation: "r", Limit: stated(1)})
 	tr.Record(1, Report{Incarnation: "r"})
-	tr.Sweep(tr.opts.RemovedRetention+2, all)
+	tr.Expire(tr.opts.RemovedRetention+2, all)
 	is.Equal(len(tr.entries), 0)
 }
 
 func TestOldReportsAreRepeatedInTurn(t *testing.T) {
 	is := is.New(t)
-	tr := New(Standard())
+	tr := New(DefaultOptions())
 	for i := range 20 {
 		tr.Record(0, Report{Incarnation: string(rune('a' + i)), Limit: stated(1)})
 	}
--- a/coordination/pace/retryschedule.go
+++ b/coordination/pace/retryschedule.go
@@ -24,7 +24,7 @@
 }
 
 // Prune removes reservations that have passed.
-func (s *RetrySchedule) Prune(now time.Duration) {
+func (s *RetrySchedule) Expire(now time.Duration) {
 	for service, next := range s.next {
 		if next < now {
 			delete(s.next, service)
--- a/coordination/pace/retryschedule_test.go
+++ b/coordination/pace/retryschedule_test.go
@@ -33,7 +33,7 @@
 	}
 	schedule := NewRetrySchedule()
 	schedule.Reserve("s", time.Second, perSecond, instances, 0)
-	schedule.Prune(4 * time.Second)
+	schedule.Expire(4 * time.Second)
 	is.Equal(len(schedule.next), 0)
 	is.Equal(schedule.Reserve("s", 9*time.Second, perSecond, instances, 0), 9*time.Second)
 }
--- a/coordination/pipeline/fair_share.go
+++ b/coordination/pipeline/fair_share.go
@@ -29,7 +29,7 @@
 // otherwise.
 func (s *Scheduler) checkShare(now time.Duration, j *job) shares.Standing {
 	j.Needs = append(j.Needs, s.poolNeeds(now, j)...)
-	standing := s.shares.RecordDemand(now, j.Customer, j.Rank, j.UsualShare, j.Needs)
+	standing := s.shares.RecordDemand(now, j.Customer, j.Rank, j.ReportedUsage, j.Needs)
 	if !standing.Within {
 		j.overShare = true
 		j.rank += overShareRank
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -72,19 +72,19 @@
 
 // Job describes the stages of a request.
 type Job struct {
-	RequestID   string
-	Key         string
-	Customer    string
-	UsualShare  shares.UsageReport // of the customer, as reported with the request
-	Rank        int                // 0 is the most urgent
-	Hall        string             // hall in which its results are preferably made; "" for any
-	Objective   time.Duration      // from now, by which the stages should be done
-	Deadline    time.Duration      // from now, after which the results are useless
-	Retry       bool               // the request was refused before
-	AllowLate   bool               // the job may be admitted although it will be late
-	ReplicaEnds int                // replica incarnations that ended while they ran this request
-	Needs       []shares.Need      // scarce resources that the request uses besides pools
-	Stages      []Stage
+	RequestID     string
+	Key           string
+	Customer      string
+	ReportedUsage shares.UsageReport // of the customer, as reported with the request
+	Rank          int                // 0 is the most urgent
+	Hall          string             // hall in which its results are preferably made; "" for any
+	Objective     time.Duration      // from now, by which the stages should be done
+	Deadline      time.Duration      // from now, after which the results are useless
+	Retry         bool               // the request was refused before
+	AllowLate     bool               // the job may be admitted although it will be late
+	ReplicaEnds   int                // replica incarnations that ended while they ran this request
+	Needs         []shares.Need      // scarce resources that the request uses besides pools
+	Stages        []Stage
 }
 
 // Uses reports whether the job has items for a service.
@@ -172,7 +172,7 @@
 		jobs:      make(map[uint64]*job),
 		calls:     make(map[uint64]*call),
 		lateStats: make(map[int]*lateStats),
-		shares:    shares.New(shares.Standard()),
+		shares:    shares.New(shares.DefaultOptions()),
 	}
 }
 
@@ -312,24 +312,24 @@
 
 // PoolState describes a pool in the state dump.
 type PoolState struct {
-	Service string
-	Waiting int           // items
-	Clear   time.Duration // time until all admitted work is done
-	AtWork  int           // replicas that run a call
-	Serving int           // replicas that count as capacity
+	Service         string
+	WaitingItems    int           `json:"Waiting"`
+	BacklogTime     time.Duration `json:"Clear"`   // time until all admitted work is done
+	BusyReplicas    int           `json:"AtWork"`  // replicas that run a call
+	ServingReplicas int           `json:"Serving"` // replicas that count as capacity
 }
 
 // Pools returns the state of each pool, sorted by name.
 func (s *Scheduler) Pools(now time.Duration) []PoolState {
 	var out []PoolState
 	for _, p := range s.poolsByName {
-		st := PoolState{Service: p.name, Waiting: len(p.ready), Clear: p.drainTime(now)}
+		st := PoolState{Service: p.name, WaitingItems: len(p.ready), BacklogTime: p.drainTime(now)}
 		for _, r := range p.replicasByID {
 			if r.call != nil {
-				st.AtWork++
+				st.BusyReplicas++
 			}
 			if r.isServing(now) {
-				st.Serving++
+				st.ServingReplicas++
 			}
 		}
 		out = append(out, st)
--- a/coordination/placement/eligibility_test.go
+++ b/coordination/placement/eligibility_test.go
@@ -12,7 +12,7 @@
 
 // setTwoHalls gives the table two engines in different halls and applies change
 // to the second one.
-func setTwoHalls(t *Table, warm *catalog.WarmUp, change func(*catalog.Replica)) {
+func setTwoHalls(t *Placer, warm *catalog.WarmUp, change func(*catalog.Replica)) {
 	list := []catalog.Replica{{ID: "e0", Service: "llm", Address: "e0:1", Hall: "a"}, {ID: "e1", Service: "llm", Address: "e1:1", Hall: "b"}}
 	change(&list[1])
 	engine := &catalog.Engine{Slots: 128, MemoryTokens: 100_000}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -55,11 +55,11 @@
 
 // Table tracks engines and their running requests, and places new requests. It
 // is not safe for concurrent use.
-type Table struct {
+type Placer struct {
 	opts        Options
 	engines     map[string]*engine
 	byService   map[string][]*engine // sorted by ID
-	speeds      map[string]*speed.Service
+	speeds      map[string]*speed.ServiceEstimator
 	runs        map[uint64]*run
 	grants      pace.Limiter // nil: send grants are not used
 	warmUpLimit warmup.Limit
@@ -78,9 +78,9 @@
 	busyUntil        time.Duration
 	prefillShare     float64 // recent share of time spent on prefill, as of prefillShareAt
 	prefillShareAt   time.Duration
-	speed            *speed.Service
-	replicaSpeed     speed.Replica // speed relative to the service's other replicas
-	transferPerToken time.Duration // time to transfer one token from another engine
+	speed            *speed.ServiceEstimator
+	replicaSpeed     speed.ReplicaEstimator // speed relative to the service's other replicas
+	transferPerToken time.Duration          // time to transfer one token from another engine
 	cached           map[uint64]*cachedPart
 	reported         map[string]int // cached tokens by part ID, as of the engine's last cache report
 	reportedAt       time.Duration
@@ -88,23 +88,23 @@
 }
 
 // New returns an empty table; warmUp limits the request rate of warming engines.
-func New(o Options, warmUp warmup.Limit) *Table {
-	return &Table{
-		opts: o, engines: make(map[string]*engine), speeds: make(map[string]*speed.Service),
+func New(o Options, warmUp warmup.Limit) *Placer {
+	return &Placer{
+		opts: o, engines: make(map[string]*engine), speeds: make(map[string]*speed.ServiceEstimator),
 		runs: make(map[uint64]*run), warmUpLimit: warmUp, warmUpSends: warmup.NewWindow(),
 	}
 }
 
 // WithSendGrants makes the table respect and spend the send grants of engines
 // that state a rate limit. It returns the table.
-func (t *Table) WithSendGrants(grants pace.Limiter) *Table {
+func (t *Placer) WithSendGrants(grants pace.Limiter) *Placer {
 	t.grants = grants
 	return t
 }
 
 // SetEngines replaces the configured services and the live replicas. The state
 // of engines that remain listed is kept.
-func (t *Table) SetEngines(services map[string]*catalog.Service, replicas []catalog.Replica) {
+func (t *Placer) SetEngines(services map[string]*catalog.Service, replicas []catalog.Replica) {
 	listed := make(map[string]bool)
 	for _, r := range replicas {
 		s := services[r.Service]
@@ -144,7 +144,7 @@
 
 // Place returns the engine with the lowest cost for a request; false if no
 // engine is eligible.
-func (t *Table) Place(now time.Duration, r *Request) (Choice, bool) {
+func (t *Placer) Place(now time.Duration, r *Request) (Choice, bool) {
 	keys := prefixKeys(r.Parts)
 	all := t.candidates(now, r)
 	if len(all) == 0 {
@@ -179,7 +179,7 @@
 // drainedHolder returns the engine with the longest cached prefix in the halls
 // being drained, and the prefix length. Such an engine gets no requests, but
 // its cache can still be fetched.
-func (t *Table) drainedHolder(now time.Duration, r *Request, keys []uint64) (holder *engine, longest int) {
+func (t *Placer) drainedHolder(now time.Duration, r *Request, keys []uint64) (holder *engine, longest int) {
 	for _, e := range t.byService[r.Service] {
 		if !e.HallDrained || e.Draining {
 			continue
@@ -193,7 +193,7 @@
 
 // candidates returns the engines eligible for a request. The start of the list
 // rotates with the request ID, so that engines of equal cost share the load.
-func (t *Table) candidates(now time.Duration, r *Request) []*engine {
+func (t *Placer) candidates(now time.Duration, r *Request) []*engine {
 	all := t.byService[r.Service]
 	out := make([]*engine, 0, len(all))
 	for i := range all {
@@ -244,13 +244,13 @@
 
 // hasSendGrant reports whether the rate limit that an engine states allows one
 // more request now.
-func (t *Table) hasSendGrant(now time.Duration, e *engine) bool {
+func (t *Placer) hasSendGrant(now time.Duration, e *engine) bool {
 	return t.grants == nil || !t.grants.HasLimits() || t.grants.NextGrant(now, e.ID) <= now
 }
 
 // GrantSupply returns the combined send grants of the engines eligible for a
 // request.
-func (t *Table) GrantSupply(now time.Duration, r *Request) (s pace.Supply) {
+func (t *Placer) GrantSupply(now time.Duration, r *Request) (s pace.Supply) {
 	if t.grants == nil || !t.grants.HasLimits() {
 		return s
 	}
@@ -267,7 +267,7 @@
 
 // withinWarmUpRate reports whether an engine is warm, or its warm-up limit
 // allows one more request now.
-func (t *Table) withinWarmUpRate(now time.Duration, e *engine) bool {
+func (t *Placer) withinWarmUpRate(now time.Duration, e *engine) bool {
 	return e.warmUpRate == 0 || now >= e.WarmingUntil || t.warmUpSends.NextAllowed(now, e.ID, e.warmUpRate) <= now
 }
 
@@ -278,7 +278,7 @@
 // cost returns the total cost of placing a request on an engine that has cached
 // the given number of prompt tokens; longest is the longest prefix cached
 // anywhere.
-func (t *Table) cost(now time.Duration, r *Request, e *engine, cached, longest int) float64 {
+func (t *Placer) cost(now time.Duration, r *Request, e *engine, cached, longest int) float64 {
 	o := &t.opts
 	transferred := longest - cached
 	prefill := e.prefillTime(r.promptTokens() - longest)
@@ -290,7 +290,7 @@
 		c += o.LateCost * ramp(firstEvent.Seconds(), 0.6*r.Slack.Seconds(), 1.1*r.Slack.Seconds())
 	}
 	c += o.StallCost * float64(e.generating) * ramp((queue+prefill).Seconds(), o.StallMin.Seconds(), o.StallMax.Seconds())
-	c += o.InterferenceCost * e.decayedPrefillShare(now, o) * float64(r.OutputTokens) * e.speed.Figures().PerOut.Seconds()
+	c += o.InterferenceCost * e.decayedPrefillShare(now, o) * float64(r.OutputTokens) * e.speed.Estimate().PerOutputToken.Seconds()
 	for hall, bytes := range r.ResultBytes {
 		if hall != e.Hall {
 			c += o.CrossHallByteCost * float64(bytes)
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"quinceroad/state/catalog"
 )
 
-func newTable(engines int) *Table {
+func newTable(engines int) *Placer {
 	t := New(DefaultOptions(), warmup.Limit{})
 	services := map[string]*catalog.Service{"llm": {Engine: &catalog.Engine{Slots: 128, MemoryTokens: 100_000}}}
 	var list []catalog.Replica
@@ -36,7 +36,7 @@
 	return Choice{Replica: catalog.Replica{ID: replica}, PrefillTokens: 1000}
 }
 
-func (t *Table) begin(now time.Duration, r *Request) Choice {
+func (t *Placer) begin(now time.Duration, r *Request) Choice {
 	c, _ := t.Place(now, r)
 	t.Begin(now, r, c)
 	return c
--- a/coordination/placement/prefix_cache.go
+++ b/coordination/placement/prefix_cache.go
@@ -54,7 +54,7 @@
 // LongestCachedPrefix returns the engine of a service with the longest cached
 // prefix of a prompt. Leaving engines are skipped: they may be gone before the
 // prefix is fetched.
-func (t *Table) LongestCachedPrefix(now time.Duration, service string, parts []catalog.PromptPart) (longest CachedPrefix) {
+func (t *Placer) LongestCachedPrefix(now time.Duration, service string, parts []catalog.PromptPart) (longest CachedPrefix) {
 	keys := prefixKeys(parts)
 	for _, e := range t.byService[service] {
 		if e.Draining {
@@ -69,7 +69,7 @@
 
 // RecordCacheReport records the parts that an engine reports as cached, which
 // it may have cached for requests of an earlier owner.
-func (t *Table) RecordCacheReport(now time.Duration, replica string, parts []catalog.PromptPart) {
+func (t *Placer) RecordCacheReport(now time.Duration, replica string, parts []catalog.PromptPart) {
 	e := t.engines[replica]
 	if e == nil {
 		return
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -17,7 +17,7 @@
 
 // Begin records the start of a request on its engine, and its prompt as cached
 // there.
-func (t *Table) Begin(now time.Duration, r *Request, c Choice) {
+func (t *Placer) Begin(now time.Duration, r *Request, c Choice) {
 	e := t.engines[c.Replica.ID]
 	if e == nil {
 		return
@@ -58,7 +58,7 @@
 }
 
 // FirstEvent records a request's first event, which ends its prefill.
-func (t *Table) FirstEvent(now time.Duration, id uint64) {
+func (t *Placer) FirstEvent(now time.Duration, id uint64) {
 	r := t.runs[id]
 	if r == nil || r.hasFirstEvent {
 		return
@@ -74,7 +74,7 @@
 }
 
 // End records the end of a request, successful or not.
-func (t *Table) End(now time.Duration, id uint64) {
+func (t *Placer) End(now time.Duration, id uint64) {
 	r := t.runs[id]
 	if r == nil {
 		return
@@ -93,4 +93,4 @@
 }
 
 // Running returns the number of running requests.
-func (t *Table) Running() int { return len(t.runs) }
+func (t *Placer) Running() int { return len(t.runs) }
--- a/coordination/placement/speeds.go
+++ b/coordination/placement/speeds.go
@@ -8,7 +8,7 @@
 )
 
 // serviceSpeed returns the speed estimator of a service's engines.
-func (t *Table) serviceSpeed(service string) *speed.Service {
+func (t *Placer) serviceSpeed(service string) *speed.ServiceEstimator {
 	s := t.speeds[service]
 	if s == nil {
 		s = speed.New(t.opts.Speed)
@@ -18,11 +18,11 @@
 }
 
 // Speeds returns the speed estimators by service.
-func (t *Table) Speeds() map[string]*speed.Service { return t.speeds }
+func (t *Placer) Speeds() map[string]*speed.ServiceEstimator { return t.speeds }
 
 // SeedSpeed uses the estimate of peers for a service while the table has few
 // observations of its own, and reports whether it did.
-func (t *Table) SeedSpeed(now time.Duration, service string, f speed.Figures) bool {
+func (t *Placer) SeedSpeed(now time.Duration, service string, f speed.Estimate) bool {
 	return t.serviceSpeed(service).Seed(now, f)
 }
 
@@ -30,12 +30,12 @@
 // earlier stages to its first event on the chosen engine, as a high quantile of
 // requests with the same prefill and transfer. Current prefills are ignored, as
 // they will have ended by then.
-func (t *Table) TimeToFirstEvent(r *Request, c Choice) time.Duration {
+func (t *Placer) TimeToFirstEvent(r *Request, c Choice) time.Duration {
 	e := t.engines[c.Replica.ID]
 	if e == nil {
-		return t.serviceSpeed(r.Service).Likely(r.promptTokens())
+		return t.serviceSpeed(r.Service).UpperBound(r.promptTokens())
 	}
-	return e.speed.Likely(c.PrefillTokens) + e.transferTime(c.TransferTokens)
+	return e.speed.UpperBound(c.PrefillTokens) + e.transferTime(c.TransferTokens)
 }
 
 // promptTokens returns the length of a request's prompt.
@@ -50,13 +50,13 @@
 // baseTime returns the engine's typical time to first event for an empty
 // prompt.
 func (e *engine) baseTime() time.Duration {
-	return time.Duration(float64(e.speed.Usual(0)) * e.speed.Factor(&e.replicaSpeed))
+	return time.Duration(float64(e.speed.Median(0)) * e.speed.Factor(&e.replicaSpeed))
 }
 
 // prefillTime returns the typical time that an engine needs for the given
 // number of prompt tokens, without baseTime.
 func (e *engine) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(e.speed.Usual(tokens)-e.speed.Usual(0)) * e.speed.Factor(&e.replicaSpeed))
+	return time.Duration(float64(e.speed.Median(tokens)-e.speed.Median(0)) * e.speed.Factor(&e.replicaSpeed))
 }
 
 // transferTime returns the time to fetch the given number of cached tokens.
@@ -66,7 +66,7 @@
 
 // pendingPrefill estimates the tokens that an engine still has to prefill.
 func (e *engine) pendingPrefill(now time.Duration) int {
-	perToken := float64(e.speed.Figures().Usual.PerToken) * e.speed.Factor(&e.replicaSpeed)
+	perToken := float64(e.speed.Estimate().Median.PerToken) * e.speed.Factor(&e.replicaSpeed)
 	return int(float64(max(e.busyUntil-now, 0)) / max(perToken, 1))
 }
 
--- a/coordination/placement/speeds_test.go
+++ b/coordination/placement/speeds_test.go
@@ -12,7 +12,7 @@
 
 // serveFastEngines runs requests with prompts of up to 30,000 tokens on engines
 // that prefill 110 tokens per ms.
-func serveFastEngines(t *Table, requests uint64) {
+func serveFastEngines(t *Placer, requests uint64) {
 	now := time.Duration(0)
 	for id := range requests {
 		r := request(id, 100<<(id%9), 30)
@@ -39,7 +39,7 @@
 	is.Equal(c.PrefillTokens, 50_000)
 
 	fresh := newTable(4) // of another owner
-	is.True(fresh.SeedSpeed(0, "llm", table.Speeds()["llm"].Figures()))
+	is.True(fresh.SeedSpeed(0, "llm", table.Speeds()["llm"].Estimate()))
 	is.True(fresh.TimeToFirstEvent(long, c) < 700*time.Millisecond)
 }
 
--- a/coordination/quarantine/exchange.go
+++ b/coordination/quarantine/exchange.go
@@ -8,7 +8,7 @@
 
 // Announce returns the entries of the next message to other instances: recently
 // changed cases, and some quarantined ones repeated round-robin.
-func (t *Tracker) Announce(now time.Duration) []Entry {
+func (t *Tracker) Updates(now time.Duration) []Entry {
 	var out []Entry
 	for _, c := range t.unannounced() {
 		c.announced++
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -109,7 +109,7 @@
 }
 
 func announce(now time.Duration, from, to *Tracker) {
-	for _, e := range from.Announce(now) {
+	for _, e := range from.Updates(now) {
 		to.Merge(now, e)
 	}
 }
@@ -146,7 +146,7 @@
 			}
 		}
 		for range 200 {
-			b.Announce(0) // all cases have been announced often enough
+			b.Updates(0) // all cases have been announced often enough
 		}
 		informed = append(informed, b)
 	}
@@ -168,7 +168,7 @@
 	for round := range 15 { // rounds of heartbeats, five a second, from four peers each
 		now := time.Minute + time.Duration(round)*200*time.Millisecond
 		for _, b := range informed {
-			if entries := b.Announce(now); random.IntN(2) == 0 {
+			if entries := b.Updates(now); random.IntN(2) == 0 {
 				for _, e := range entries {
 					suspended.Merge(now, e)
 				}
@@ -189,13 +189,13 @@
 		concurrent = append(concurrent, 100+f)
 	}
 	crash(b, 0, 1, append(concurrent, 7)...)
-	b.Announce(0)
+	b.Updates(0)
 	crash(b, 0, 2, 7)
 	crash(b, 0, 3, 7)
-	is.Equal(b.Announce(0)[0].Fingerprint, Fingerprint(7))
+	is.Equal(b.Updates(0)[0].Fingerprint, Fingerprint(7))
 	announced := make(map[Fingerprint]bool)
 	for range 20 {
-		for _, e := range b.Announce(0) {
+		for _, e := range b.Updates(0) {
 			announced[e.Fingerprint] = true
 		}
 	}
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -47,7 +47,7 @@
 // Entry is a change of an order as received from a watch.
 type Entry struct {
 	Order
-	Gone bool
+	Deleted bool
 }
 
 // OrderState is an order with its phase as known to an instance.
@@ -147,7 +147,7 @@
 	for _, e := range entries {
 		switch {
 		case e.Revision <= v.revision:
-		case e.Gone:
+		case e.Deleted:
 			delete(next, e.Service)
 		default:
 			next[e.Service] = e.Order
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -25,7 +25,7 @@
 	name           string
 	incarnation    uint64
 	view           *View
-	ledger         *Ledger
+	ledger         *TrafficSplitter
 	own            Report
 	reports        *Reports
 	judge          *Judge
@@ -41,7 +41,7 @@
 }
 
 func (i *instance) restart(start float64) {
-	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), ledger: NewLedger(start), reports: NewReports(), judge: NewJudge(),
+	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), ledger: NewTrafficSplitter(start), reports: NewReports(), judge: NewJudge(),
 		own: Report{Rows: make(map[RowKey]*Tally)}, lastHeard: make(map[string]int), cutOffUntil: i.cutOffUntil}
 }
 
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -27,7 +27,7 @@
 	is.Equal(len(v.SetPhase(3, 5, Canary)), 0) // phase of the replaced order
 	v.SetPhase(4, 9, Canary)
 	is.True(!v.Withheld("s", "v3", true, false))
-	changes := v.Apply(5, []Entry{{Order: Order{Service: "s", Revision: 11}, Gone: true}}, 11)
+	changes := v.Apply(5, []Entry{{Order: Order{Service: "s", Revision: 11}, Deleted: true}}, 11)
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Phase, Rejected)
 	is.True(v.Withheld("s", "v3", true, false))
@@ -57,7 +57,7 @@
 	}
 	a.SetPhase(2, 5, Done)
 	for _, v := range []*View{a, b} {
-		v.Apply(3, []Entry{{Order: Order{Service: "s", Revision: 9}, Gone: true}}, 9)
+		v.Apply(3, []Entry{{Order: Order{Service: "s", Revision: 9}, Deleted: true}}, 9)
 	}
 	is.True(!a.Withheld("s", "v2", false, false))
 	b.Merge(4, a.Update(4))
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	all, sentToTarget := 0, 0
 	for i := range 78 {
-		l := NewLedger((float64(i) + 0.5) / 78)
+		l := NewTrafficSplitter((float64(i) + 0.5) / 78)
 		for n := range 16 {
 			route := fmt.Sprint("r", n%5/4) // a fifth of the requests on one of two routes
 			toTarget := l.Allows(1, route, 0.07, 1)
@@ -91,7 +91,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.9).Draw(t, "share")
 		start := rapid.Float64Range(0, 1).Draw(t, "start")
-		l := NewLedger(start)
+		l := NewTrafficSplitter(start)
 		all, sentToTarget, most := 0, 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(1, 60)).Draw(t, "sends") {
 			toTarget := l.Allows(1, "r", share, n)
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -102,7 +102,7 @@
 // during a rollout, per route so that the version gets requests of each route. It
 // bounds the version to its share of these requests at every moment, so the totals
 // over all instances and incarnations are bounded too, without a shared counter.
-type Ledger struct {
+type TrafficSplitter struct {
 	initialCredit float64 // fraction of a request, 0 to 1, that the version may get at the start
 	counts        map[ledgerKey]*sendCounts
 }
@@ -118,11 +118,11 @@
 // NewLedger returns an empty ledger. initialCredit should be drawn evenly from 0 to 1 for each
 // incarnation: where every instance sends few requests, rounding down would leave the
 // version without any, and rounding up would give it one from each instance.
-func NewLedger(initialCredit float64) *Ledger {
-	return &Ledger{initialCredit: initialCredit, counts: make(map[ledgerKey]*sendCounts)}
+func NewTrafficSplitter(initialCredit float64) *TrafficSplitter {
+	return &TrafficSplitter{initialCredit: initialCredit, counts: make(map[ledgerKey]*sendCounts)}
 }
 
-func (l *Ledger) countsFor(order uint64, route string, share float64) *sendCounts {
+func (l *TrafficSplitter) countsFor(order uint64, route string, share float64) *sendCounts {
 	k := ledgerKey{order, route, share}
 	s := l.counts[k]
 	if s == nil {
@@ -133,7 +133,7 @@
 }
 
 // Allows reports whether n more requests may go to an order's version.
-func (l *Ledger) Allows(order uint64, route string, share float64, n int) bool {
+func (l *TrafficSplitter) Allows(order uint64, route string, share float64, n int) bool {
 	if share <= 0 || share >= 1 {
 		return share >= 1
 	}
@@ -142,7 +142,7 @@
 }
 
 // Record counts n requests that were sent, to the order's version if toTarget is true.
-func (l *Ledger) Record(order uint64, route string, share float64, n int, toTarget bool) {
+func (l *TrafficSplitter) Record(order uint64, route string, share float64, n int, toTarget bool) {
 	s := l.countsFor(order, route, share)
 	s.all += float64(n)
 	if toTarget {
@@ -151,7 +151,7 @@
 }
 
 // Prune drops the counts of orders for which keep returns false.
-func (l *Ledger) Prune(keep func(order uint64) bool) {
+func (l *TrafficSplitter) Prune(keep func(order uint64) bool) {
 	for k := range l.counts {
 		if !keep(k.order) {
 			delete(l.counts, k)
--- a/coordination/scheduler/bench_test.go
+++ b/coordination/scheduler/bench_test.go
@@ -39,7 +39,7 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, customers := range []int{5, 540, 5400} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
-			s := New(1, Shed(0))
+			s := New(1, WithShedSlackFactor(0))
 			s.SetReplicas(0, replicasOf(1, 1))
 			id := uint64(1)
 			permit := s.Submit(0, task(id, "c0", fleet.Normal, time.Hour))[0].Permit
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -19,14 +19,14 @@
 
 // Options are a scheduler's settings.
 type Options struct {
-	Policy        Policy
-	Shed          float64       // drop a queued task once slack < Shed x expected time; 0: never
-	MinRetryAfter time.Duration // minimum retry delay given to a refused caller
-	EjectionTime  time.Duration // how long a failing replica gets no tasks
-	ProbeInterval time.Duration // between two probes of a slow replica
-	SlowRatio     float64       // a replica this many times slower than the service is slow; 0: never
-	SlowStart     time.Duration // ramp-up time of a replica that is added later
-	Share         float64       // fraction of all slots that this scheduler may fill; 1 for an owner
+	Policy          Policy
+	ShedSlackFactor float64       // drop a queued task once slack < Shed x expected time; 0: never
+	MinRetryAfter   time.Duration // minimum retry delay given to a refused caller
+	EjectionTime    time.Duration // how long a failing replica gets no tasks
+	ProbeInterval   time.Duration // between two probes of a slow replica
+	SlowRatio       float64       // a replica this many times slower than the service is slow; 0: never
+	SlowStart       time.Duration // ramp-up time of a replica that is added later
+	Share           float64       // fraction of all slots that this scheduler may fill; 1 for an owner
 }
 
 // Option sets one of the Options.
@@ -34,14 +34,14 @@
 
 func newOptions(opts []Option) Options {
 	o := Options{
-		Policy:        Exact,
-		Shed:          2,
-		MinRetryAfter: 100 * time.Millisecond,
-		EjectionTime:  5 * time.Second,
-		ProbeInterval: 2 * time.Second,
-		SlowRatio:     3,
-		SlowStart:     3 * time.Second,
-		Share:         1,
+		Policy:          Exact,
+		ShedSlackFactor: 2,
+		MinRetryAfter:   100 * time.Millisecond,
+		EjectionTime:    5 * time.Second,
+		ProbeInterval:   2 * time.Second,
+		SlowRatio:       3,
+		SlowStart:       3 * time.Second,
+		Share:           1,
 	}
 	for _, f := range opts {
 		f(&o)
@@ -54,12 +54,12 @@
 
 // Shed sets the slack at which a queued task is dropped, as a multiple of its expected
 // time.
-func Shed(f float64) Option { return func(o *Options) { o.Shed = f } }
+func WithShedSlackFactor(f float64) Option { return func(o *Options) { o.ShedSlackFactor = f } }
 
 // SlowRatio sets how many times slower than the service a slow replica is; 0 disables
 // the check.
-func SlowRatio(f float64) Option { return func(o *Options) { o.SlowRatio = f } }
+func WithSlowRatio(f float64) Option { return func(o *Options) { o.SlowRatio = f } }
 
 // Share sets the fraction of all slots that this scheduler may fill. Each of n
 // schedulers that don't know of each other takes slightly more than 1/n.
-func Share(f float64) Option { return func(o *Options) { o.Share = min(f, 1) } }
+func WithShare(f float64) Option { return func(o *Options) { o.Share = min(f, 1) } }
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -120,7 +120,7 @@
 	if s.queue.endAnnouncement(&t) {
 		wait = 0 // its wait was accounted for when the announcement was admitted
 	}
-	if s.opts.Shed > 0 && s.refuseIfHopeless(now, &t, wait) {
+	if s.opts.ShedSlackFactor > 0 && s.refuseIfHopeless(now, &t, wait) {
 		return s.actions
 	}
 	s.queue.push(&t, s.dropAt(now, &t))
@@ -140,7 +140,7 @@
 	}
 	shifted := t // its slack counts from when it will be ready
 	shifted.Deadline -= ready
-	if s.opts.Shed > 0 && s.refuseIfHopeless(now, &shifted, s.expectedWait(&t, ready)) {
+	if s.opts.ShedSlackFactor > 0 && s.refuseIfHopeless(now, &shifted, s.expectedWait(&t, ready)) {
 		return s.actions
 	}
 	s.queue.announce(&t)
@@ -195,7 +195,7 @@
 // expected time, but no more than maxMargin of its current slack, so that some wait is
 // always possible.
 func (s *Scheduler) margin(now time.Duration, t *Task) time.Duration {
-	m := s.opts.Shed * float64(t.Expected)
+	m := s.opts.ShedSlackFactor * float64(t.Expected)
 	return time.Duration(min(m, maxMargin*float64(max(t.slack(now), 0))))
 }
 
@@ -301,7 +301,7 @@
 // dispatch refuses tasks that can no longer meet their deadline, then grants slots
 // while there are queued tasks and free slots.
 func (s *Scheduler) dispatch(now time.Duration) {
-	if s.opts.Shed > 0 {
+	if s.opts.ShedSlackFactor > 0 {
 		s.queue.expire(now)
 		for t := s.queue.popExpired(now); t != nil; t = s.queue.popExpired(now) {
 			s.refuse(t, TooLate, max(s.expectedWait(t, 0), s.opts.MinRetryAfter))
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -53,7 +53,7 @@
 
 func TestFairShareAmongCustomers(t *testing.T) {
 	is := is.New(t)
-	s := New(1, Shed(0))
+	s := New(1, WithShedSlackFactor(0))
 	s.SetReplicas(0, replicasOf(1, 1))
 	s.Submit(0, task(1, "greedy", fleet.Normal, time.Hour))
 	for i := range uint64(100) {
@@ -128,7 +128,7 @@
 
 func TestFailingReplicaEjected(t *testing.T) {
 	is := is.New(t)
-	s := New(1, Shed(0))
+	s := New(1, WithShedSlackFactor(0))
 	s.SetReplicas(0, replicasOf(3, 1))
 	failed := 0
 	for i := range uint64(20) { // each round has work for all three
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -61,7 +61,7 @@
 }
 
 // Standard returns the options used in production.
-func Standard() Options {
+func DefaultOptions() Options {
 	return Options{
 		DemandWindow:       time.Second,
 		UsageWindow:        60 * time.Second,
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -22,7 +22,7 @@
 }
 
 func newSimulation(work, capacity float64) *simulation {
-	return &simulation{t: New(Standard()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
+	return &simulation{t: New(DefaultOptions()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
 }
 
 // traffic is the request rate of a customer at one rank.
@@ -214,7 +214,7 @@
 // no more than the capacity, and a single customer is not throttled.
 func TestSharesAreValidInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		allocator := New(Standard())
+		allocator := New(DefaultOptions())
 		now := time.Duration(0)
 		names := []string{"", "a", "b", "\x00\xff", "d"}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -11,10 +11,10 @@
 // the records of one origin the one with the highest count is the newest, so
 // late and repeated records have no effect.
 type Record struct {
-	Origin  uint32 // identifies a cell in one incarnation of its owner
-	Service string
-	Figures Figures
-	Age     time.Duration // since the estimate was made
+	Origin   uint32 // identifies a cell in one incarnation of its owner
+	Service  string
+	Estimate Estimate
+	Age      time.Duration // since the estimate was made
 }
 
 // Records holds the newest record of each origin. It is not safe for concurrent
@@ -46,23 +46,23 @@
 // RecordLocal stores the estimate of one of this instance's cells and reports
 // whether it is announced: after a significant change, and otherwise once per
 // refreshInterval.
-func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, f Figures) bool {
+func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, f Estimate) bool {
 	if old := r.find(service, origin); old != nil {
 		pause := refreshInterval
-		if f.Differs(&old.Figures) {
+		if f.Differs(&old.Estimate) {
 			pause = minUpdateInterval
 		}
 		if now-old.observedAt < pause {
 			return false
 		}
 	}
-	return r.Merge(now, Record{Origin: origin, Service: service, Figures: f})
+	return r.Merge(now, Record{Origin: origin, Service: service, Estimate: f})
 }
 
 // Merge stores a received record and reports whether it was new.
 func (r *Records) Merge(now time.Duration, n Record) bool {
 	old := r.find(n.Service, n.Origin)
-	if old != nil && old.Figures.Count >= n.Figures.Count || n.Age >= recordTTL || !n.Figures.isValid() {
+	if old != nil && old.Estimate.Count >= n.Estimate.Count || n.Age >= recordTTL || !n.Estimate.isValid() {
 		return false
 	}
 	if old == nil {
@@ -70,7 +70,7 @@
 		r.entries = append(r.entries, old)
 	}
 	sends := 0
-	if !n.Figures.Differs(&old.Figures) {
+	if !n.Estimate.Differs(&old.Estimate) {
 		sends = old.sends // no significant change: the resend schedule continues
 	}
 	*old = entry{Record: n, observedAt: now - n.Age, sends: sends}
@@ -80,9 +80,9 @@
 
 // isValid reports whether received figures are plausible: peers are not trusted
 // to send valid values.
-func (f *Figures) isValid() bool {
-	lines := f.Usual.Base > 0 && f.Usual.PerToken >= 0 && f.Likely.Base > 0 && f.Likely.PerToken >= 0
-	return lines && f.PerOut > 0 && f.Longest >= 0 && f.Count > 0
+func (f *Estimate) isValid() bool {
+	lines := f.Median.Base > 0 && f.Median.PerToken >= 0 && f.UpperBound.Base > 0 && f.UpperBound.PerToken >= 0
+	return lines && f.PerOutputToken > 0 && f.LongestPrompt >= 0 && f.Count > 0
 }
 
 func (r *Records) find(service string, origin uint32) *entry {
@@ -105,10 +105,10 @@
 }
 
 // Differs reports whether the figures changed enough to be announced.
-func (f *Figures) Differs(from *Figures) bool {
-	return differsBy(f.Usual.Base, from.Usual.Base, significantChange) || differsBy(f.Usual.PerToken, from.Usual.PerToken, significantChange) ||
-		differsBy(f.Likely.Base, from.Likely.Base, significantChange) || differsBy(f.Likely.PerToken, from.Likely.PerToken, significantChange) ||
-		differsBy(f.PerOut, from.PerOut, significantChangeCoarse) || differsBy(time.Duration(f.Longest), time.Duration(from.Longest), significantChangeCoarse)
+func (f *Estimate) Differs(from *Estimate) bool {
+	return differsBy(f.Median.Base, from.Median.Base, significantChange) || differsBy(f.Median.PerToken, from.Median.PerToken, significantChange) ||
+		differsBy(f.UpperBound.Base, from.UpperBound.Base, significantChange) || differsBy(f.UpperBound.PerToken, from.UpperBound.PerToken, significantChange) ||
+		differsBy(f.PerOutputToken, from.PerOutputToken, significantChangeCoarse) || differsBy(time.Duration(f.LongestPrompt), time.Duration(from.LongestPrompt), significantChangeCoarse)
 }
 
 func differsBy(a, b time.Duration, share float64) bool {
@@ -117,7 +117,7 @@
 
 // NextMessage returns the records to send in a gossip round: new ones, and each
 // of the others once in resendRounds.
-func (r *Records) NextMessage(now time.Duration) []Record {
+func (r *Records) Updates(now time.Duration) []Record {
 	r.round++
 	var out []Record
 	for i, x := range r.entries {
@@ -131,7 +131,7 @@
 }
 
 // All returns the newest unexpired records, as many as fit a message.
-func (r *Records) All(now time.Duration) []Record {
+func (r *Records) Snapshot(now time.Duration) []Record {
 	var out []Record
 	for _, x := range r.entries {
 		if now-x.observedAt < recordTTL && len(out) < maxRecordsPerMessage {
@@ -150,35 +150,35 @@
 // Combined returns the combined estimate of all origins for a service: the
 // weighted median of each figure, so that one wrong peer has little influence.
 // Its count is the number of origins.
-func (r *Records) Combined(now time.Duration, service string) (Figures, bool) {
+func (r *Records) Combined(now time.Duration, service string) (Estimate, bool) {
 	var rows []*entry
 	var weights []float64
 	for _, x := range r.entries {
 		if x.Service == service && now-x.observedAt < recordTTL {
 			rows = append(rows, x)
-			weights = append(weights, float64(min(x.Figures.Count, maxCountWeight))*(1-float64(now-x.observedAt)/float64(recordTTL)))
+			weights = append(weights, float64(min(x.Estimate.Count, maxCountWeight))*(1-float64(now-x.observedAt)/float64(recordTTL)))
 		}
 	}
 	if len(rows) == 0 {
-		return Figures{}, false
+		return Estimate{}, false
 	}
-	median := func(of func(*Figures) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
-	return Figures{
-		Usual: Line{
-			Base:     median(func(f *Figures) time.Duration { return f.Usual.Base }),
-			PerToken: median(func(f *Figures) time.Duration { return f.Usual.PerToken }),
+	median := func(of func(*Estimate) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
+	return Estimate{
+		Median: Line{
+			Base:     median(func(f *Estimate) time.Duration { return f.Median.Base }),
+			PerToken: median(func(f *Estimate) time.Duration { return f.Median.PerToken }),
 		},
-		Likely: Line{
-			Base:     median(func(f *Figures) time.Duration { return f.Likely.Base }),
-			PerToken: median(func(f *Figures) time.Duration { return f.Likely.PerToken }),
+		UpperBound: Line{
+			Base:     median(func(f *Estimate) time.Duration { return f.UpperBound.Base }),
+			PerToken: median(func(f *Estimate) time.Duration { return f.UpperBound.PerToken }),
 		},
-		PerOut:  median(func(f *Figures) time.Duration { return f.PerOut }),
-		Longest: int(median(func(f *Figures) time.Duration { return time.Duration(f.Longest) })),
-		Count:   len(rows),
+		PerOutputToken: median(func(f *Estimate) time.Duration { return f.PerOutputToken }),
+		LongestPrompt:  int(median(func(f *Estimate) time.Duration { return time.Duration(f.LongestPrompt) })),
+		Count:          len(rows),
 	}, true
 }
 
-func weightedMedian(rows []*entry, weights []float64, of func(*Figures) time.Duration) time.Duration {
+func weightedMedian(rows []*entry, weights []float64, of func(*Estimate) time.Duration) time.Duration {
 	type item struct {
 		value  time.Duration
 		weight float64
@@ -186,7 +186,7 @@
 	items := make([]item, len(rows))
 	half := 0.0
 	for i, x := range rows {
-		items[i] = item{of(&x.Figures), weights[i]}
+		items[i] = item{of(&x.Estimate), weights[i]}
 		half += weights[i] / 2
 	}
 	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.value, b.value) })
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -19,43 +19,43 @@
 
 // Options are the constants of the estimator.
 type Options struct {
-	Prior            Figures       // estimate without observations: no configuration states the engines' speed
-	MinObservations  int           // observations after which the prior no longer counts
-	RefitEvery       int           // observations between two fits
-	LikelyQuantile   float64       // quantile of the Likely line
-	MaxExtrapolation int           // multiple of the longest observed prompt up to which the lines are used
-	DecayTime        time.Duration // in which the weight of an observation falls by a factor of e
-	FactorWeight     float64       // weight of the latest observation in a replica's factor: a slow replica shows within five
-	MinFactor        float64       // lower bound of a replica's factor, against wrong measurements
-	MaxFactor        float64       // upper bound of a replica's factor
-	OutlierFactor    float64       // replicas with a factor above this, or below its inverse, are excluded from the service's fit
+	Prior              Estimate      // estimate without observations: no configuration states the engines' speed
+	MinObservations    int           // observations after which the prior no longer counts
+	RefitEvery         int           // observations between two fits
+	UpperBoundQuantile float64       // quantile of the Likely line
+	MaxExtrapolation   int           // multiple of the longest observed prompt up to which the lines are used
+	DecayTime          time.Duration // in which the weight of an observation falls by a factor of e
+	FactorWeight       float64       // weight of the latest observation in a replica's factor: a slow replica shows within five
+	MinFactor          float64       // lower bound of a replica's factor, against wrong measurements
+	MaxFactor          float64       // upper bound of a replica's factor
+	OutlierFactor      float64       // replicas with a factor above this, or below its inverse, are excluded from the service's fit
 }
 
 // Prior returns the estimate used before any observation or peer's record, for
 // engines that prefill a token in perToken. It errs on the slow side: too fast
 // a guess admits requests that miss their deadline, while too slow a guess is
 // corrected within a second.
-func Prior(perToken time.Duration) Figures {
-	return Figures{
-		Usual:  Line{Base: 100 * time.Millisecond, PerToken: perToken},
-		Likely: Line{Base: 150 * time.Millisecond, PerToken: perToken + perToken/4},
-		PerOut: 8 * time.Millisecond, // twice the time of an idle engine
+func Prior(perToken time.Duration) Estimate {
+	return Estimate{
+		Median:         Line{Base: 100 * time.Millisecond, PerToken: perToken},
+		UpperBound:     Line{Base: 150 * time.Millisecond, PerToken: perToken + perToken/4},
+		PerOutputToken: 8 * time.Millisecond, // twice the time of an idle engine
 	}
 }
 
 // DefaultOptions returns the production values.
 func DefaultOptions() Options {
 	return Options{
-		Prior:            Prior(31 * time.Microsecond),
-		MinObservations:  24,
-		RefitEvery:       8,
-		LikelyQuantile:   0.8,
-		MaxExtrapolation: 2,
-		DecayTime:        20 * time.Second,
-		FactorWeight:     0.2,
-		MinFactor:        0.5,
-		MaxFactor:        8,
-		OutlierFactor:    1.6,
+		Prior:              Prior(31 * time.Microsecond),
+		MinObservations:    24,
+		RefitEvery:         8,
+		UpperBoundQuantile: 0.8,
+		MaxExtrapolation:   2,
+		DecayTime:          20 * time.Second,
+		FactorWeight:       0.2,
+		MinFactor:          0.5,
+		MaxFactor:          8,
+		OutlierFactor:      1.6,
 	}
 }
 
@@ -71,20 +71,20 @@
 }
 
 // Figures are the estimates for a service's engines.
-type Figures struct {
-	Usual   Line          // median time to first event
-	Likely  Line          // Options.LikelyQuantile of the time to first event
-	PerOut  time.Duration // time per generated token
-	Longest int           // longest prompt observed, in tokens; see longestRank
-	Count   int           // observations
+type Estimate struct {
+	Median         Line          `json:"Usual"`   // median time to first event
+	UpperBound     Line          `json:"Likely"`  // Options.UpperBoundQuantile of the time to first event
+	PerOutputToken time.Duration `json:"PerOut"`  // time per generated token
+	LongestPrompt  int           `json:"Longest"` // longest prompt observed, in tokens; see longestRank
+	Count          int           // observations
 }
 
 // Service estimates the engines of one service. It is not safe for concurrent
 // use.
-type Service struct {
+type ServiceEstimator struct {
 	opts         Options
-	prior        Figures
-	current      Figures
+	prior        Estimate
+	current      Estimate
 	sizes        sizeWindows
 	generations  generationTimes
 	medianFactor float64 // running median of the replicas' factors
@@ -92,22 +92,22 @@
 }
 
 // Replica estimates the speed of one replica.
-type Replica struct {
+type ReplicaEstimator struct {
 	factor float64 // time to first event relative to the service's median line; 0: unknown
 }
 
 // New returns an estimator without observations.
-func New(o Options) *Service {
-	return &Service{opts: o, prior: o.Prior, current: o.Prior, medianFactor: 1, nextFit: 1}
+func New(o Options) *ServiceEstimator {
+	return &ServiceEstimator{opts: o, prior: o.Prior, current: o.Prior, medianFactor: 1, nextFit: 1}
 }
 
 // Figures returns the current estimates.
-func (s *Service) Figures() Figures { return s.current }
+func (s *ServiceEstimator) Estimate() Estimate { return s.current }
 
 // Seed replaces the prior by the estimate of peers while there are few
 // observations, and reports whether it did. The count stays, as only an owner's
 // own observations are announced to peers.
-func (s *Service) Seed(now time.Duration, f Figures) bool {
+func (s *ServiceEstimator) Seed(now time.Duration, f Estimate) bool {
 	if s.current.Count >= s.opts.MinObservations {
 		return false
 	}
@@ -118,27 +118,31 @@
 
 // IsReliable reports whether there are enough observations to announce the
 // estimate to peers.
-func (s *Service) IsReliable() bool { return s.current.Count >= s.opts.MinObservations }
+func (s *ServiceEstimator) IsReliable() bool { return s.current.Count >= s.opts.MinObservations }
 
 // Usual returns the median time to first event for the given number of
 // prefilled tokens.
-func (s *Service) Usual(tokens int) time.Duration { return s.predict(s.current.Usual, tokens) }
+func (s *ServiceEstimator) Median(tokens int) time.Duration {
+	return s.predict(s.current.Median, tokens)
+}
 
 // Likely returns the time within which most first events come
 // (Options.LikelyQuantile).
-func (s *Service) Likely(tokens int) time.Duration { return s.predict(s.current.Likely, tokens) }
+func (s *ServiceEstimator) UpperBound(tokens int) time.Duration {
+	return s.predict(s.current.UpperBound, tokens)
+}
 
 // predict evaluates a line up to MaxExtrapolation times the longest observed
 // prompt, and uses the prior's slope beyond if that is slower.
-func (s *Service) predict(l Line, tokens int) time.Duration {
-	known := min(tokens, max(s.current.Longest*s.opts.MaxExtrapolation, 0))
-	beyond := max(l.PerToken, s.opts.Prior.Usual.PerToken)
+func (s *ServiceEstimator) predict(l Line, tokens int) time.Duration {
+	known := min(tokens, max(s.current.LongestPrompt*s.opts.MaxExtrapolation, 0))
+	beyond := max(l.PerToken, s.opts.Prior.Median.PerToken)
 	return l.at(float64(known)) + time.Duration(tokens-known)*beyond
 }
 
 // Factor returns a replica's time to first event relative to the other
 // replicas.
-func (s *Service) Factor(r *Replica) float64 {
+func (s *ServiceEstimator) Factor(r *ReplicaEstimator) float64 {
 	if r.factor == 0 {
 		return 1
 	}
@@ -148,7 +152,7 @@
 // Observe records a time to first event for the given number of prefilled
 // tokens, including those queued ahead of the request. Observations of a
 // warming replica don't count for the service.
-func (s *Service) Observe(now time.Duration, r *Replica, tokens int, took time.Duration, warming bool) {
+func (s *ServiceEstimator) Observe(now time.Duration, r *ReplicaEstimator, tokens int, took time.Duration, warming bool) {
 	if took <= 0 {
 		return
 	}
@@ -166,11 +170,11 @@
 
 // updateFactor updates a replica's factor from an observation, and the running
 // median of factors from the replica's.
-func (s *Service) updateFactor(r *Replica, tokens int, took time.Duration) {
+func (s *ServiceEstimator) updateFactor(r *ReplicaEstimator, tokens int, took time.Duration) {
 	if r.factor == 0 {
 		r.factor = s.medianFactor
 	}
-	ratio := took.Seconds() / max(s.Usual(tokens).Seconds(), 0.001)
+	ratio := took.Seconds() / max(s.Median(tokens).Seconds(), 0.001)
 	ratio = min(ratio, maxRatioStep*r.factor)
 	r.factor += s.opts.FactorWeight * (ratio - r.factor)
 	r.factor = min(max(r.factor, s.opts.MinFactor*s.medianFactor), s.opts.MaxFactor*s.medianFactor)
@@ -186,36 +190,36 @@
 	medianFactorStep = 0.02 // relative step of the running median, up or down per observation
 )
 
-func (s *Service) isOutlier(r *Replica) bool {
+func (s *ServiceEstimator) isOutlier(r *ReplicaEstimator) bool {
 	f := s.Factor(r)
 	return f > s.opts.OutlierFactor || f < 1/s.opts.OutlierFactor
 }
 
 // ObserveGeneration records how long a stream took for its tokens after the
 // first event.
-func (s *Service) ObserveGeneration(tokens int, took time.Duration) {
+func (s *ServiceEstimator) ObserveGeneration(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	s.generations.add(took / time.Duration(tokens))
 	if s.generations.n >= s.opts.MinObservations {
-		s.current.PerOut = s.generations.median()
+		s.current.PerOutputToken = s.generations.median()
 	}
 }
 
 // fit recomputes both lines. The prior counts as a few points whose weight
 // decreases with the number of observations.
-func (s *Service) fit(now time.Duration) {
+func (s *ServiceEstimator) fit(now time.Duration) {
 	priorWeight := 1 - float64(s.current.Count)/float64(s.opts.MinObservations)
-	s.current.Usual = s.fitLine(now, 0.5, s.prior.Usual, s.current.Usual, priorWeight)
-	s.current.Likely = s.fitLine(now, s.opts.LikelyQuantile, s.prior.Likely, s.current.Likely, priorWeight)
-	s.current.Longest = max(s.sizes.longest(), s.prior.Longest)
+	s.current.Median = s.fitLine(now, 0.5, s.prior.Median, s.current.Median, priorWeight)
+	s.current.UpperBound = s.fitLine(now, s.opts.UpperBoundQuantile, s.prior.UpperBound, s.current.UpperBound, priorWeight)
+	s.current.LongestPrompt = max(s.sizes.longest(), s.prior.LongestPrompt)
 	if s.current.Count == 0 {
-		s.current.PerOut = s.prior.PerOut
+		s.current.PerOutputToken = s.prior.PerOutputToken
 	}
 }
 
-func (s *Service) fitLine(now time.Duration, quantile float64, prior, last Line, priorWeight float64) Line {
+func (s *ServiceEstimator) fitLine(now time.Duration, quantile float64, prior, last Line, priorWeight float64) Line {
 	points := s.sizes.points(now, s.opts.DecayTime)
 	if priorWeight > 0 {
 		for _, x := range priorSizes {
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -17,7 +17,7 @@
 	noise                  float64
 	slow                   int // number of slow replicas, which take times as long
 	times                  float64
-	replicas               [60]Replica
+	replicas               [60]ReplicaEstimator
 }
 
 func (e *engines) usual(tokens int) float64 {
@@ -30,7 +30,7 @@
 
 // observe feeds n observations, 10 ms apart, with a median prompt of some
 // hundred tokens and at most 50,000.
-func (e *engines) observe(s *Service, from time.Duration, n int, seed uint64) time.Duration {
+func (e *engines) observe(s *ServiceEstimator, from time.Duration, n int, seed uint64) time.Duration {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for range n {
 		from += 10 * time.Millisecond
@@ -73,16 +73,16 @@
 			for seed := range uint64(10) {
 				s, e := New(DefaultOptions()), c.first
 				at := e.observe(s, 0, 100, seed)
-				is.True(logError(s.Usual(1000), e.median(1000)) < 0.15) // after 100 requests
+				is.True(logError(s.Median(1000), e.median(1000)) < 0.15) // after 100 requests
 				at = e.observe(s, at, 900, seed+100)
 				if c.then != nil {
 					e = c.then
 					e.observe(s, at, 1500, seed+200)
 				}
-				is.True(logError(s.Usual(1000), e.median(1000)) < 0.15)
-				is.True(logError(s.Usual(30_000), e.median(30_000)) < c.long)
+				is.True(logError(s.Median(1000), e.median(1000)) < 0.15)
+				is.True(logError(s.Median(30_000), e.median(30_000)) < c.long)
 				most := e.usual(30_000) * math.Exp(1.28*e.noise) // 80% quantile
-				is.True(logError(s.Likely(30_000), most) < c.long+0.1)
+				is.True(logError(s.UpperBound(30_000), most) < c.long+0.1)
 			}
 		})
 	}
@@ -92,13 +92,13 @@
 	is := is.New(t)
 	s := New(DefaultOptions())
 	for i := range 200 {
-		s.Observe(time.Duration(i)*10*time.Millisecond, &Replica{}, 100*(i%20+1), time.Duration(50+i%20)*time.Millisecond, false)
+		s.Observe(time.Duration(i)*10*time.Millisecond, &ReplicaEstimator{}, 100*(i%20+1), time.Duration(50+i%20)*time.Millisecond, false)
 	}
-	is.True(s.Usual(4000) < 150*time.Millisecond) // twice the longest observed prompt
-	unknown := 46_000 * DefaultOptions().Prior.Usual.PerToken
-	is.True(s.Usual(50_000) >= unknown)
-	s.Observe(3*time.Second, &Replica{}, 60_000, time.Millisecond, false) // a single one may be a wrong measurement
-	is.True(s.Usual(50_000) >= unknown)
+	is.True(s.Median(4000) < 150*time.Millisecond) // twice the longest observed prompt
+	unknown := 46_000 * DefaultOptions().Prior.Median.PerToken
+	is.True(s.Median(50_000) >= unknown)
+	s.Observe(3*time.Second, &ReplicaEstimator{}, 60_000, time.Millisecond, false) // a single one may be a wrong measurement
+	is.True(s.Median(50_000) >= unknown)
 }
 
 // A replica that is extremely fast, extremely slow or warming has little
@@ -109,7 +109,7 @@
 		cold bool
 	}{{time.Millisecond, false}, {20 * time.Second, false}, {500 * time.Millisecond, true}} {
 		is := is.New(t)
-		s, e, wrong := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &Replica{}
+		s, e, wrong := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &ReplicaEstimator{}
 		at := e.observe(s, 0, 400, 1)
 		for i := range uint64(40) {
 			for range 6 { // more than its share of requests
@@ -117,9 +117,9 @@
 			}
 			at = e.observe(s, at, 10, i)
 		}
-		is.True(logError(s.Usual(1000), e.median(1000)) < 0.1)
-		is.True(logError(s.Likely(1000), e.usual(1000)*math.Exp(1.28*e.noise)) < 0.25)
-		is.True(logError(s.Usual(30_000), e.median(30_000)) < 0.2)
+		is.True(logError(s.Median(1000), e.median(1000)) < 0.1)
+		is.True(logError(s.UpperBound(1000), e.usual(1000)*math.Exp(1.28*e.noise)) < 0.25)
+		is.True(logError(s.Median(30_000), e.median(30_000)) < 0.2)
 		is.True((s.Factor(wrong) > 1) == (c.took > 100*time.Millisecond))
 	}
 }
@@ -129,14 +129,14 @@
 	old, e := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}
 	e.observe(old, 0, 500, 1)
 	var records Records
-	is.True(records.RecordLocal(0, 7, "llm", old.Figures()))
+	is.True(records.RecordLocal(0, 7, "llm", old.Estimate()))
 	told, ok := records.Combined(time.Second, "llm")
 	is.True(ok)
 	s := New(DefaultOptions())
 	is.True(s.Seed(0, told))
-	is.True(logError(s.Usual(30_000), e.median(30_000)) < 0.15)
+	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.15)
 	e.observe(s, 0, 50, 2)
-	is.True(logError(s.Usual(30_000), e.median(30_000)) < 0.2)
+	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.2)
 	is.True(!s.Seed(0, DefaultOptions().Prior)) // has enough observations of its own by now
 }
 
@@ -148,8 +148,8 @@
 			for count := range rapid.IntRange(1, 4).Draw(t, "records") {
 				f := DefaultOptions().Prior
 				f.Count = 24 * (count + 1)
-				f.Usual.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
-				all = append(all, Record{Origin: origin, Service: "llm", Figures: f})
+				f.Median.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
+				all = append(all, Record{Origin: origin, Service: "llm", Estimate: f})
 			}
 		}
 		var a, b Records
@@ -183,8 +183,8 @@
 	var records Records
 	tell := func(origin uint32, perToken time.Duration, age time.Duration) bool {
 		f := DefaultOptions().Prior
-		f.Usual.PerToken, f.Count = perToken, 200
-		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Figures: f, Age: age})
+		f.Median.PerToken, f.Count = perToken, 200
+		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: f, Age: age})
 	}
 	is.True(tell(1, 9000, 0))
 	is.True(tell(2, 10_000, time.Second))
@@ -192,12 +192,12 @@
 	is.True(!tell(4, 100, recordTTL)) // expired
 	is.True(!tell(5, -1, 0))          // invalid
 	known, _ := records.Combined(time.Hour, "llm")
-	is.Equal(known.Usual.PerToken, time.Duration(10_000))
+	is.Equal(known.Median.PerToken, time.Duration(10_000))
 	for origin := range uint32(100) {
 		tell(10+origin, 9000, 0)
 	}
 	is.True(len(records.entries) <= maxOriginsPerService)
-	is.True(len(records.All(time.Hour)) <= maxRecordsPerMessage)
+	is.True(len(records.Snapshot(time.Hour)) <= maxRecordsPerMessage)
 }
 
 func BenchmarkObserve(b *testing.B) {
