--- a/coordination/advisory/advisory.go
+++ b/coordination/advisory/advisory.go
@@ -27,7 +27,7 @@
 	MaxUnlisted       int           // incarnations kept that are not listed; bounds memory against a peer that announces many
 }
 
-// Standard returns the options used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{RampAnswers: 4, RampInterval: 500 * time.Millisecond, UnlistedRetention: 2 * time.Minute, MaxUnlisted: 4096}
 }
@@ -47,7 +47,7 @@
 	backingOff    bool // the end at backoffUntil has not been reported yet
 	ramp          *ramp
 	listedAt      time.Duration // when this instance or a peer last listed it
-	isListed      bool          // it was listed at the last sweep
+	isListed      bool          // it was listed when Expire last ran
 }
 
 // ramp limits the requests to a replica after a backoff; nil: no limit.
@@ -169,7 +169,7 @@
 	}
 }
 
-// Changes are the effects of a sweep.
+// Changes are the effects of Expire.
 type Changes struct {
 	BackoffEnded []string // incarnations whose backoff has ended
 	Removed      []string // draining incarnations that were removed
@@ -178,7 +178,7 @@
 // Empty reports whether there are no drains, backoffs or ramps.
 func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
-// Sweep removes obsolete entries and returns what has changed by the passage of time.
+// Expire removes obsolete entries and returns what has changed by the passage of time.
 func (t *Tracker) Expire(now time.Duration, listedAt func(incarnation string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -1,6 +1,7 @@
 // Package balancer picks the replica for a request: for plain services the one
-// with the shortest expected answer time, for engines the one most likely to
-// have the longest prefix of the prompt cached.
+// with the shortest expected answer time among a few random candidates (power of
+// random choices), for engines the one most likely to have the longest prefix of
+// the prompt cached (rendezvous hashing with bounded loads).
 //
 // It uses this instance's own request counts and the load that replicas report
 // in their answers, which is staler the fewer answers there are. It is pure.
@@ -17,7 +18,8 @@
 	"quinceroad/state/catalog"
 )
 
-// Table tracks the load of each replica. It is not safe for concurrent use.
+// Balancer tracks the load of each replica and picks replicas by it. It is not
+// safe for concurrent use.
 type Balancer struct {
 	loads map[string]*replicaLoad
 }
@@ -29,25 +31,25 @@
 	meanAnswerSeconds float64 // moving average; 0: unknown
 }
 
-// NewTable returns an empty table.
+// New returns a balancer that knows no loads.
 func New() *Balancer { return &Balancer{loads: make(map[string]*replicaLoad)} }
 
-func (t *Balancer) loadOf(id string) *replicaLoad {
-	r := t.loads[id]
+func (b *Balancer) loadOf(id string) *replicaLoad {
+	r := b.loads[id]
 	if r == nil {
 		r = &replicaLoad{}
-		t.loads[id] = r
+		b.loads[id] = r
 	}
 	return r
 }
 
 // Begin counts a request sent to a replica; End counts it off again.
-func (t *Balancer) Begin(id string) { t.loadOf(id).inFlight++ }
+func (b *Balancer) Begin(id string) { b.loadOf(id).inFlight++ }
 
 // End records the end of a request and its answer time; 0 if there was no
 // answer.
-func (t *Balancer) End(id string, took time.Duration) {
-	r := t.loadOf(id)
+func (b *Balancer) End(id string, took time.Duration) {
+	r := b.loadOf(id)
 	r.inFlight--
 	if took > 0 {
 		r.meanAnswerSeconds = movingAverage(r.meanAnswerSeconds, took.Seconds())
@@ -56,15 +58,15 @@
 
 // RecordLoad records the number of running requests that a replica reports,
 // without the one that it just answered.
-func (t *Balancer) RecordLoad(now time.Duration, id string, running int) {
-	r := t.loadOf(id)
+func (b *Balancer) RecordLoad(now time.Duration, id string, running int) {
+	r := b.loadOf(id)
 	r.reported, r.reportedAt = max(running, 0), now
 }
 
 // MeanAnswerTime returns the moving average of a replica's answer times; 0 if
 // unknown.
-func (t *Balancer) MeanAnswerTime(id string) time.Duration {
-	if r := t.loads[id]; r != nil {
+func (b *Balancer) MeanAnswerTime(id string) time.Duration {
+	if r := b.loads[id]; r != nil {
 		return time.Duration(r.meanAnswerSeconds * float64(time.Second))
 	}
 	return 0
@@ -72,10 +74,10 @@
 
 // Prune drops the replicas without requests in flight for which keep returns
 // false.
-func (t *Balancer) Prune(keep func(id string) bool) {
-	for id, r := range t.loads {
+func (b *Balancer) Prune(keep func(id string) bool) {
+	for id, r := range b.loads {
 		if r.inFlight == 0 && !keep(id) {
-			delete(t.loads, id)
+			delete(b.loads, id)
 		}
 	}
 }
@@ -101,7 +103,7 @@
 // time of up to three random candidates (power of random choices). Closer
 // replicas win if the times are similar; remote regions are only considered if
 // the best local replica is full.
-func (t *Balancer) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (b *Balancer) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var local, remote []catalog.Replica
 	for _, r := range candidates {
 		if distance(r.Hall) == regions.Remote {
@@ -111,23 +113,23 @@
 		}
 	}
 	if len(local) == 0 {
-		return t.bestOfThree(now, distance, remote, random)
+		return b.bestOfThree(now, distance, remote, random)
 	}
-	best := t.bestOfThree(now, distance, local, random)
-	if len(remote) == 0 || t.loadOf(best.ID).current(now) < float64(max(best.Slots, 1)) {
+	best := b.bestOfThree(now, distance, local, random)
+	if len(remote) == 0 || b.loadOf(best.ID).current(now) < float64(max(best.Slots, 1)) {
 		return best
 	}
-	if other := t.bestOfThree(now, distance, remote, random); t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
+	if other := b.bestOfThree(now, distance, remote, random); b.expectedSeconds(now, distance, other) < b.expectedSeconds(now, distance, best) {
 		return other
 	}
 	return best
 }
 
-func (t *Balancer) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
+func (b *Balancer) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	best := candidates[random.IntN(len(candidates))]
 	for range min(len(candidates)-1, 2) {
 		other := candidates[random.IntN(len(candidates))]
-		if t.expectedSeconds(now, distance, other) < t.expectedSeconds(now, distance, best) {
+		if b.expectedSeconds(now, distance, other) < b.expectedSeconds(now, distance, best) {
 			best = other
 		}
 	}
@@ -140,8 +142,8 @@
 	crossRegionTime   = 0.06  // seconds: the round trip, and as much again for the transfer
 )
 
-func (t *Balancer) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
-	x := t.loadOf(r.ID)
+func (b *Balancer) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
+	x := b.loadOf(r.ID)
 	took := x.meanAnswerSeconds
 	if took == 0 {
 		took = defaultAnswerTime
@@ -180,7 +182,7 @@
 // choose the same home and requests with common parts meet there. If the home
 // is overloaded, the next engine in rank runs the request and fetches the
 // cached prefix from the home.
-func (t *Balancer) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
+func (b *Balancer) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
 	key := request
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
@@ -190,7 +192,7 @@
 	total := 0.0
 	for _, r := range ranked {
 		weights[r.ID] = rendezvous.Weight(key, r.ID)
-		total += t.loadOf(r.ID).current(now)
+		total += b.loadOf(r.ID).current(now)
 	}
 	slices.SortFunc(ranked, func(a, b catalog.Replica) int {
 		if weights[a.ID] > weights[b.ID] {
@@ -201,7 +203,7 @@
 	bound := total/float64(len(ranked))*boundFactor + boundSlack
 	chosen := ranked[0]
 	for _, r := range ranked {
-		if t.loadOf(r.ID).current(now) <= bound {
+		if b.loadOf(r.ID).current(now) <= bound {
 			chosen = r
 			break
 		}
--- a/coordination/changes/changes_test.go
+++ b/coordination/changes/changes_test.go
@@ -51,7 +51,7 @@
 // Whatever instances read, watch and pull from each other in any order, each holds
 // exactly the store's content at its revision, and after a pull from a peer with a
 // newer change it is no longer behind that peer.
-func TestAllHoldWhatTheStoreHeld(t *testing.T) {
+func TestLogsMatchTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{values: make(map[string][]byte), revision: 1}
 		past := map[uint64]map[string][]byte{1: {}}
@@ -67,7 +67,7 @@
 			case 0, 1, 2, 3:
 				id := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "id"))
 				value := []byte(fmt.Sprint(s.revision))
-				if rapid.Bool().Draw(t, "gone") {
+				if rapid.Bool().Draw(t, "deleted") {
 					value = nil
 				}
 				s.change(id, value)
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -14,7 +14,7 @@
 	upperBoundDeviations = 2    // deviations above the mean
 )
 
-// Stage estimates the duration of one pipeline stage. It is not safe for
+// Estimator estimates the duration of one pipeline stage. It is not safe for
 // concurrent use.
 type Estimator struct {
 	prior   time.Duration
@@ -32,30 +32,30 @@
 func New(prior time.Duration) *Estimator { return &Estimator{prior: prior} }
 
 // Observe records a measured duration for an input of the given bytes.
-func (s *Estimator) Observe(size int, took time.Duration) {
-	s.buckets[bucket(size)].add(took)
-	s.all.add(took)
+func (e *Estimator) Observe(size int, took time.Duration) {
+	e.buckets[bucket(size)].add(took)
+	e.all.add(took)
 }
 
 // Mean returns the expected duration for an input of the given bytes.
-func (s *Estimator) Mean(size int) time.Duration {
-	m, _ := s.statistics(size)
+func (e *Estimator) Mean(size int) time.Duration {
+	m, _ := e.statistics(size)
 	return m
 }
 
 // UpperBound returns a duration that few inputs of that size exceed.
-func (s *Estimator) UpperBound(size int) time.Duration {
-	m, d := s.statistics(size)
+func (e *Estimator) UpperBound(size int) time.Duration {
+	m, d := e.statistics(size)
 	return m + upperBoundDeviations*d
 }
 
-func (s *Estimator) statistics(size int) (mean, dev time.Duration) {
-	b := &s.buckets[bucket(size)]
+func (e *Estimator) statistics(size int) (mean, dev time.Duration) {
+	b := &e.buckets[bucket(size)]
 	if b.n < minSamples {
-		b = &s.all
+		b = &e.all
 	}
 	if b.n < minSamples {
-		return s.prior, s.prior / 2
+		return e.prior, e.prior / 2
 	}
 	return time.Duration(b.mean), time.Duration(b.dev)
 }
--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation tracks which data halls are drained: their replicas get no new
-// requests until the operator returns the hall to service.
+// Package evacuation tracks which data halls are drained (evacuated): their replicas get
+// no new requests until the operator returns the hall to service.
 //
 // Unlike other operator commands a drain can be revoked, so the order of updates
 // matters. A view is the complete set of drained halls at one revision of the store. Of
@@ -99,9 +99,9 @@
 }
 
 // Merge merges another instance's view.
-func (v *View) Merge(now time.Duration, n Update) []Change {
-	changes := v.Replace(now, n.Drained, n.Revision)
-	for _, r := range n.Returned {
+func (v *View) Merge(now time.Duration, u Update) []Change {
+	changes := v.Replace(now, u.Drained, u.Revision)
+	for _, r := range u.Returned {
 		if _, known := v.returned[r.Hall]; !known && !v.drained[r.Hall] && r.Age < returnTTL {
 			v.returned[r.Hall] = now - r.Age
 		}
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -102,7 +102,7 @@
 				}
 				i := anyView.Draw(t, "who")
 				before := views[i].Revision()
-				views[i].Merge(now, rapid.SampledFrom(sent).Draw(t, "news"))
+				views[i].Merge(now, rapid.SampledFrom(sent).Draw(t, "update"))
 				check(i, before)
 			},
 			"restart": func(t *rapid.T) { views[anyView.Draw(t, "who")] = New() },
--- a/coordination/gossip/broadcast_test.go
+++ b/coordination/gossip/broadcast_test.go
@@ -12,7 +12,7 @@
 // reaches every instance within a second even if 20% of messages are lost, because a
 // receiver forwards it at once when it first arrives. (Without that, it reaches 296
 // to 300 of 300 instances within a second.)
-func TestAWordIsHeardEverywhereInASecond(t *testing.T) {
+func TestUpdateReachesAllInstancesInASecond(t *testing.T) {
 	for _, n := range []int{78, 300} {
 		for seed := range uint64(5) {
 			f := newSeededFleet(n, seed)
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -156,7 +156,7 @@
 
 // Instances of large halls mostly contact their own hall. All instances still see each
 // other in time and detect the loss of one in any hall.
-func TestFewMessagesLeaveALargeHall(t *testing.T) {
+func TestFewMessagesCrossHalls(t *testing.T) {
 	const n, halls = 390, 9
 	f := newFleet(n)
 	hallOf := make(map[string]string, n)
@@ -248,7 +248,7 @@
 
 // The seeds may start later than an instance, so it contacts them in every round until
 // another instance is alive.
-func TestSeedsAreToldUntilSomebodyIsHeardOf(t *testing.T) {
+func TestSeedsAreContactedUntilAnInstanceIsDiscovered(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "a", Incarnation: 1}, DefaultOptions())
 	round := 200 * time.Millisecond
@@ -279,7 +279,7 @@
 
 // After a start of the whole fleet no instance has settled yet. A view is then
 // settled once no new incarnation has been discovered for SettleTime.
-func TestAViewIsStillOnceNobodyNewIsHeardOf(t *testing.T) {
+func TestViewSettlesWithoutNewIncarnations(t *testing.T) {
 	is := is.New(t)
 	o := DefaultOptions()
 	v := New(Instance{Name: "a", Incarnation: 1}, o)
@@ -336,7 +336,7 @@
 
 // An entry announced in full long after its counter increased is no evidence that the
 // instance is alive, even if the count is above the recorded one. A later increase is.
-func TestAnOldWordIsNoSignOfLife(t *testing.T) {
+func TestOldEntryIsNoEvidenceOfLife(t *testing.T) {
 	is := is.New(t)
 	v := New(Instance{Name: "a"}, DefaultOptions())
 	v.Merge(0, Instance{Name: "b", Incarnation: 1, HeartbeatCount: 5})
--- a/coordination/gossip/regions_test.go
+++ b/coordination/gossip/regions_test.go
@@ -131,7 +131,7 @@
 // connections between regions are slow and lose up to 30% of messages. A
 // partitioned region keeps its own view and is seen again soon after it heals; the
 // loss of a single instance is detected in all regions.
-func TestRegionsHearOfEachOther(t *testing.T) {
+func TestRegionsDiscoverEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		each := rapid.SampledFrom([]int{4, 12}).Draw(t, "each")
 		f := newRegionFleet(3, each, rapid.Uint64().Draw(t, "seed"))
--- a/coordination/gossip/restart_test.go
+++ b/coordination/gossip/restart_test.go
@@ -39,7 +39,7 @@
 
 // An instance that starts again after its clock went back gets an incarnation below
 // its previous one. It must be seen by all nearly as soon as one whose clock advanced.
-func TestAStartAfterTheClockWentBackIsHeardOf(t *testing.T) {
+func TestRestartAfterTheClockWentBackIsDiscovered(t *testing.T) {
 	for _, step := range []uint64{1, 100, math.MaxInt64 - 10} {
 		for _, instances := range []int{2, 30} {
 			is := is.New(t)
@@ -56,7 +56,7 @@
 }
 
 // Two starts at the same wall-clock time must give two incarnations.
-func TestAStartAtTheSameTimeOfDayIsHeardOf(t *testing.T) {
+func TestRestartAtTheSameTimeIsDiscovered(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(30)
 	f.run(20 * time.Second)
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -153,7 +153,7 @@
 	return out
 }
 
-// Prune drops replicas without a record for longer than after.
+// Expire drops replicas without a record for longer than after.
 func (d *Detector) Expire(now, after time.Duration) {
 	for id, r := range d.replicas {
 		if now-r.lastRecord > after {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 const ttl, margin, actDuration = 3 * time.Second, 500 * time.Millisecond, 200 * time.Millisecond
 
-func TestHeldFromBeforeTheWrite(t *testing.T) {
+func TestLeaseTimeStartsBeforeTheWrite(t *testing.T) {
 	is := is.New(t)
 	l := New(ttl, margin)
 	l.RecordGrant(time.Second, 8) // the answer may have arrived much later
@@ -55,8 +55,8 @@
 	highest        uint64         // highest token that the receiver has obeyed
 }
 
-func (m *model) advance(t *rapid.T, most int) {
-	m.now += time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
+func (m *model) advance(t *rapid.T, maxMillis int) {
+	m.now += time.Duration(rapid.IntRange(0, maxMillis).Draw(t, "ms")) * time.Millisecond
 }
 
 // write takes or renews the lease if the platform permits it.
--- a/coordination/ledger/ledger.go
+++ b/coordination/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger starts each numbered request at most once.
+// Package ledger starts each numbered request at most once (deduplication by
+// idempotency key).
 //
 // A ledger belongs to one incarnation of one entry and is lost with it, unless it is
 // handed over to a successor. It needs neither the platform nor synchronized clocks:
@@ -83,7 +84,7 @@
 	if !l.Owns(n.Incarnation) {
 		return Foreign, nil
 	}
-	l.sweep(now)
+	l.expire(now)
 	if r, ok := l.records[n.Key]; ok {
 		if r.digest != n.Digest {
 			return Reused, nil
@@ -130,9 +131,9 @@
 	return n
 }
 
-// sweep drops records that are no longer needed, as Begin now returns Expired for
+// expire drops records that are no longer needed, as Begin now returns Expired for
 // their prefixes.
-func (l *Ledger) sweep(now time.Duration) {
+func (l *Ledger) expire(now time.Duration) {
 	if now-l.lastSweep < l.opts.Horizon/16 {
 		return
 	}
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -20,8 +20,8 @@
 	return o
 }
 
-// Horizon sets the time that numbers of a prefix may start.
+// WithHorizon sets the time that numbers of a prefix may start.
 func WithHorizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
 
-// MaxRecords sets the maximum number of records.
+// WithMaxRecords sets the maximum number of records.
 func WithMaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit enforces customers' rate limits: each instance fills a token bucket at
-// its share of the customer's rate over the whole fleet.
+// Package limit enforces customers' rate limits with token buckets: each instance fills
+// its bucket at its share of the customer's rate over the whole fleet.
 package limit
 
 import "time"
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestPartnersReachAll(t *testing.T) {
+func TestHeartbeatTargetsReachAll(t *testing.T) {
 	is := is.New(t)
 	const n = 390
 	all := make([]Member, n)
@@ -138,7 +138,7 @@
 
 // A coord that restarts after its clock went back must count as a new and higher
 // incarnation.
-func TestAStartAfterTheClockWentBackIsTheLaterOne(t *testing.T) {
+func TestRestartAfterTheClockWentBackSupersedes(t *testing.T) {
 	for _, previous := range []uint64{5, 6, 1 << 62} {
 		is := is.New(t)
 		a, previousRun := New(member("a", 1)), New(member("b", previous))
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -19,5 +19,5 @@
 	return o
 }
 
-// SuspectTimeout sets the time that a suspect has to refute.
+// WithSuspectTimeout sets the time that a suspect has to refute.
 func WithSuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
--- a/coordination/outcome/outcome.go
+++ b/coordination/outcome/outcome.go
@@ -1,5 +1,5 @@
 // Package outcome decides the outcome of each request in one place, so that "not run"
-// is reported only for requests that were not run (brief, "What must always hold").
+// is never reported for a request that may have run.
 //
 // Refuse ends a Record while nothing has been written to an upstream. Dispatch returns
 // the token that the upstream client requires before it writes; from then on the record
--- a/coordination/ownership/ownership_test.go
+++ b/coordination/ownership/ownership_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-func TestWhoOwnsACellStaysItsOwner(t *testing.T) {
+func TestOwnerKeepsItsCell(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{
 		{Name: "a", HeartbeatCount: 100, CPUShare: 400},
@@ -31,7 +31,7 @@
 	is.Equal(names(Rank(alive, 0, "")), []string{"c", "a"}) // the instance with the largest CPU share is next
 }
 
-func TestAnInstanceThatJustStartedOwnsNothingYet(t *testing.T) {
+func TestJustStartedInstanceOwnsNoCell(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 100}}
 	is.Equal(names(Rank(alive, 0, "")), []string{"b"})
@@ -41,14 +41,14 @@
 
 // After a start of the whole fleet, the first owner of a cell keeps it when other
 // instances settle before it.
-func TestAnEarlyOwnerIsNotReplacedByWhoSettlesFirst(t *testing.T) {
+func TestOwnerKeepsItsCellWhenOthersSettleFirst(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 7, CPUShare: 400, OwnedCells: []uint32{0}}, {Name: "b", HeartbeatCount: 8, CPUShare: 800}}
 	is.Equal(names(Rank(alive, 0, ""))[0], "a")
 	is.Equal(names(Rank(alive, 1, "")), []string{"b"}) // a cell that it does not own
 }
 
-func TestAViewIsClearOnceSomebodyOwnsOrIsSettled(t *testing.T) {
+func TestCanDecideOnceAnOwnerIsKnownOrTheViewHasSettled(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "a", HeartbeatCount: 2}, {Name: "b", HeartbeatCount: 3}}
 	is.True(!CanDecide(alive, 0, "", false))
@@ -81,7 +81,7 @@
 
 // Whatever instances are lost or partitioned, an instance that sees an eligible owner in
 // the cell's region selects no other region, and instances with equal views agree.
-func TestOwnersOfCutAndLostRegions(t *testing.T) {
+func TestOwnersOfPartitionedAndLostRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var alive []gossip.Instance
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -4,7 +4,8 @@
 // A limit of one request per second can't be divided among hundreds of instances. Each
 // limited replica therefore has one grantor, an instance that all others select by the
 // same rule, and a sender obtains a grant from it before each request. Grants are
-// spaced evenly; unused grants accumulate for Options.Burst only. A new grantor doesn't
+// spaced evenly (generic cell rate algorithm); unused grants accumulate for
+// Options.Burst only. A new grantor doesn't
 // know what its predecessor granted, so it starts as if it had just issued a grant. An
 // instance that can't reach the grantor uses its own fraction of the limit.
 //
@@ -33,7 +34,7 @@
 	LogInterval       time.Duration // minimum time between two changes of one limit that are logged and trigger extra heartbeats
 }
 
-// Standard returns the options used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		Burst:             250 * time.Millisecond,
@@ -95,25 +96,25 @@
 )
 
 // Record processes the limit that a replica stated in an answer of the given age.
-func (t *Tracker) Record(now time.Duration, w Report) Change {
-	answeredAt := now - max(w.Age, 0)
-	r := t.entries[w.Incarnation]
+func (t *Tracker) Record(now time.Duration, report Report) Change {
+	answeredAt := now - max(report.Age, 0)
+	r := t.entries[report.Incarnation]
 	switch {
-	case r == nil && !w.Limit.Stated, r == nil && len(t.entries) >= t.opts.MaxIncarnations:
+	case r == nil && !report.Limit.Stated, r == nil && len(t.entries) >= t.opts.MaxIncarnations:
 		return Unchanged
 	case r == nil:
 		r = &entry{listedAt: now}
-		t.entries[w.Incarnation] = r
+		t.entries[report.Incarnation] = r
 	case answeredAt < r.answeredAt:
 		return Unchanged
 	}
 	previous := r.limit
-	r.limit, r.answeredAt = w.Limit, answeredAt
-	if previous == w.Limit {
+	r.limit, r.answeredAt = report.Limit, answeredAt
+	if previous == report.Limit {
 		return Unchanged
 	}
 	r.learnedAt = now
-	firstGrant := t.firstGrant(now, w.Limit)
+	firstGrant := t.firstGrant(now, report.Limit)
 	r.nextGrant = min(r.nextGrant, firstGrant)
 	switch {
 	case !previous.Stated:
@@ -121,7 +122,7 @@
 		r.nextGrant = firstGrant
 		r.nextLocalGrant, r.deniedUntil = 0, 0
 		return Added
-	case !w.Limit.Stated:
+	case !report.Limit.Stated:
 		t.limitedCount--
 		return Removed
 	}
@@ -276,7 +277,7 @@
 // maxRepeated is the number of older reports that one heartbeat repeats.
 const maxRepeated = 4
 
-// Sweep removes limits that ended RemovedRetention ago and entries of incarnations that
+// Expire removes limits that ended RemovedRetention ago and entries of incarnations that
 // have been unlisted for UnlistedRetention.
 func (t *Tracker) Expire(now time.Duration, listed func(incarnation string) bool) {
 	for incarnation, r := range t.entries {
--- a/coordination/pace/retryschedule.go
+++ b/coordination/pace/retry_schedule.go
@@ -23,7 +23,7 @@
 	return at + time.Duration(random*interval)
 }
 
-// Prune removes reservations that have passed.
+// Expire removes reservations that have passed.
 func (s *RetrySchedule) Expire(now time.Duration) {
 	for service, next := range s.next {
 		if next < now {
--- a/coordination/pipeline/backoff_test.go
+++ b/coordination/pipeline/backoff_test.go
@@ -48,7 +48,7 @@
 
 // If all replicas go into a backoff that is too long, an admitted job ends at once instead of
 // at its deadline. A started job continues as long as it may still end before its deadline.
-func TestAnAdmittedJobEndsWhereAllRestTooLong(t *testing.T) {
+func TestAdmittedJobEndsIfAllReplicasBackOffTooLong(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
 	began := newTestJob("began", 1)
--- a/coordination/pipeline/batch_mates_test.go
+++ b/coordination/pipeline/batch_mates_test.go
@@ -11,7 +11,7 @@
 
 // One of twenty jobs in a call ends the replica of every call that it is in. It must be
 // isolated after three ends: no other job is in a third failing call, and all others are done.
-func TestThreeEndsShowWhichJobItIs(t *testing.T) {
+func TestThreeEndsIdentifyTheJob(t *testing.T) {
 	is := is.New(t)
 	const jobs, culprit, replicas = 20, 7, 6
 	s := New()
--- a/coordination/pipeline/fair_share.go
+++ b/coordination/pipeline/fair_share.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// overShareRank is added to the rank of jobs beyond their customer's share. They rank
+	// overShareRank is added to the rank of jobs over their customer's share. They rank
 	// behind all jobs within shares and before late ones.
 	overShareRank = 500
 
-	// overShareMargin is the share of its slack that a job beyond its customer's share may be
+	// overShareMargin is the share of its slack that a job over its customer's share may be
 	// expected to wait. Jobs within shares overtake it while it waits, and if it is then given
 	// up, the pools have worked for nothing.
 	overShareMargin = 0.8
@@ -97,8 +97,8 @@
 	return st.pool.def.BatchTime.Seconds()/float64(st.pool.batchLimit(st.def.ResultBytes)) + st.pool.itemSeconds(st.def.ResultBytes)
 }
 
-// throttle demotes the waiting jobs of customers that ask for more than their share, beyond
-// what their share gets done soon, the least urgent first.
+// throttle demotes waiting jobs of customers that demand more than their share: the least
+// urgent ones, down to the work that the share completes soon.
 func (s *Scheduler) throttle(now time.Duration) {
 	for _, p := range s.poolsByName {
 		throttled := s.shares.Throttled(now, p.name)
@@ -181,7 +181,7 @@
 	}
 }
 
-// overShareLimit returns the time that a job beyond its customer's share may be expected to
+// overShareLimit returns the time that a job over its customer's share may be expected to
 // take, given the time left until it is late.
 func (j *job) overShareLimit(objective time.Duration) time.Duration {
 	uncontended := j.uncontendedTime()
@@ -191,7 +191,7 @@
 // ReasonShare is the reason for ending a job that exceeds its customer's share.
 const ReasonShare = "share"
 
-// TopCustomers returns the customers that ask for most of each pool, up to perPool of each,
+// TopCustomers returns the customers that demand most of each pool, up to perPool of each,
 // and all throttled ones.
 func (s *Scheduler) TopCustomers(now time.Duration, perPool int) []shares.Row {
 	return s.shares.Rows(now, perPool)
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -418,7 +418,7 @@
 
 // A flood slows down only the customer that sends it: the others keep what they have without
 // it.
-func TestWhoFloodsSlowsOnlyItself(t *testing.T) {
+func TestFloodSlowsOnlyItsCustomer(t *testing.T) {
 	for name, l := range singleFloods() {
 		t.Run(name, func(t *testing.T) {
 			calm := l
--- a/coordination/pipeline/forecast.go
+++ b/coordination/pipeline/forecast.go
@@ -24,9 +24,9 @@
 }
 
 // Explain formats the forecasts of all stages for a log line.
-func (v Decision) Explain() string {
-	parts := make([]string, 0, len(v.Stages))
-	for _, f := range v.Stages {
+func (d Decision) Explain() string {
+	parts := make([]string, 0, len(d.Stages))
+	for _, f := range d.Stages {
 		parts = append(parts, f.String())
 	}
 	return strings.Join(parts, "; ")
--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -61,7 +61,7 @@
 	startedAt   time.Duration
 	deliveredAt time.Duration
 
-	overShare    bool // beyond its customer's share
+	overShare    bool // over its customer's share
 	admittedLate bool // expected to be late when it was admitted; ranks behind all jobs that will be in time
 }
 
@@ -158,10 +158,10 @@
 	if x.stage.isSink() && x.stage.job.Hall != "" {
 		bytes[x.stage.job.Hall] += x.stage.def.ResultBytes
 	}
-	best, most := "", int64(localityBytes-1)
+	best, mostBytes := "", int64(localityBytes-1)
 	for hall, n := range bytes {
-		if n > most || (n == most && hall < best) {
-			best, most = hall, n
+		if n > mostBytes || (n == mostBytes && hall < best) {
+			best, mostBytes = hall, n
 		}
 	}
 	return best
--- a/coordination/pipeline/memory_test.go
+++ b/coordination/pipeline/memory_test.go
@@ -15,7 +15,7 @@
 // Results stay in their producers' memory until the request has read them. If reading takes
 // long, memory instead of replica time limits a pool. Jobs admitted beyond that limit would
 // wait until they are late, with wasted work.
-func TestRoomForResultsBoundsWhatIsLetIn(t *testing.T) {
+func TestResultMemoryBoundsAdmission(t *testing.T) {
 	for name, l := range map[string]floodLoad{
 		"read within a second":       {readTime: time.Second, scale: 1.6},
 		"read within two":            {readTime: 2 * time.Second, scale: 1.2},
@@ -32,7 +32,7 @@
 				inTime += c.inTime
 			}
 			if float64(givenUp) > maxGivenUpShare*float64(asked) {
-				t.Errorf("%d of %d are given up after they were let in; %d in time", givenUp, asked, inTime)
+				t.Errorf("%d of %d are given up after admission; %d in time", givenUp, asked, inTime)
 			}
 		})
 	}
@@ -40,7 +40,7 @@
 
 // As above, with other seeds. In the burst of seed 3, large results filled the first pool's
 // memory completely, and small results for later stages found none.
-func TestRoomBoundsWhatIsLetInByOtherLuck(t *testing.T) {
+func TestResultMemoryBoundsAdmissionWithOtherSeeds(t *testing.T) {
 	for name, l := range map[string]floodLoad{
 		"read within a second":       {readTime: time.Second, scale: 1.6},
 		"read within two":            {readTime: 2 * time.Second, scale: 1.2},
@@ -58,7 +58,7 @@
 					sum.inTime += c.inTime
 				}
 				if float64(sum.givenUp) > maxGivenUpShare*float64(sum.asked) {
-					t.Errorf("%d of %d are given up after they were let in; %d in time", sum.givenUp, sum.asked, sum.inTime)
+					t.Errorf("%d of %d are given up after admission; %d in time", sum.givenUp, sum.asked, sum.inTime)
 				}
 			})
 		}
@@ -98,7 +98,7 @@
 
 // A job does not start while there is no memory for its results. As results are read, waiting
 // jobs start in order of rank.
-func TestAJobBeginsWhenItsResultsWillFindRoom(t *testing.T) {
+func TestJobStartsWhenItsResultsWillFit(t *testing.T) {
 	is := is.New(t)
 	h := newFullHarness(t)
 	large := func(id string, rank int) Job {
@@ -125,7 +125,7 @@
 
 // A request that never confirms reading its results keeps others out only until the results
 // expire.
-func TestWhoNeverReadsKeepsOthersOutForAWhileOnly(t *testing.T) {
+func TestUnreadResultsBlockOthersUntilTheyExpire(t *testing.T) {
 	is := is.New(t)
 	h := newFullHarness(t)
 	h.tick(services()["read"].Pool.ResultTTL + time.Second)
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -1,6 +1,6 @@
 // Package pipeline schedules multi-stage requests on pools of replicas. It decides which
-// requests are admitted, which items are batched into which call, and when each call is sent
-// to which replica.
+// requests are admitted (admission control), which items are batched into which call (dynamic
+// batching), and when each call is sent to which replica.
 //
 // One Scheduler owns the replicas that it is given. A call costs a fixed time plus a time per
 // item, so items of all requests share calls. A replica gets its next call when the previous
@@ -323,7 +323,7 @@
 func (s *Scheduler) Pools(now time.Duration) []PoolState {
 	var out []PoolState
 	for _, p := range s.poolsByName {
-		st := PoolState{Service: p.name, WaitingItems: len(p.ready), BacklogTime: p.drainTime(now)}
+		st := PoolState{Service: p.name, WaitingItems: len(p.ready), BacklogTime: p.backlogTime(now)}
 		for _, r := range p.replicasByID {
 			if r.call != nil {
 				st.BusyReplicas++
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -447,7 +447,7 @@
 func TestFullReplicasAreCapacityButFailingOnesAreNot(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		fate     Outcome
+		outcome  Outcome
 		admitted bool
 	}{{Refused, true}, {Broken, false}} {
 		h := newHarness(t)
@@ -456,7 +456,7 @@
 				h.submit(newTestJob("a", 1))
 				h.submit(newTestJob("b", 1))
 				if _, ok := h.calls[r]; ok {
-					h.answer(r, c.fate)
+					h.answer(r, c.outcome)
 				}
 			}
 		}
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -132,7 +132,7 @@
 const noReplicaWait = time.Hour
 
 // drainTime returns the time until a pool has finished all waiting work.
-func (p *pool) drainTime(now time.Duration) time.Duration {
+func (p *pool) backlogTime(now time.Duration) time.Duration {
 	pl := p.newPlan(now, lateRank*2)
 	for pl.itemsAhead >= 1 {
 		if len(pl.replicas) == 0 {
--- a/coordination/pipeline/property_test.go
+++ b/coordination/pipeline/property_test.go
@@ -91,7 +91,7 @@
 func (w *randomRun) answer(c Call) {
 	delete(w.calls, c.ID)
 	delete(w.runningCall, c.Replica)
-	outcome := Outcome(rapid.IntRange(0, int(TimedOut)).Draw(w.t, "fate"))
+	outcome := Outcome(rapid.IntRange(0, int(TimedOut)).Draw(w.t, "outcome"))
 	if rapid.Bool().Draw(w.t, "well") {
 		outcome = Answered
 	}
@@ -100,7 +100,7 @@
 		for range c.Items {
 			w.lastNumber++
 			r := Result{Handle: fmt.Sprintf("%s/%d", c.Replica, w.lastNumber)}
-			if rapid.IntRange(0, 5).Draw(w.t, "piece") == 0 {
+			if rapid.IntRange(0, 5).Draw(w.t, "result") == 0 {
 				r = Result{Reason: Reason(rapid.IntRange(int(Expired), int(ItemFailed)).Draw(w.t, "reason"))}
 			} else {
 				w.made[r.Handle] = true
@@ -164,10 +164,10 @@
 
 func (w *randomRun) submit() {
 	w.lastNumber++
-	j := newTestJob(fmt.Sprint("r", w.lastNumber), rapid.IntRange(1, 6).Draw(w.t, "pieces"))
+	j := newTestJob(fmt.Sprint("r", w.lastNumber), rapid.IntRange(1, 6).Draw(w.t, "items"))
 	j.Rank = rapid.IntRange(0, 2).Draw(w.t, "rank")
 	j.Retry = rapid.Bool().Draw(w.t, "again")
-	j.AllowLate = rapid.Bool().Draw(w.t, "late too")
+	j.AllowLate = rapid.Bool().Draw(w.t, "allow late")
 	last := j.Stages[0].Items
 	if rapid.Bool().Draw(w.t, "two") {
 		last = rapid.IntRange(1, 3).Draw(w.t, "second")
--- a/coordination/placement/invariants_test.go
+++ b/coordination/placement/invariants_test.go
@@ -12,7 +12,7 @@
 )
 
 // Checks after random arrivals, first events, ends and engine changes that no
-// counter of an engine is negative, that no excluded or leaving engine is
+// counter of an engine is negative, that no excluded or draining engine is
 // chosen, and that the cached token counts match the cached parts.
 func TestInvariantsUnderRandomSteps(t *testing.T) {
 	services := map[string]*catalog.Service{"llm": {Engine: &catalog.Engine{Slots: 4, MemoryTokens: 2000}}}
@@ -24,8 +24,8 @@
 		return out
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(DefaultOptions(), warmup.Limit{})
-		table.SetEngines(services, engines(4))
+		placer := New(DefaultOptions(), warmup.Limit{})
+		placer.SetEngines(services, engines(4))
 		now, next := time.Duration(0), uint64(0)
 		open := make([]uint64, 0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -40,38 +40,38 @@
 				if rapid.Bool().Draw(t, "avoid") {
 					r.Avoid["e0"] = true
 				}
-				choice, ok := table.Place(now, r)
+				choice, ok := placer.Place(now, r)
 				if !ok {
 					continue
 				}
-				if r.Avoid[choice.Replica.ID] || table.engines[choice.Replica.ID].Draining {
-					t.Fatalf("%s was chosen although it is excluded or leaving", choice.Replica.ID)
+				if r.Avoid[choice.Replica.ID] || placer.engines[choice.Replica.ID].Draining {
+					t.Fatalf("%s was chosen although it is excluded or draining", choice.Replica.ID)
 				}
 				if choice.FetchFrom == choice.Replica.Address {
 					t.Fatalf("%s fetches from itself", choice.Replica.ID)
 				}
-				table.Begin(now, r, choice)
+				placer.Begin(now, r, choice)
 				open = append(open, next)
 			case step <= 3 && len(open) > 0:
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				if step == 2 {
-					table.FirstEvent(now, open[i])
+					placer.FirstEvent(now, open[i])
 					continue
 				}
-				table.End(now, open[i])
-				table.End(now, open[i]) // a repeated end has no effect
+				placer.End(now, open[i])
+				placer.End(now, open[i]) // a repeated end has no effect
 				open = append(open[:i], open[i+1:]...)
 			case step == 4:
 				list := engines(rapid.IntRange(0, 4).Draw(t, "listed"))
 				for i := range list {
 					list[i].Draining = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
 				}
-				table.SetEngines(services, list)
+				placer.SetEngines(services, list)
 			}
-			if table.Running() != len(open) {
-				t.Fatalf("%d requests are running, the table counts %d", len(open), table.Running())
+			if placer.Running() != len(open) {
+				t.Fatalf("%d requests are running, the placer counts %d", len(open), placer.Running())
 			}
-			for id, e := range table.engines {
+			for id, e := range placer.engines {
 				tokens := 0
 				for _, p := range e.cached {
 					tokens += p.tokens
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -9,8 +9,8 @@
 // which separates the two kinds of load without explicit partitioning. Engine
 // speeds are estimated from observed requests (package speed).
 //
-// One Table sees all requests of its engines. It is pure: events and times in,
-// decisions out. Its state is soft: a new owner starts with an empty table.
+// One Placer sees all requests of its engines. It is pure: events and times in,
+// decisions out. Its state is soft: a new owner starts with an empty one.
 package placement
 
 import (
@@ -26,7 +26,7 @@
 
 // Request describes a stream to be placed.
 type Request struct {
-	ID           uint64 // unique in the table while the request runs
+	ID           uint64 // unique in the Placer while the request runs
 	Service      string
 	Parts        []catalog.PromptPart // of the prompt; the last one is specific to this request
 	OutputTokens int                  // expected number of generated tokens
@@ -53,7 +53,7 @@
 	ConcurrentSuspects int    // other suspects running on the engine
 }
 
-// Table tracks engines and their running requests, and places new requests. It
+// Placer tracks engines and their running requests, and places new requests. It
 // is not safe for concurrent use.
 type Placer struct {
 	opts        Options
@@ -87,7 +87,8 @@
 	cachedTokens     int
 }
 
-// New returns an empty table; warmUp limits the request rate of warming engines.
+// New returns a placer without engines; warmUp limits the request rate of warming
+// engines.
 func New(o Options, warmUp warmup.Limit) *Placer {
 	return &Placer{
 		opts: o, engines: make(map[string]*engine), speeds: make(map[string]*speed.ServiceEstimator),
@@ -95,16 +96,16 @@
 	}
 }
 
-// WithSendGrants makes the table respect and spend the send grants of engines
-// that state a rate limit. It returns the table.
-func (t *Placer) WithSendGrants(grants pace.Limiter) *Placer {
-	t.grants = grants
-	return t
+// WithSendGrants makes the placer respect and spend the send grants of engines
+// that state a rate limit. It returns the placer.
+func (p *Placer) WithSendGrants(grants pace.Limiter) *Placer {
+	p.grants = grants
+	return p
 }
 
 // SetEngines replaces the configured services and the live replicas. The state
 // of engines that remain listed is kept.
-func (t *Placer) SetEngines(services map[string]*catalog.Service, replicas []catalog.Replica) {
+func (p *Placer) SetEngines(services map[string]*catalog.Service, replicas []catalog.Replica) {
 	listed := make(map[string]bool)
 	for _, r := range replicas {
 		s := services[r.Service]
@@ -112,52 +113,52 @@
 			continue
 		}
 		listed[r.ID] = true
-		e := t.engines[r.ID]
+		e := p.engines[r.ID]
 		if e == nil {
 			e = &engine{cached: make(map[uint64]*cachedPart)}
-			t.engines[r.ID] = e
+			p.engines[r.ID] = e
 		}
 		r.Draining = r.Draining || e.Draining
 		e.Replica = r
 		e.slots = s.Engine.Slots
 		e.warmUpRate = 0
 		if s.WarmUp != nil {
-			e.warmUpRate = t.warmUpLimit.MaxPerSender(s.WarmUp.RequestsPerSecond)
+			e.warmUpRate = p.warmUpLimit.MaxPerSender(s.WarmUp.RequestsPerSecond)
 		}
 		e.memory = int(s.Engine.MemoryTokens)
-		e.speed = t.serviceSpeed(r.Service)
+		e.speed = p.serviceSpeed(r.Service)
 		e.transferPerToken = transferTimePerToken(s.Engine)
 	}
-	for id := range t.engines {
+	for id := range p.engines {
 		if !listed[id] {
-			delete(t.engines, id)
+			delete(p.engines, id)
 		}
 	}
-	t.byService = make(map[string][]*engine)
-	for _, e := range t.engines {
-		t.byService[e.Service] = append(t.byService[e.Service], e)
+	p.byService = make(map[string][]*engine)
+	for _, e := range p.engines {
+		p.byService[e.Service] = append(p.byService[e.Service], e)
 	}
-	for _, list := range t.byService {
+	for _, list := range p.byService {
 		slices.SortFunc(list, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 	}
 }
 
 // Place returns the engine with the lowest cost for a request; false if no
 // engine is eligible.
-func (t *Placer) Place(now time.Duration, r *Request) (Choice, bool) {
+func (p *Placer) Place(now time.Duration, r *Request) (Choice, bool) {
 	keys := prefixKeys(r.Parts)
-	all := t.candidates(now, r)
+	all := p.candidates(now, r)
 	if len(all) == 0 {
 		return Choice{}, false
 	}
 	cached := make([]int, len(all))
 	longest := 0
 	for i, e := range all {
-		cached[i] = e.cachedPrefix(now, &t.opts, r.Parts, keys)
+		cached[i] = e.cachedPrefix(now, &p.opts, r.Parts, keys)
 		longest = max(longest, cached[i])
 	}
 	fetch := all[slices.Index(cached, longest)].Address
-	if e, n := t.drainedHolder(now, r, keys); n > longest {
+	if e, n := p.drainedHolder(now, r, keys); n > longest {
 		fetch, longest = e.Address, n
 	}
 	if r.RemoteCache.Tokens > longest {
@@ -165,7 +166,7 @@
 	}
 	best, least := -1, 0.0
 	for i, e := range all {
-		if c := t.cost(now, r, e, cached[i], longest); best < 0 || c < least {
+		if c := p.cost(now, r, e, cached[i], longest); best < 0 || c < least {
 			best, least = i, c
 		}
 	}
@@ -179,12 +180,12 @@
 // drainedHolder returns the engine with the longest cached prefix in the halls
 // being drained, and the prefix length. Such an engine gets no requests, but
 // its cache can still be fetched.
-func (t *Placer) drainedHolder(now time.Duration, r *Request, keys []uint64) (holder *engine, longest int) {
-	for _, e := range t.byService[r.Service] {
+func (p *Placer) drainedHolder(now time.Duration, r *Request, keys []uint64) (holder *engine, longest int) {
+	for _, e := range p.byService[r.Service] {
 		if !e.HallDrained || e.Draining {
 			continue
 		}
-		if n := e.cachedPrefix(now, &t.opts, r.Parts, keys); n > longest {
+		if n := e.cachedPrefix(now, &p.opts, r.Parts, keys); n > longest {
 			holder, longest = e, n
 		}
 	}
@@ -193,12 +194,12 @@
 
 // candidates returns the engines eligible for a request. The start of the list
 // rotates with the request ID, so that engines of equal cost share the load.
-func (t *Placer) candidates(now time.Duration, r *Request) []*engine {
-	all := t.byService[r.Service]
+func (p *Placer) candidates(now time.Duration, r *Request) []*engine {
+	all := p.byService[r.Service]
 	out := make([]*engine, 0, len(all))
 	for i := range all {
 		e := all[(uint64(i)+r.ID*rotationMultiplier)%uint64(len(all))]
-		if e.AcceptsWork() && !r.Avoid[e.ID] && t.withinWarmUpRate(now, e) && t.hasSendGrant(now, e) {
+		if e.AcceptsWork() && !r.Avoid[e.ID] && p.withinWarmUpRate(now, e) && p.hasSendGrant(now, e) {
 			out = append(out, e)
 		}
 	}
@@ -244,22 +245,22 @@
 
 // hasSendGrant reports whether the rate limit that an engine states allows one
 // more request now.
-func (t *Placer) hasSendGrant(now time.Duration, e *engine) bool {
-	return t.grants == nil || !t.grants.HasLimits() || t.grants.NextGrant(now, e.ID) <= now
+func (p *Placer) hasSendGrant(now time.Duration, e *engine) bool {
+	return p.grants == nil || !p.grants.HasLimits() || p.grants.NextGrant(now, e.ID) <= now
 }
 
 // GrantSupply returns the combined send grants of the engines eligible for a
 // request.
-func (t *Placer) GrantSupply(now time.Duration, r *Request) (s pace.Supply) {
-	if t.grants == nil || !t.grants.HasLimits() {
+func (p *Placer) GrantSupply(now time.Duration, r *Request) (s pace.Supply) {
+	if p.grants == nil || !p.grants.HasLimits() {
 		return s
 	}
 	first := true
-	for _, e := range t.byService[r.Service] {
+	for _, e := range p.byService[r.Service] {
 		if !e.AcceptsWork() || r.Avoid[e.ID] {
 			continue
 		}
-		s = s.Add(first, t.grants.NextGrant(now, e.ID), t.grants.Interval(e.ID))
+		s = s.Add(first, p.grants.NextGrant(now, e.ID), p.grants.Interval(e.ID))
 		first = false
 	}
 	return s
@@ -267,8 +268,8 @@
 
 // withinWarmUpRate reports whether an engine is warm, or its warm-up limit
 // allows one more request now.
-func (t *Placer) withinWarmUpRate(now time.Duration, e *engine) bool {
-	return e.warmUpRate == 0 || now >= e.WarmingUntil || t.warmUpSends.NextAllowed(now, e.ID, e.warmUpRate) <= now
+func (p *Placer) withinWarmUpRate(now time.Duration, e *engine) bool {
+	return e.warmUpRate == 0 || now >= e.WarmingUntil || p.warmUpSends.NextAllowed(now, e.ID, e.warmUpRate) <= now
 }
 
 // rotationMultiplier spreads consecutive request IDs over the rotations of the
@@ -278,8 +279,8 @@
 // cost returns the total cost of placing a request on an engine that has cached
 // the given number of prompt tokens; longest is the longest prefix cached
 // anywhere.
-func (t *Placer) cost(now time.Duration, r *Request, e *engine, cached, longest int) float64 {
-	o := &t.opts
+func (p *Placer) cost(now time.Duration, r *Request, e *engine, cached, longest int) float64 {
+	o := &p.opts
 	transferred := longest - cached
 	prefill := e.prefillTime(r.promptTokens() - longest)
 	queue := max(e.busyUntil-now, 0)
--- a/coordination/placement/prefix_cache.go
+++ b/coordination/placement/prefix_cache.go
@@ -52,15 +52,15 @@
 }
 
 // LongestCachedPrefix returns the engine of a service with the longest cached
-// prefix of a prompt. Leaving engines are skipped: they may be gone before the
-// prefix is fetched.
-func (t *Placer) LongestCachedPrefix(now time.Duration, service string, parts []catalog.PromptPart) (longest CachedPrefix) {
+// prefix of a prompt. Draining engines are skipped: they may have ended before
+// the prefix is fetched.
+func (p *Placer) LongestCachedPrefix(now time.Duration, service string, parts []catalog.PromptPart) (longest CachedPrefix) {
 	keys := prefixKeys(parts)
-	for _, e := range t.byService[service] {
+	for _, e := range p.byService[service] {
 		if e.Draining {
 			continue
 		}
-		if n := e.cachedPrefix(now, &t.opts, parts, keys); n > longest.Tokens {
+		if n := e.cachedPrefix(now, &p.opts, parts, keys); n > longest.Tokens {
 			longest = CachedPrefix{Address: e.Address, Tokens: n}
 		}
 	}
@@ -69,8 +69,8 @@
 
 // RecordCacheReport records the parts that an engine reports as cached, which
 // it may have cached for requests of an earlier owner.
-func (t *Placer) RecordCacheReport(now time.Duration, replica string, parts []catalog.PromptPart) {
-	e := t.engines[replica]
+func (p *Placer) RecordCacheReport(now time.Duration, replica string, parts []catalog.PromptPart) {
+	e := p.engines[replica]
 	if e == nil {
 		return
 	}
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -17,12 +17,12 @@
 
 // Begin records the start of a request on its engine, and its prompt as cached
 // there.
-func (t *Placer) Begin(now time.Duration, r *Request, c Choice) {
-	e := t.engines[c.Replica.ID]
+func (p *Placer) Begin(now time.Duration, r *Request, c Choice) {
+	e := p.engines[c.Replica.ID]
 	if e == nil {
 		return
 	}
-	o := &t.opts
+	o := &p.opts
 	keys := prefixKeys(r.Parts)
 	for i, p := range r.Parts {
 		e.cachePart(now, keys[i], p.Tokens)
@@ -38,12 +38,12 @@
 	e.prefillShare = e.decayedPrefillShare(now, o) + prefill.Seconds()/o.PrefillShareWindow.Seconds()
 	e.prefilling++
 	if e.warmUpRate > 0 && n.warming {
-		t.warmUpSends.Record(now, e.ID)
+		p.warmUpSends.Record(now, e.ID)
 	}
-	if t.grants != nil && t.grants.HasLimits() {
-		t.grants.Consume(now, e.ID)
+	if p.grants != nil && p.grants.HasLimits() {
+		p.grants.Consume(now, e.ID)
 	}
-	t.runs[r.ID] = n
+	p.runs[r.ID] = n
 }
 
 // countSuspect adds by to the engine's suspect and trial counts, as far as they
@@ -58,8 +58,8 @@
 }
 
 // FirstEvent records a request's first event, which ends its prefill.
-func (t *Placer) FirstEvent(now time.Duration, id uint64) {
-	r := t.runs[id]
+func (p *Placer) FirstEvent(now time.Duration, id uint64) {
+	r := p.runs[id]
 	if r == nil || r.hasFirstEvent {
 		return
 	}
@@ -74,12 +74,12 @@
 }
 
 // End records the end of a request, successful or not.
-func (t *Placer) End(now time.Duration, id uint64) {
-	r := t.runs[id]
+func (p *Placer) End(now time.Duration, id uint64) {
+	r := p.runs[id]
 	if r == nil {
 		return
 	}
-	delete(t.runs, id)
+	delete(p.runs, id)
 	r.engine.countSuspect(r.crashes, -1)
 	if r.hasFirstEvent {
 		r.engine.generating--
@@ -93,4 +93,4 @@
 }
 
 // Running returns the number of running requests.
-func (t *Placer) Running() int { return len(t.runs) }
+func (p *Placer) Running() int { return len(p.runs) }
--- a/coordination/placement/speeds.go
+++ b/coordination/placement/speeds.go
@@ -8,32 +8,32 @@
 )
 
 // serviceSpeed returns the speed estimator of a service's engines.
-func (t *Placer) serviceSpeed(service string) *speed.ServiceEstimator {
-	s := t.speeds[service]
+func (p *Placer) serviceSpeed(service string) *speed.ServiceEstimator {
+	s := p.speeds[service]
 	if s == nil {
-		s = speed.New(t.opts.Speed)
-		t.speeds[service] = s
+		s = speed.New(p.opts.Speed)
+		p.speeds[service] = s
 	}
 	return s
 }
 
 // Speeds returns the speed estimators by service.
-func (t *Placer) Speeds() map[string]*speed.ServiceEstimator { return t.speeds }
+func (p *Placer) Speeds() map[string]*speed.ServiceEstimator { return p.speeds }
 
-// SeedSpeed uses the estimate of peers for a service while the table has few
+// SeedSpeed uses the estimate of peers for a service while the placer has few
 // observations of its own, and reports whether it did.
-func (t *Placer) SeedSpeed(now time.Duration, service string, f speed.Estimate) bool {
-	return t.serviceSpeed(service).Seed(now, f)
+func (p *Placer) SeedSpeed(now time.Duration, service string, e speed.Estimate) bool {
+	return p.serviceSpeed(service).Seed(now, e)
 }
 
 // TimeToFirstEvent returns the expected time from the end of a request's
 // earlier stages to its first event on the chosen engine, as a high quantile of
 // requests with the same prefill and transfer. Current prefills are ignored, as
 // they will have ended by then.
-func (t *Placer) TimeToFirstEvent(r *Request, c Choice) time.Duration {
-	e := t.engines[c.Replica.ID]
+func (p *Placer) TimeToFirstEvent(r *Request, c Choice) time.Duration {
+	e := p.engines[c.Replica.ID]
 	if e == nil {
-		return t.serviceSpeed(r.Service).UpperBound(r.promptTokens())
+		return p.serviceSpeed(r.Service).UpperBound(r.promptTokens())
 	}
 	return e.speed.UpperBound(c.PrefillTokens) + e.transferTime(c.TransferTokens)
 }
--- a/coordination/placement/speeds_test.go
+++ b/coordination/placement/speeds_test.go
@@ -29,17 +29,17 @@
 // for their stages, although the engines prefilled them in half a second.
 func TestLongPromptEstimateFollowsObservedSpeed(t *testing.T) {
 	is := is.New(t)
-	table := newTable(4)
+	placer := newPlacer(4)
 	long := request(1000, 50_000, 40)
-	c, _ := table.Place(0, long)
-	is.True(table.TimeToFirstEvent(long, c) > 1200*time.Millisecond) // no observations yet
-	serveFastEngines(table, 200)
-	c, _ = table.Place(time.Hour, long)
-	is.True(table.TimeToFirstEvent(long, c) < 700*time.Millisecond)
+	c, _ := placer.Place(0, long)
+	is.True(placer.TimeToFirstEvent(long, c) > 1200*time.Millisecond) // no observations yet
+	serveFastEngines(placer, 200)
+	c, _ = placer.Place(time.Hour, long)
+	is.True(placer.TimeToFirstEvent(long, c) < 700*time.Millisecond)
 	is.Equal(c.PrefillTokens, 50_000)
 
-	fresh := newTable(4) // of another owner
-	is.True(fresh.SeedSpeed(0, "llm", table.Speeds()["llm"].Estimate()))
+	fresh := newPlacer(4) // of another owner
+	is.True(fresh.SeedSpeed(0, "llm", placer.Speeds()["llm"].Estimate()))
 	is.True(fresh.TimeToFirstEvent(long, c) < 700*time.Millisecond)
 }
 
@@ -47,14 +47,14 @@
 // earlier stages get the time saved.
 func TestCachedPrefixShortensTimeToFirstEvent(t *testing.T) {
 	is := is.New(t)
-	table := newTable(4)
-	serveFastEngines(table, 200)
+	placer := newPlacer(4)
+	serveFastEngines(placer, 200)
 	r := request(1000, 100, 40, "manual", "case")
-	unread, _ := table.Place(time.Hour, r)
-	table.begin(time.Hour, request(1001, 100, 40, "manual", "case"))
-	kept, _ := table.Place(time.Hour, r)
+	unread, _ := placer.Place(time.Hour, r)
+	placer.begin(time.Hour, request(1001, 100, 40, "manual", "case"))
+	kept, _ := placer.Place(time.Hour, r)
 	is.Equal(unread.PrefillTokens-kept.PrefillTokens, 4000)
-	is.True(table.TimeToFirstEvent(r, unread)-table.TimeToFirstEvent(r, kept) > 30*time.Millisecond)
+	is.True(placer.TimeToFirstEvent(r, unread)-placer.TimeToFirstEvent(r, kept) > 30*time.Millisecond)
 }
 
 // The transfer time of cached parts follows from the configured link bandwidth.
@@ -62,10 +62,10 @@
 	is := is.New(t)
 	e := &catalog.Engine{Slots: 64, MemoryTokens: 100_000, BytesPerToken: 35_136, LinkMbps: 550_000}
 	is.Equal(transferTimePerToken(e), 511*time.Nanosecond)
-	table := New(DefaultOptions(), warmup.Limit{})
-	table.SetEngines(map[string]*catalog.Service{"llm": {Engine: e}}, []catalog.Replica{{ID: "e0", Service: "llm"}})
+	placer := New(DefaultOptions(), warmup.Limit{})
+	placer.SetEngines(map[string]*catalog.Service{"llm": {Engine: e}}, []catalog.Replica{{ID: "e0", Service: "llm"}})
 	r := request(1, 100, 10)
 	fetched := Choice{Replica: catalog.Replica{ID: "e0"}, PrefillTokens: 100, TransferTokens: 1000}
 	read := Choice{Replica: catalog.Replica{ID: "e0"}, PrefillTokens: 100}
-	is.Equal(table.TimeToFirstEvent(r, fetched)-table.TimeToFirstEvent(r, read), 511*time.Microsecond)
+	is.Equal(placer.TimeToFirstEvent(r, fetched)-placer.TimeToFirstEvent(r, read), 511*time.Microsecond)
 }
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -1,6 +1,6 @@
 // Package planner computes the effects of a declaration: where each stage runs,
-// how much capacity each service needs, each stage's share of the deadline, and
-// the cost.
+// how much capacity each service needs, each stage's share of the deadline, the
+// expected service level (by M/M/c queues), and the cost.
 package planner
 
 import (
--- a/coordination/quarantine/exchange.go
+++ b/coordination/quarantine/exchange.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Announce returns the entries of the next message to other instances: recently
+// Updates returns the entries of the next message to other instances: recently
 // changed cases, and some quarantined ones repeated round-robin.
 func (t *Tracker) Updates(now time.Duration) []Entry {
 	var out []Entry
--- a/coordination/readers/readers_test.go
+++ b/coordination/readers/readers_test.go
@@ -53,7 +53,7 @@
 	is.Equal(readerIndexes(alive), before)
 }
 
-func TestBlindLeavingOrRestartedReaderIsReplaced(t *testing.T) {
+func TestUnsuitableReaderIsReplaced(t *testing.T) {
 	is := is.New(t)
 	for _, disqualify := range []func(*gossip.Instance){
 		func(i *gossip.Instance) { i.StoreUnreachable = true },
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestBlindInstancesReadIfAllAreBlind(t *testing.T) {
+func TestReadersAreChosenIfNoInstanceReachesTheStore(t *testing.T) {
 	is := is.New(t)
 	alive := fleet(4, 3)
 	for i := range alive {
--- a/coordination/replicas/replicas.go
+++ b/coordination/replicas/replicas.go
@@ -1,8 +1,8 @@
 // Package replicas merges all sources about upstream replicas into one list:
 // the platform's listing, which lags, peers' updates, and what a replica's own
 // answers report. Within an incarnation, leaving is final, so a stale listing
-// can't bring a leaving replica back (brief: "An upstream that is leaving
-// receives no new work after a few seconds").
+// can't bring a leaving replica back: an upstream that is leaving must receive
+// no new work after a few seconds.
 package replicas
 
 import "sort"
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry limits all retries of a process by one budget, a fraction of its
-// successes, so that a failing service is not hit by a multiple of its load.
+// Package retry limits all retries of a process by one retry budget, a fraction of its
+// successes, so that a failing service doesn't get a multiple of its load.
 package retry
 
 // Budget is a retry budget. It is not safe for concurrent use.
--- a/coordination/review/review.go
+++ b/coordination/review/review.go
@@ -1,5 +1,5 @@
-// Package review checks a configuration for mistakes and doubtful settings before an
-// operator activates it, beyond the errors that make it invalid.
+// Package review lints a configuration: before an operator activates it, it is checked
+// for mistakes and doubtful settings beyond the errors that make it invalid.
 package review
 
 import (
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -1,14 +1,14 @@
 // Package rollout decides whether and how the traffic of a service shifts to
-// replicas of a new software version.
+// replicas of a new software version (canary release).
 //
 // An operator orders a rollout with a time limit. Until the version is promoted,
 // each instance sends a small part of its own requests to it (the canary phase) and
-// reports their outcomes; a few instances judge the totals. The package holds the
-// orders and their phases (orders.go), traffic shares (share.go), counters
-// (counts.go), the judgement (judge.go, score.go, ends.go) and the next step of the
-// instance that leads a rollout (plan.go). It does no I/O and reads no clock:
-// events and times are passed in, decisions are returned. None of its types is safe
-// for concurrent use.
+// reports their outcomes; a few instances judge the totals by sequential tests
+// (sequential probability ratio test, CUSUM). The package holds the orders and their
+// phases (orders.go), traffic shares (share.go), counters (counts.go), the judgement
+// (judge.go, score.go, ends.go) and the next step of the instance that leads a
+// rollout (plan.go). It does no I/O and reads no clock: events and times are passed
+// in, decisions are returned. None of its types is safe for concurrent use.
 package rollout
 
 import (
@@ -44,7 +44,7 @@
 	return [...]string{"waits", "open", "trusted", "bad", "done"}[min(p, Done)]
 }
 
-// Entry is a change of an order as received from a watch.
+// Entry is a written or deleted order as received from a watch.
 type Entry struct {
 	Order
 	Deleted bool
@@ -158,15 +158,15 @@
 
 // Merge merges another instance's view: the set of orders with the newer revision,
 // and the highest phase of each order.
-func (v *View) Merge(now time.Duration, n Update) []Change {
+func (v *View) Merge(now time.Duration, u Update) []Change {
 	var orders []Order
-	for _, s := range n.Orders {
+	for _, s := range u.Orders {
 		if !s.Ended {
 			orders = append(orders, s.Order)
 		}
 	}
-	changes := v.Replace(now, orders, n.Revision)
-	for _, s := range n.Orders {
+	changes := v.Replace(now, orders, u.Revision)
+	for _, s := range u.Orders {
 		changes = append(changes, v.mergeOrder(now, s)...)
 	}
 	return changes
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -86,22 +86,22 @@
 }
 
 // Whatever the order and sizes of sends, the share holds at every moment, except for
-// at most one send per ledger, that is per incarnation.
-func TestLedgerBoundsShare(t *testing.T) {
+// at most one send per splitter, that is per incarnation.
+func TestTrafficSplitterBoundsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.9).Draw(t, "share")
 		start := rapid.Float64Range(0, 1).Draw(t, "start")
 		l := NewTrafficSplitter(start)
-		all, sentToTarget, most := 0, 0, 0
+		all, sentToTarget, largest := 0, 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(1, 60)).Draw(t, "sends") {
 			toTarget := l.Allows(1, "r", share, n)
 			l.Record(1, "r", share, n, toTarget)
 			all += n
 			if toTarget {
 				sentToTarget += n
-				most = max(most, n)
+				largest = max(largest, n)
 			}
-			if float64(sentToTarget) > share*float64(all)+start*float64(most)+1e-6 {
+			if float64(sentToTarget) > share*float64(all)+start*float64(largest)+1e-6 {
 				t.Fatalf("%d of %d at a share of %v, start %v", sentToTarget, all, share, start)
 			}
 		}
@@ -240,7 +240,7 @@
 				for range rapid.IntRange(0, 3).Draw(t, "answers") {
 					seen[k].Add(time.Millisecond, rapid.Bool().Draw(t, "failed"))
 				}
-				if rapid.Bool().Draw(t, "told") {
+				if rapid.Bool().Draw(t, "reported") {
 					c := *seen[k]
 					part[k] = &c
 				}
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -98,16 +98,16 @@
 // good version from a bad version.
 const minSelected = 2
 
-// Ledger counts the requests that one incarnation of an instance sends to a service
-// during a rollout, per route so that the version gets requests of each route. It
-// bounds the version to its share of these requests at every moment, so the totals
+// TrafficSplitter counts the requests that one incarnation of an instance sends to a
+// service during a rollout, per route so that the version gets requests of each route.
+// It bounds the version to its share of these requests at every moment, so the totals
 // over all instances and incarnations are bounded too, without a shared counter.
 type TrafficSplitter struct {
 	initialCredit float64 // fraction of a request, 0 to 1, that the version may get at the start
-	counts        map[ledgerKey]*sendCounts
+	counts        map[sendKey]*sendCounts
 }
 
-type ledgerKey struct {
+type sendKey struct {
 	order uint64
 	route string
 	share float64 // counts start at 0 for each new share
@@ -115,35 +115,36 @@
 
 type sendCounts struct{ all, toTarget float64 }
 
-// NewLedger returns an empty ledger. initialCredit should be drawn evenly from 0 to 1 for each
-// incarnation: where every instance sends few requests, rounding down would leave the
-// version without any, and rounding up would give it one from each instance.
+// NewTrafficSplitter returns a splitter without counts. initialCredit should be drawn
+// evenly from 0 to 1 for each incarnation: where every instance sends few requests,
+// rounding down would leave the version without any, and rounding up would give it one
+// from each instance.
 func NewTrafficSplitter(initialCredit float64) *TrafficSplitter {
-	return &TrafficSplitter{initialCredit: initialCredit, counts: make(map[ledgerKey]*sendCounts)}
+	return &TrafficSplitter{initialCredit: initialCredit, counts: make(map[sendKey]*sendCounts)}
 }
 
-func (l *TrafficSplitter) countsFor(order uint64, route string, share float64) *sendCounts {
-	k := ledgerKey{order, route, share}
-	s := l.counts[k]
+func (t *TrafficSplitter) countsFor(order uint64, route string, share float64) *sendCounts {
+	k := sendKey{order, route, share}
+	s := t.counts[k]
 	if s == nil {
 		s = &sendCounts{}
-		l.counts[k] = s
+		t.counts[k] = s
 	}
 	return s
 }
 
 // Allows reports whether n more requests may go to an order's version.
-func (l *TrafficSplitter) Allows(order uint64, route string, share float64, n int) bool {
+func (t *TrafficSplitter) Allows(order uint64, route string, share float64, n int) bool {
 	if share <= 0 || share >= 1 {
 		return share >= 1
 	}
-	s, k := l.countsFor(order, route, share), float64(n)
-	return s.toTarget+k <= share*(s.all+k)+l.initialCredit*k
+	s, k := t.countsFor(order, route, share), float64(n)
+	return s.toTarget+k <= share*(s.all+k)+t.initialCredit*k
 }
 
 // Record counts n requests that were sent, to the order's version if toTarget is true.
-func (l *TrafficSplitter) Record(order uint64, route string, share float64, n int, toTarget bool) {
-	s := l.countsFor(order, route, share)
+func (t *TrafficSplitter) Record(order uint64, route string, share float64, n int, toTarget bool) {
+	s := t.countsFor(order, route, share)
 	s.all += float64(n)
 	if toTarget {
 		s.toTarget += float64(n)
@@ -151,10 +152,10 @@
 }
 
 // Prune drops the counts of orders for which keep returns false.
-func (l *TrafficSplitter) Prune(keep func(order uint64) bool) {
-	for k := range l.counts {
+func (t *TrafficSplitter) Prune(keep func(order uint64) bool) {
+	for k := range t.counts {
 		if !keep(k.order) {
-			delete(l.counts, k)
+			delete(t.counts, k)
 		}
 	}
 }
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -20,7 +20,7 @@
 // Options are a scheduler's settings.
 type Options struct {
 	Policy          Policy
-	ShedSlackFactor float64       // drop a queued task once slack < Shed x expected time; 0: never
+	ShedSlackFactor float64       // drop a queued task once slack < ShedSlackFactor x expected time; 0: never
 	MinRetryAfter   time.Duration // minimum retry delay given to a refused caller
 	EjectionTime    time.Duration // how long a failing replica gets no tasks
 	ProbeInterval   time.Duration // between two probes of a slow replica
@@ -52,14 +52,14 @@
 // WithPolicy sets the policy.
 func WithPolicy(p Policy) Option { return func(o *Options) { o.Policy = p } }
 
-// Shed sets the slack at which a queued task is dropped, as a multiple of its expected
-// time.
+// WithShedSlackFactor sets the slack at which a queued task is dropped, as a multiple of
+// its expected time.
 func WithShedSlackFactor(f float64) Option { return func(o *Options) { o.ShedSlackFactor = f } }
 
-// SlowRatio sets how many times slower than the service a slow replica is; 0 disables
+// WithSlowRatio sets how many times slower than the service a slow replica is; 0 disables
 // the check.
 func WithSlowRatio(f float64) Option { return func(o *Options) { o.SlowRatio = f } }
 
-// Share sets the fraction of all slots that this scheduler may fill. Each of n
+// WithShare sets the fraction of all slots that this scheduler may fill. Each of n
 // schedulers that don't know of each other takes slightly more than 1/n.
 func WithShare(f float64) Option { return func(o *Options) { o.Share = min(f, 1) } }
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -1,5 +1,6 @@
-// Package scheduler decides, for one service, which queued stage runs next and on which
-// replica, and refuses stages that can't meet their deadline.
+// Package scheduler decides, for one service, which queued stage runs next (by class,
+// weighted fair queuing among customers, and least slack) and on which replica (the least
+// loaded one), and refuses stages that can't meet their deadline.
 //
 // It is used in two places: at the service's owner, where it holds the exact slots of
 // all entries (policy permits), and inside an entry, with that entry's own view, when
@@ -191,9 +192,9 @@
 	return bounded && s.opts.Share < 1 && len(s.permits) >= s.slots()
 }
 
-// margin is the slack that a waiting task must have left when it starts: Shed times its
-// expected time, but no more than maxMargin of its current slack, so that some wait is
-// always possible.
+// margin is the slack that a waiting task must have left when it starts: ShedSlackFactor
+// times its expected time, but no more than maxMargin of its current slack, so that some
+// wait is always possible.
 func (s *Scheduler) margin(now time.Duration, t *Task) time.Duration {
 	m := s.opts.ShedSlackFactor * float64(t.Expected)
 	return time.Duration(min(m, maxMargin*float64(max(t.slack(now), 0))))
--- a/coordination/scheduler/scheduler_test.go
+++ b/coordination/scheduler/scheduler_test.go
@@ -77,7 +77,7 @@
 	s.SetReplicas(0, replicasOf(1, 1))
 	s.Submit(0, task(1, "a", fleet.Normal, time.Second))
 	is.Equal(len(s.Submit(0, task(2, "a", fleet.Normal, 45*ms))), 0) // queued
-	out := s.Tick(26 * ms)                                           // 19 ms of slack, below Shed times the expected 10 ms
+	out := s.Tick(26 * ms)                                           // 19 ms of slack, below ShedSlackFactor times the expected 10 ms
 	is.Equal(out[0].Reason, TooLate)
 	for i := range uint64(50) {
 		out = s.Submit(30*ms, task(10+i, "a", fleet.Normal, 130*ms))
--- a/coordination/shares/rows.go
+++ b/coordination/shares/rows.go
@@ -17,9 +17,9 @@
 
 // Rows returns the customers with the most demand, up to limit for each resource, and
 // all throttled customers.
-func (t *Allocator) Rows(now time.Duration, limit int) []Row {
+func (a *Allocator) Rows(now time.Duration, limit int) []Row {
 	var out []Row
-	for name, r := range t.resources {
+	for name, r := range a.resources {
 		r.allocateIfDue(now)
 		rows := r.rows(name)
 		slices.SortFunc(rows, func(a, b Row) int {
@@ -36,9 +36,9 @@
 }
 
 // ThrottledRows returns the throttled customers, sorted by resource and customer.
-func (t *Allocator) ThrottledRows(now time.Duration) []Row {
+func (a *Allocator) ThrottledRows(now time.Duration) []Row {
 	var out []Row
-	for name, r := range t.resources {
+	for name, r := range a.resources {
 		r.allocateIfDue(now)
 		if r.scarce {
 			out = append(out, slices.DeleteFunc(r.rows(name), func(row Row) bool { return !row.Throttled })...)
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -60,7 +60,7 @@
 	MinAverage         float64       // averages below this, in units of the resource, are dropped
 }
 
-// Standard returns the options used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		DemandWindow:       time.Second,
@@ -92,34 +92,34 @@
 // RecordDemand counts a request and its needs and returns its standing. Each request
 // counts as demand, whether or not it is served; the caller passes those that are
 // served to RecordServed.
-func (t *Allocator) RecordDemand(now time.Duration, customer string, rank int, reported UsageReport, needs []Need) Standing {
-	t.recordReport(customer, reported)
+func (a *Allocator) RecordDemand(now time.Duration, customer string, rank int, reported UsageReport, needs []Need) Standing {
+	a.recordReport(customer, reported)
 	out := Standing{Within: true}
 	for _, n := range needs {
-		r := t.resource(n.Resource)
+		r := a.resource(n.Resource)
 		r.capacity = n.Capacity
 		r.allocateIfDue(now)
 		f := r.flow(customer)
 		f.atRank(rank).work += n.Work
 		r.requests++
-		if f.throttled() && !f.hasCredit(now, rank, &t.opts) {
-			out = Standing{Resource: n.Resource, Demand: f.demand() / t.opts.DemandWindow.Seconds(), Share: f.share}
+		if f.throttled() && !f.hasCredit(now, rank, &a.opts) {
+			out = Standing{Resource: n.Resource, Demand: f.demand() / a.opts.DemandWindow.Seconds(), Share: f.share}
 		}
 	}
 	return out
 }
 
 // recordReport averages the reports on a customer.
-func (t *Allocator) recordReport(customer string, reported UsageReport) {
-	if reported.Requests < t.opts.MinReported {
+func (a *Allocator) recordReport(customer string, reported UsageReport) {
+	if reported.Requests < a.opts.MinReported {
 		return
 	}
-	fraction, known := t.reported[customer]
-	if !known && len(t.reported) < maxReported {
+	fraction, known := a.reported[customer]
+	if !known && len(a.reported) < maxReported {
 		fraction = reported.Fraction
 	}
-	if known || len(t.reported) < maxReported {
-		t.reported[customer] = fraction + reportGain*(reported.Fraction-fraction)
+	if known || len(a.reported) < maxReported {
+		a.reported[customer] = fraction + reportGain*(reported.Fraction-fraction)
 	}
 }
 
@@ -129,9 +129,9 @@
 )
 
 // RecordServed counts a request as served within its customer's share.
-func (t *Allocator) RecordServed(customer string, rank int, needs []Need) {
+func (a *Allocator) RecordServed(customer string, rank int, needs []Need) {
 	for _, n := range needs {
-		f := t.resource(n.Resource).flow(customer)
+		f := a.resource(n.Resource).flow(customer)
 		f.atRank(rank).credit -= n.Work
 		f.recent += n.Work
 	}
@@ -139,8 +139,8 @@
 
 // Throttled returns the customers that demand more of a resource than their share, and
 // that share in units per second.
-func (t *Allocator) Throttled(now time.Duration, resource string) map[string]float64 {
-	r := t.resources[resource]
+func (a *Allocator) Throttled(now time.Duration, resource string) map[string]float64 {
+	r := a.resources[resource]
 	if r == nil {
 		return nil
 	}
@@ -157,11 +157,11 @@
 	return out
 }
 
-func (t *Allocator) resource(name string) *resource {
-	r := t.resources[name]
+func (a *Allocator) resource(name string) *resource {
+	r := a.resources[name]
 	if r == nil {
-		r = &resource{opts: &t.opts, reported: t.reported, flows: make(map[string]*flow)}
-		t.resources[name] = r
+		r = &resource{opts: &a.opts, reported: a.reported, flows: make(map[string]*flow)}
+		a.resources[name] = r
 	}
 	return r
 }
--- a/coordination/shutdown/shutdown.go
+++ b/coordination/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown decides which requests a stopping instance still accepts, so that a
-// planned stop breaks off none: clients keep using its address for a while after it is
-// no longer advertised, and every accepted request must end before the platform kills
-// the process.
+// Package shutdown plans a graceful shutdown (connection draining): it decides which
+// requests a stopping instance still accepts, so that none is broken off. Clients keep
+// using its address for a while after it is no longer advertised, and every accepted
+// request must end before the platform kills the process.
 package shutdown
 
 import "time"
--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -46,23 +46,23 @@
 // RecordLocal stores the estimate of one of this instance's cells and reports
 // whether it is announced: after a significant change, and otherwise once per
 // refreshInterval.
-func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, f Estimate) bool {
+func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, e Estimate) bool {
 	if old := r.find(service, origin); old != nil {
 		pause := refreshInterval
-		if f.Differs(&old.Estimate) {
+		if e.Differs(&old.Estimate) {
 			pause = minUpdateInterval
 		}
 		if now-old.observedAt < pause {
 			return false
 		}
 	}
-	return r.Merge(now, Record{Origin: origin, Service: service, Estimate: f})
+	return r.Merge(now, Record{Origin: origin, Service: service, Estimate: e})
 }
 
 // Merge stores a received record and reports whether it was new.
-func (r *Records) Merge(now time.Duration, n Record) bool {
-	old := r.find(n.Service, n.Origin)
-	if old != nil && old.Estimate.Count >= n.Estimate.Count || n.Age >= recordTTL || !n.Estimate.isValid() {
+func (r *Records) Merge(now time.Duration, rec Record) bool {
+	old := r.find(rec.Service, rec.Origin)
+	if old != nil && old.Estimate.Count >= rec.Estimate.Count || rec.Age >= recordTTL || !rec.Estimate.isValid() {
 		return false
 	}
 	if old == nil {
@@ -70,19 +70,19 @@
 		r.entries = append(r.entries, old)
 	}
 	sends := 0
-	if !n.Estimate.Differs(&old.Estimate) {
+	if !rec.Estimate.Differs(&old.Estimate) {
 		sends = old.sends // no significant change: the resend schedule continues
 	}
-	*old = entry{Record: n, observedAt: now - n.Age, sends: sends}
+	*old = entry{Record: rec, observedAt: now - rec.Age, sends: sends}
 	r.prune(now)
 	return true
 }
 
-// isValid reports whether received figures are plausible: peers are not trusted
+// isValid reports whether a received estimate is plausible: peers are not trusted
 // to send valid values.
-func (f *Estimate) isValid() bool {
-	lines := f.Median.Base > 0 && f.Median.PerToken >= 0 && f.UpperBound.Base > 0 && f.UpperBound.PerToken >= 0
-	return lines && f.PerOutputToken > 0 && f.LongestPrompt >= 0 && f.Count > 0
+func (e *Estimate) isValid() bool {
+	lines := e.Median.Base > 0 && e.Median.PerToken >= 0 && e.UpperBound.Base > 0 && e.UpperBound.PerToken >= 0
+	return lines && e.PerOutputToken > 0 && e.LongestPrompt >= 0 && e.Count > 0
 }
 
 func (r *Records) find(service string, origin uint32) *entry {
@@ -104,19 +104,19 @@
 	})
 }
 
-// Differs reports whether the figures changed enough to be announced.
-func (f *Estimate) Differs(from *Estimate) bool {
-	return differsBy(f.Median.Base, from.Median.Base, significantChange) || differsBy(f.Median.PerToken, from.Median.PerToken, significantChange) ||
-		differsBy(f.UpperBound.Base, from.UpperBound.Base, significantChange) || differsBy(f.UpperBound.PerToken, from.UpperBound.PerToken, significantChange) ||
-		differsBy(f.PerOutputToken, from.PerOutputToken, significantChangeCoarse) || differsBy(time.Duration(f.LongestPrompt), time.Duration(from.LongestPrompt), significantChangeCoarse)
+// Differs reports whether the estimate changed enough to be announced.
+func (e *Estimate) Differs(from *Estimate) bool {
+	return differsBy(e.Median.Base, from.Median.Base, significantChange) || differsBy(e.Median.PerToken, from.Median.PerToken, significantChange) ||
+		differsBy(e.UpperBound.Base, from.UpperBound.Base, significantChange) || differsBy(e.UpperBound.PerToken, from.UpperBound.PerToken, significantChange) ||
+		differsBy(e.PerOutputToken, from.PerOutputToken, significantChangeCoarse) || differsBy(time.Duration(e.LongestPrompt), time.Duration(from.LongestPrompt), significantChangeCoarse)
 }
 
 func differsBy(a, b time.Duration, share float64) bool {
 	return math.Abs(float64(a-b)) > share*float64(max(a, b))
 }
 
-// NextMessage returns the records to send in a gossip round: new ones, and each
-// of the others once in resendRounds.
+// Updates returns the records to send in a gossip round: new ones, and each of
+// the others once in resendRounds.
 func (r *Records) Updates(now time.Duration) []Record {
 	r.round++
 	var out []Record
@@ -130,7 +130,8 @@
 	return out
 }
 
-// All returns the newest unexpired records, as many as fit a message.
+// Snapshot returns the newest unexpired records, as many as fit a message, for
+// an instance that has just started.
 func (r *Records) Snapshot(now time.Duration) []Record {
 	var out []Record
 	for _, x := range r.entries {
@@ -142,13 +143,13 @@
 }
 
 func (x *entry) at(now time.Duration) Record {
-	n := x.Record
-	n.Age = now - x.observedAt
-	return n
+	rec := x.Record
+	rec.Age = now - x.observedAt
+	return rec
 }
 
 // Combined returns the combined estimate of all origins for a service: the
-// weighted median of each figure, so that one wrong peer has little influence.
+// weighted median of each value, so that one wrong peer has little influence.
 // Its count is the number of origins.
 func (r *Records) Combined(now time.Duration, service string) (Estimate, bool) {
 	var rows []*entry
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -22,7 +22,7 @@
 	Prior              Estimate      // estimate without observations: no configuration states the engines' speed
 	MinObservations    int           // observations after which the prior no longer counts
 	RefitEvery         int           // observations between two fits
-	UpperBoundQuantile float64       // quantile of the Likely line
+	UpperBoundQuantile float64       // quantile of the UpperBound line
 	MaxExtrapolation   int           // multiple of the longest observed prompt up to which the lines are used
 	DecayTime          time.Duration // in which the weight of an observation falls by a factor of e
 	FactorWeight       float64       // weight of the latest observation in a replica's factor: a slow replica shows within five
@@ -70,7 +70,7 @@
 	return l.Base + time.Duration(tokens*float64(l.PerToken))
 }
 
-// Figures are the estimates for a service's engines.
+// Estimate is the estimated speed of a service's engines.
 type Estimate struct {
 	Median         Line          `json:"Usual"`   // median time to first event
 	UpperBound     Line          `json:"Likely"`  // Options.UpperBoundQuantile of the time to first event
@@ -79,8 +79,8 @@
 	Count          int           // observations
 }
 
-// Service estimates the engines of one service. It is not safe for concurrent
-// use.
+// ServiceEstimator estimates the speed of one service's engines. It is not safe
+// for concurrent use.
 type ServiceEstimator struct {
 	opts         Options
 	prior        Estimate
@@ -91,7 +91,7 @@
 	nextFit      int     // count at which the lines are fitted next
 }
 
-// Replica estimates the speed of one replica.
+// ReplicaEstimator estimates the speed of one replica.
 type ReplicaEstimator struct {
 	factor float64 // time to first event relative to the service's median line; 0: unknown
 }
@@ -101,17 +101,17 @@
 	return &ServiceEstimator{opts: o, prior: o.Prior, current: o.Prior, medianFactor: 1, nextFit: 1}
 }
 
-// Figures returns the current estimates.
+// Estimate returns the current estimate.
 func (s *ServiceEstimator) Estimate() Estimate { return s.current }
 
 // Seed replaces the prior by the estimate of peers while there are few
 // observations, and reports whether it did. The count stays, as only an owner's
 // own observations are announced to peers.
-func (s *ServiceEstimator) Seed(now time.Duration, f Estimate) bool {
+func (s *ServiceEstimator) Seed(now time.Duration, e Estimate) bool {
 	if s.current.Count >= s.opts.MinObservations {
 		return false
 	}
-	s.prior = f
+	s.prior = e
 	s.fit(now)
 	return true
 }
@@ -120,14 +120,14 @@
 // estimate to peers.
 func (s *ServiceEstimator) IsReliable() bool { return s.current.Count >= s.opts.MinObservations }
 
-// Usual returns the median time to first event for the given number of
+// Median returns the median time to first event for the given number of
 // prefilled tokens.
 func (s *ServiceEstimator) Median(tokens int) time.Duration {
 	return s.predict(s.current.Median, tokens)
 }
 
-// Likely returns the time within which most first events come
-// (Options.LikelyQuantile).
+// UpperBound returns the time within which most first events come
+// (Options.UpperBoundQuantile).
 func (s *ServiceEstimator) UpperBound(tokens int) time.Duration {
 	return s.predict(s.current.UpperBound, tokens)
 }
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -20,13 +20,13 @@
 	replicas               [60]ReplicaEstimator
 }
 
-func (e *engines) usual(tokens int) float64 {
+func (e *engines) minimum(tokens int) float64 {
 	x := float64(tokens)
 	return e.base + e.perToken*x + e.square*x*x
 }
 
 // median returns the median time to first event of a normal replica.
-func (e *engines) median(tokens int) float64 { return e.usual(tokens) * math.Exp(0.67*e.noise) }
+func (e *engines) median(tokens int) float64 { return e.minimum(tokens) * math.Exp(0.67*e.noise) }
 
 // observe feeds n observations, 10 ms apart, with a median prompt of some
 // hundred tokens and at most 50,000.
@@ -36,7 +36,7 @@
 		from += 10 * time.Millisecond
 		tokens := min(int(math.Exp(6.5+1.4*random.NormFloat64())), 50_000)
 		replica := random.IntN(len(e.replicas))
-		took := e.usual(tokens) * math.Exp(e.noise*math.Abs(random.NormFloat64()))
+		took := e.minimum(tokens) * math.Exp(e.noise*math.Abs(random.NormFloat64()))
 		if replica < e.slow {
 			took *= e.times
 		}
@@ -81,8 +81,8 @@
 				}
 				is.True(logError(s.Median(1000), e.median(1000)) < 0.15)
 				is.True(logError(s.Median(30_000), e.median(30_000)) < c.long)
-				most := e.usual(30_000) * math.Exp(1.28*e.noise) // 80% quantile
-				is.True(logError(s.UpperBound(30_000), most) < c.long+0.1)
+				upperBound := e.minimum(30_000) * math.Exp(1.28*e.noise) // 80% quantile
+				is.True(logError(s.UpperBound(30_000), upperBound) < c.long+0.1)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 			at = e.observe(s, at, 10, i)
 		}
 		is.True(logError(s.Median(1000), e.median(1000)) < 0.1)
-		is.True(logError(s.UpperBound(1000), e.usual(1000)*math.Exp(1.28*e.noise)) < 0.25)
+		is.True(logError(s.UpperBound(1000), e.minimum(1000)*math.Exp(1.28*e.noise)) < 0.25)
 		is.True(logError(s.Median(30_000), e.median(30_000)) < 0.2)
 		is.True((s.Factor(wrong) > 1) == (c.took > 100*time.Millisecond))
 	}
@@ -181,20 +181,20 @@
 func TestOneWrongPeerMovesMedianLittle(t *testing.T) {
 	is := is.New(t)
 	var records Records
-	tell := func(origin uint32, perToken time.Duration, age time.Duration) bool {
+	merge := func(origin uint32, perToken time.Duration, age time.Duration) bool {
 		f := DefaultOptions().Prior
 		f.Median.PerToken, f.Count = perToken, 200
 		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: f, Age: age})
 	}
-	is.True(tell(1, 9000, 0))
-	is.True(tell(2, 10_000, time.Second))
-	is.True(tell(3, time.Second, 0))
-	is.True(!tell(4, 100, recordTTL)) // expired
-	is.True(!tell(5, -1, 0))          // invalid
+	is.True(merge(1, 9000, 0))
+	is.True(merge(2, 10_000, time.Second))
+	is.True(merge(3, time.Second, 0))
+	is.True(!merge(4, 100, recordTTL)) // expired
+	is.True(!merge(5, -1, 0))          // invalid
 	known, _ := records.Combined(time.Hour, "llm")
 	is.Equal(known.Median.PerToken, time.Duration(10_000))
 	for origin := range uint32(100) {
-		tell(10+origin, 9000, 0)
+		merge(10+origin, 9000, 0)
 	}
 	is.True(len(records.entries) <= maxOriginsPerService)
 	is.True(len(records.Snapshot(time.Hour)) <= maxRecordsPerMessage)
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -51,13 +51,13 @@
 func NewWindow() *Window { return &Window{sent: make(map[string][]time.Duration)} }
 
 // NextAllowed returns the earliest time, now or later, at which one more request may
-// go to a replica that gets at most most requests in any second.
-func (w *Window) NextAllowed(now time.Duration, replica string, most int) time.Duration {
+// go to a replica that gets at most maxRequests in any second.
+func (w *Window) NextAllowed(now time.Duration, replica string, maxRequests int) time.Duration {
 	sent := w.recent(now, replica)
-	if len(sent) < most {
+	if len(sent) < maxRequests {
 		return now
 	}
-	return sent[len(sent)-most] + windowLength
+	return sent[len(sent)-maxRequests] + windowLength
 }
 
 // Record counts a request sent at now.
@@ -79,10 +79,10 @@
 }
 
 // Quota returns how many requests an instance may send to a warming replica of a plain
-// service in any second, if all instances together may send most. The first instances
-// by rendezvous weight get an equal whole number each, the others none.
-func Quota(self string, instances []string, replica string, most int) int {
-	senders := min(most, len(instances))
+// service in any second, if all instances together may send maxRequests. The first
+// instances by rendezvous weight get an equal whole number each, the others none.
+func Quota(self string, instances []string, replica string, maxRequests int) int {
+	senders := min(maxRequests, len(instances))
 	if senders == 0 {
 		return 0
 	}
@@ -96,5 +96,5 @@
 	if before >= senders || !slices.Contains(instances, self) {
 		return 0
 	}
-	return most / senders
+	return maxRequests / senders
 }
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// most returns the largest number of sends within any second.
-func most(sent []time.Duration) int {
+// maxInAnySecond returns the largest number of sends within any second.
+func maxInAnySecond(sent []time.Duration) int {
 	out := 0
 	for i := range sent {
 		n := 0
@@ -46,7 +46,7 @@
 			w.Record(now, "r")
 			sent = append(sent, now)
 		}
-		if got, allowed := most(sent), carries*l.Overrun+l.Slack; float64(got) > allowed {
+		if got, allowed := maxInAnySecond(sent), carries*l.Overrun+l.Slack; float64(got) > allowed {
 			t.Fatalf("%d in a second where %.1f are allowed", got, allowed)
 		}
 	})
