--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 
 	"quinceroad/coordination/advisory"
-	"quinceroad/coordination/ending"
 	"quinceroad/coordination/health"
 	"quinceroad/coordination/outcome"
 	"quinceroad/coordination/regions"
+	"quinceroad/coordination/sendresult"
 	"quinceroad/platform"
 	"quinceroad/protocol/event"
 	"quinceroad/state/catalog"
@@ -115,28 +115,28 @@
 }
 
 // endingKind classifies how the attempt ended.
-func (a *attempt) endingKind(ctx context.Context, err error) ending.Kind {
+func (a *attempt) endingKind(ctx context.Context, err error) sendresult.Kind {
 	switch {
 	case err == nil && a.exchange.Header.StatusCode() >= http.StatusInternalServerError:
-		return ending.Failed
+		return sendresult.Failed
 	case err == nil:
-		return ending.Succeeded
+		return sendresult.Succeeded
 	case errors.Is(err, errReplicaRefused):
-		return ending.Refused
+		return sendresult.Refused
 	case errors.Is(err, errMissingInputs):
-		return ending.MissingInputs
+		return sendresult.MissingInputs
 	case errors.Is(err, errReplicaFailed):
-		return ending.Failed
+		return sendresult.Failed
 	case errors.Is(err, errReplicaTimeout):
-		return ending.ResponseTimeout
+		return sendresult.ResponseTimeout
 	case errors.Is(err, errClientGone):
-		return ending.ClientGone
+		return sendresult.ClientGone
 	case isDone(ctx):
-		return ending.DeadlineExceeded
+		return sendresult.DeadlineExceeded
 	case errors.Is(err, errReplicaRestarted):
-		return ending.ReplicaRestarted
+		return sendresult.ReplicaRestarted
 	}
-	return ending.ConnectionBroken
+	return sendresult.ConnectionBroken
 }
 
 // finish records how the attempt ended: in the load table, the health detector,
@@ -167,7 +167,7 @@
 	if a.head.Stranger || a.closedAfterRefusal() {
 		n.sawLeaving(a.replica.ID, "answer")
 	}
-	if kind == ending.Refused || kind == ending.MissingInputs {
+	if kind == sendresult.Refused || kind == sendresult.MissingInputs {
 		a.record.MarkNotRun(a.token)
 		delete(a.tried, a.replica.ID)
 	}
@@ -176,15 +176,15 @@
 		a.recordHealth(a.replica.ID, *evidence.Health)
 	}
 	switch evidence.Request {
-	case ending.RequestCleared:
+	case sendresult.RequestCleared:
 		n.answeredWhole(a.fingerprint)
-	case ending.RequestBlamed:
+	case sendresult.RequestBlamed:
 		n.endedUnfinished(a.replica.ID, a.sentAt, a.fingerprint)
-	case ending.RequestProbe:
+	case sendresult.RequestProbe:
 		a.probe = n.brokeOff(&a.replica, a.sentAt, a.fingerprint)
 	}
 	a.tellRollout(kind, suspended, took)
-	if evidence.Request == ending.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
+	if evidence.Request == sendresult.RequestProbe && a.movable() && len(a.tried) < a.route.MaxAttempts {
 		n.awaitLook(ctx, a.probe) // without a further attempt there is nothing to wait for
 	}
 }
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -4,21 +4,21 @@
 	"sync"
 	"time"
 
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
-	"quinceroad/coordination/level"
 	"quinceroad/protocol/event"
 	"quinceroad/protocol/pb"
 	"quinceroad/state/catalog"
 )
 
 // thisLevel is what this build understands.
-const thisLevel = level.Current
+const thisLevel = featurelevel.Current
 
 // fleetLevel is what all instances understand, and what single ones were found
 // not to.
 type fleetLevel struct {
 	mu      sync.Mutex
-	fleet   level.Tracker
+	fleet   featurelevel.Tracker
 	noTurns map[string]uint64 // by name of instances: the life that ended a question for a turn
 }
 
@@ -92,7 +92,7 @@
 	switch {
 	case !isName:
 		return id, true
-	case len(h.News) > 0 && h.News[0].Level >= level.ReplicaIncarnations:
+	case len(h.News) > 0 && h.News[0].Level >= featurelevel.ReplicaIncarnations:
 		return "", false
 	}
 	return life, true
@@ -126,7 +126,7 @@
 // somebody may know these alone.
 func (n *Node) spokenAll(lives []string) []string {
 	w := n.world.Load()
-	if len(lives) == 0 || len(w.lifeByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
+	if len(lives) == 0 || len(w.lifeByName) == 0 || n.level.inForce() >= featurelevel.ReplicaIncarnations {
 		return lives
 	}
 	out := lives
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -20,9 +20,9 @@
 	"quinceroad/cmd/process"
 	"quinceroad/coordination/balancer"
 	"quinceroad/coordination/evacuation"
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
 	"quinceroad/coordination/health"
-	"quinceroad/coordination/level"
 	"quinceroad/coordination/regions"
 	"quinceroad/coordination/shutdown"
 	"quinceroad/platform"
@@ -148,7 +148,7 @@
 		Incarnation:      process.Incarnation(time.Now()),
 		ClientAddress:    s.Front,
 		PeerAddress:      s.Link,
-		Level:            level.Current,
+		Level:            featurelevel.Current,
 		CPUShare:         uint32(s.ProcessorShare * 1000),
 		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.DatagramPort)),
 	}, gossip.DefaultOptions())
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"quinceroad/coordination/ending"
 	"quinceroad/coordination/pipeline"
 	"quinceroad/coordination/rollout"
+	"quinceroad/coordination/sendresult"
 	"quinceroad/state/catalog"
 )
 
@@ -15,7 +15,7 @@
 type rolloutAnswer struct {
 	route   string
 	replica *catalog.Replica
-	says    ending.VersionEvidence
+	says    sendresult.VersionEvidence
 	took    time.Duration // until the answer began
 	lasted  time.Duration // of one that can't go on elsewhere; 0: it can
 }
@@ -27,7 +27,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Rejected || a.says == ending.VersionNone || a.says == ending.VersionAnswer && a.replica.WarmingUntil > n.now() {
+	if !ok || s.Phase >= rollout.Rejected || a.says == sendresult.VersionNone || a.says == sendresult.VersionAnswer && a.replica.WarmingUntil > n.now() {
 		return
 	}
 	own := &r.seen(s.Revision).own
@@ -45,21 +45,21 @@
 		t = &rollout.Tally{}
 		own.Rows[k] = t
 	}
-	if a.says == ending.VersionReplicaEnd {
+	if a.says == sendresult.VersionReplicaEnd {
 		t.AddReplicaEnd()
 		return
 	}
-	t.Add(a.took, a.says == ending.VersionFailure)
+	t.Add(a.took, a.says == sendresult.VersionFailure)
 }
 
 // countAnswered counts for operators what became of a request at the new version.
-func (n *Node) countAnswered(s *rollout.OrderState, says ending.VersionEvidence) {
-	if says == ending.VersionReplicaEnd {
+func (n *Node) countAnswered(s *rollout.OrderState, says sendresult.VersionEvidence) {
+	if says == sendresult.VersionReplicaEnd {
 		n.rolloutCounter(s.Service, s.Target, "ended").Inc(1)
 		return
 	}
 	n.rolloutCounter(s.Service, s.Target, "answers").Inc(1)
-	if says == ending.VersionFailure {
+	if says == sendresult.VersionFailure {
 		n.rolloutCounter(s.Service, s.Target, "failed").Inc(1)
 	}
 }
@@ -73,7 +73,7 @@
 // tellRollout counts how the attempt went in its service's roll-out. Of one that
 // broke off it is only known once its replica was looked at whether the replica
 // had ended.
-func (a *attempt) tellRollout(way ending.Kind, suspended bool, took time.Duration) {
+func (a *attempt) tellRollout(way sendresult.Kind, suspended bool, took time.Duration) {
 	n := a.node
 	if !n.rollouts.ordered(a.service.Name) {
 		return
@@ -85,14 +85,14 @@
 	if a.answerBegan != 0 {
 		out.took = a.answerBegan - a.sentAt
 	}
-	if way != ending.ConnectionBroken {
+	if way != sendresult.ConnectionBroken {
 		n.answered(out)
 		return
 	}
 	l := a.probe
 	go func() {
 		if n.awaitLook(context.Background(), l) {
-			out.says = ending.ReplicaCrashed.Evidence().Version
+			out.says = sendresult.ReplicaCrashed.Evidence().Version
 		}
 		n.answered(out)
 	}()
@@ -117,28 +117,28 @@
 }
 
 // tellRolloutCall counts how a call of pieces went in its pool's roll-out.
-func (n *Node) tellRolloutCall(r *catalog.Replica, way ending.Kind, suspended bool, took time.Duration) {
+func (n *Node) tellRolloutCall(r *catalog.Replica, way sendresult.Kind, suspended bool, took time.Duration) {
 	n.answered(&rolloutAnswer{replica: r, says: way.ForVersion(suspended), took: took})
 }
 
 // wayOf tells how a call of pieces ended.
-func wayOf(fate pipeline.Outcome, results []pipeline.Result) ending.Kind {
+func wayOf(fate pipeline.Outcome, results []pipeline.Result) sendresult.Kind {
 	switch fate {
 	case pipeline.Answered:
 		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.ItemFailed }) {
-			return ending.Failed
+			return sendresult.Failed
 		}
-		return ending.Succeeded
+		return sendresult.Succeeded
 	case pipeline.Refused:
-		return ending.Refused
+		return sendresult.Refused
 	case pipeline.WrongReplica:
-		return ending.WrongReplica
+		return sendresult.WrongReplica
 	case pipeline.Unreachable:
-		return ending.Unreachable
+		return sendresult.Unreachable
 	case pipeline.Broken:
-		return ending.ConnectionBroken
+		return sendresult.ConnectionBroken
 	case pipeline.Crashed: // also where its end was told before the connection broke
-		return ending.ReplicaCrashed
+		return sendresult.ReplicaCrashed
 	}
-	return ending.ResponseTimeout
+	return sendresult.ResponseTimeout
 }
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -8,8 +8,8 @@
 
 	"quinceroad/cmd/process"
 	"quinceroad/coordination/advisory"
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
-	"quinceroad/coordination/level"
 	"quinceroad/coordination/pipeline"
 	"quinceroad/coordination/shares"
 	"quinceroad/coordination/speed"
@@ -136,7 +136,7 @@
 	s.Limited = n.limitedStates(w)
 	s.Leaving = append(s.Leaving, n.recentlyLeaving(mostLeavingTold)...)
 	s.FleetLevel = n.level.inForce()
-	s.Waiting = level.PendingFeatures(s.FleetLevel)
+	s.Waiting = featurelevel.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
 	s.Emptied = n.emptied.Halls()
 	n.followMu.Unlock()
--- a/coordination/level/level.go
+++ b/coordination/featurelevel/featurelevel.go
@@ -1,4 +1,4 @@
-// Package level negotiates the feature level that all live instances support while
+// Package featurelevel negotiates the feature level that all live instances support while
 // instances of several builds run together, as during an upgrade.
 //
 // Each instance announces the level of its build. A feature that older builds would
@@ -8,7 +8,7 @@
 // messages.
 //
 // The package does no I/O and reads no clock.
-package level
+package featurelevel
 
 import (
 	"slices"
--- a/coordination/level/level_test.go
+++ b/coordination/featurelevel/featurelevel_test.go
@@ -1,4 +1,4 @@
-package level
+package featurelevel
 
 import (
 	"slices"
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -35,7 +35,7 @@
 	CPUShare         uint32   `json:"Share"`      // share of a processor, in thousandths
 	IsReader         bool     `json:"Reads"`      // watches the store on behalf of its hall
 	StoreUnreachable bool     `json:"Blind"`      // its last attempt to reach the store failed
-	Level            uint32   // feature level of its build, see package level; 0: not announced
+	Level            uint32   // feature level of its build, see package featurelevel; 0: not announced
 
 	HeartbeatAge time.Duration `json:"Age"` // in messages: time since the counter last increased, as seen by the sender
 }
--- a/coordination/ending/ending.go
+++ b/coordination/sendresult/sendresult.go
@@ -1,11 +1,11 @@
-// Package ending classifies how an attempt at a replica ended, and what each kind of
-// end is evidence of: for the replica's health, for its version in a rollout, and for
-// the request.
+// Package sendresult classifies how an attempt to send a request to a replica ended, and
+// what each kind of end is evidence of: for the replica's health, for its version in a
+// rollout, and for the request.
 //
 // The classification depends on who ended the attempt. An attempt ended by this
 // instance, the client, a broken connection or the end of the replica's incarnation
 // has no answer of the replica and must not be treated as one.
-package ending
+package sendresult
 
 import "quinceroad/coordination/health"
 
--- a/coordination/ending/ending_test.go
+++ b/coordination/sendresult/sendresult_test.go
@@ -1,4 +1,4 @@
-package ending
+package sendresult
 
 import (
 	"testing"
