--- a/coordination/advisory/advisory.go
+++ b/coordination/advisory/advisory.go
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// Options are the constants of a Tracker.
+// Options are the settings of a Tracker.
 type Options struct {
-	RampAnswers       int           // answers after a backoff that lift the request limit; as each answer raises the limit by one, a replica has had about ten requests by then
-	RampInterval      time.Duration // time after the last request at which one more may follow although none was answered, so that long answers don't leave a replica idle
+	RampAnswers       int           // number of answers after a backoff at which the request limit ends; each answer raises it by one, so a replica has had about ten requests by then
+	RampInterval      time.Duration // time after the last request at which one more may be sent although none was answered, so that long answers don't leave a replica idle
 	UnlistedRetention time.Duration // how long an incarnation is kept that neither this instance nor any peer that announces it lists; entries that expire while the store is unavailable reappear within seconds of its return
 	MaxUnlisted       int           // incarnations kept that are not listed; bounds memory against a peer that announces many
 }
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -32,16 +32,16 @@
 	s.stateAt[s.revision] = slices.Sorted(maps.Keys(s.drained))
 }
 
-func (s *store) write(hall string, gone bool) {
+func (s *store) write(hall string, returned bool) {
 	s.change(func() {
-		if gone && !s.drained[hall] {
+		if returned && !s.drained[hall] {
 			return
 		}
 		s.drained[hall] = true
-		if gone {
+		if returned {
 			delete(s.drained, hall)
 		}
-		s.history = append(s.history, Entry{Hall: hall, Revision: s.revision, Deleted: gone})
+		s.history = append(s.history, Entry{Hall: hall, Revision: s.revision, Deleted: returned})
 	})
 }
 
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -80,7 +80,7 @@
 	key           uint32
 }
 
-// Options are the parameters of a view.
+// Options are the settings of a View.
 type Options struct {
 	FailureTimeout      time.Duration // time without a heartbeat after which an instance is considered dead, in a small fleet
 	TimeoutPerInstance  time.Duration // added for each instance beyond SmallFleetSize, as each counter then arrives less often
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -41,7 +41,7 @@
 	MaxBackoff        time.Duration // longest ejection for a backoff that a replica asked for. It asked one instance; for the others this is only a hint
 }
 
-// DefaultOptions returns the settings used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		BaseEjection:      400 * time.Millisecond,
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options bound the memory of a ledger.
+// Options are the settings of a Ledger; they bound its memory.
 type Options struct {
 	Horizon    time.Duration // time that numbers of a prefix may start
 	Grace      time.Duration // additional time that answers are kept for retries
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -159,20 +159,20 @@
 // Tick declares suspects dead that have not refuted in time and removes members that
 // have been dead for ForgetAfter. It returns the members that it declared dead.
 func (v *View) Tick(now time.Duration) []Member {
-	var died []Member
+	var dead []Member
 	for name, r := range v.rows {
 		switch {
 		case r.State == Suspect && now-r.stateSince > v.opts.SuspectTimeout:
 			next := &row{Member: r.Member, stateSince: now}
 			next.State = Dead
 			v.set(next)
-			died = append(died, next.Member)
+			dead = append(dead, next.Member)
 		case r.State == Dead && now-r.stateSince > v.opts.ForgetAfter:
 			v.digest ^= r.hash()
 			delete(v.rows, name)
 		}
 	}
-	return died
+	return dead
 }
 
 // set replaces the member's row and updates the digest and the ring. Its cost grows
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -109,21 +109,21 @@
 	for i := range all {
 		all[i] = member(fmt.Sprintf("m%03d", i), 1)
 	}
-	partners := make(map[string][]string)
+	targets := make(map[string][]string)
 	for _, self := range all {
 		v := New(self)
 		for _, m := range all {
 			v.Merge(0, m)
 		}
-		partners[self.Name] = v.HeartbeatTargets()
-		is.Equal(len(partners[self.Name]), 9) // ceil(log2(390))
+		targets[self.Name] = v.HeartbeatTargets()
+		is.Equal(len(targets[self.Name]), 9) // ceil(log2(390))
 	}
 	reached, front := map[string]bool{"m000": true}, []string{"m000"}
 	hops := 0
 	for ; len(reached) < n; hops++ {
 		var next []string
 		for _, f := range front {
-			for _, p := range partners[f] {
+			for _, p := range targets[f] {
 				if !reached[p] {
 					reached[p] = true
 					next = append(next, p)
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are the timeouts of a view.
+// Options are the timeouts of a View.
 type Options struct {
 	SuspectTimeout time.Duration // time that a suspect has to refute
 	ForgetAfter    time.Duration // time that dead members are kept; must exceed the longest partition
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -5,9 +5,9 @@
 // limited replica therefore has one grantor, an instance that all others select by the
 // same rule, and a sender obtains a grant from it before each request. Grants are
 // spaced evenly (generic cell rate algorithm); unused grants accumulate for
-// Options.Burst only. A new grantor doesn't
-// know what its predecessor granted, so it starts as if it had just issued a grant. An
-// instance that can't reach the grantor uses its own fraction of the limit.
+// Options.Burst only. A new grantor doesn't know what its predecessor granted, so it
+// starts as if it had just issued a grant. An instance that can't reach the grantor
+// uses its own fraction of the limit.
 //
 // A limit holds until the replica answers without it, whichever instance receives that
 // answer. Among several reports on an incarnation the newest wins, compared by age
@@ -24,9 +24,9 @@
 	"time"
 )
 
-// Options are the constants of a Tracker.
+// Options are the settings of a Tracker.
 type Options struct {
-	Burst             time.Duration // how long before it is due a grant may be issued; bounds the unused grants that accumulate
+	Burst             time.Duration // time by which a grant may be issued before it is due; bounds the unused grants that accumulate
 	MaxInterval       time.Duration // longest time between two grants: only an answer can tell that a limit has been removed, so a replica with a limit of 0 still gets requests
 	RemovedRetention  time.Duration // how long a removed limit is remembered, so that an older report doesn't restore it
 	UnlistedRetention time.Duration // how long the limit of an unlisted incarnation is kept; entries that expire while the store is unavailable reappear within seconds of its return
--- a/coordination/pace/queue.go
+++ b/coordination/pace/queue.go
@@ -17,12 +17,13 @@
 	Limited   bool          // all replicas have limits; otherwise no request has to wait
 }
 
-// Add adds a replica; first marks the first one added.
-func (s Supply) Add(first bool, free, interval time.Duration) Supply {
+// Add adds a replica with its next grant and the interval of its grants; first is true for
+// the first replica.
+func (s Supply) Add(first bool, nextGrant, interval time.Duration) Supply {
 	if first {
-		return Supply{Next: free, PerSecond: perSecond(interval), Limited: interval > 0}
+		return Supply{Next: nextGrant, PerSecond: perSecond(interval), Limited: interval > 0}
 	}
-	s.Next = min(s.Next, free)
+	s.Next = min(s.Next, nextGrant)
 	s.PerSecond += perSecond(interval)
 	s.Limited = s.Limited && interval > 0
 	return s
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// dispatch sends a call to each idle replica while items wait that it may run. The last idle
-// replica only gets urgent items or a batch that is at least LastReplicaFill full.
+// dispatch sends calls to idle replicas while there are waiting items that they may run. The
+// last idle replica only gets urgent items or a batch that is at least LastReplicaFill full.
 func (s *Scheduler) dispatch(now time.Duration, p *pool) {
 	if len(p.ready) == 0 {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-// recordResult takes the result of one item of an answered call.
+// recordResult records the result of one item of an answered call.
 func (s *Scheduler) recordResult(now time.Duration, c *call, x *stageItem, res Result) {
 	j := x.stage.job
 	wanted := s.jobs[j.id] == j && x.state != done && !x.stage.freed
@@ -321,7 +321,8 @@
 	}
 }
 
-// retryOverdueCalls also queues the items of calls that take far too long for other replicas.
+// retryOverdueCalls queues the items of overdue calls again, so that other replicas run them
+// concurrently (hedging).
 func (s *Scheduler) retryOverdueCalls(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.calls)) {
 		c := s.calls[id]
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -348,7 +348,7 @@
 
 // overloads returns loads in which all customers send more at the same time.
 func overloads() map[string]floodLoad {
-	everybody := func(customers int, times float64, kind string, from, to time.Duration) []flood {
+	allCustomers := func(customers int, times float64, kind string, from, to time.Duration) []flood {
 		var out []flood
 		for c := range customers {
 			out = append(out, flood{customer: c, factor: times, kind: kind, from: from, to: to})
@@ -356,10 +356,10 @@
 		return out
 	}
 	return map[string]floodLoad{
-		"5, all kinds 3 times":        {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: everybody(5, 3, "", 5*time.Second, 10*time.Second)},
-		"5, the urgent kind 4 times":  {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: everybody(5, 4, "urgent", 5*time.Second, 10*time.Second)},
-		"5, the patient kind 6 times": {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: everybody(5, 6, "patient", 5*time.Second, 10*time.Second)},
-		"40, all kinds 3 times":       {customers: 40, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: everybody(40, 3, "", 5*time.Second, 10*time.Second)},
+		"5, all kinds 3 times":        {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: allCustomers(5, 3, "", 5*time.Second, 10*time.Second)},
+		"5, the urgent kind 4 times":  {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: allCustomers(5, 4, "urgent", 5*time.Second, 10*time.Second)},
+		"5, the patient kind 6 times": {customers: 5, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: allCustomers(5, 6, "patient", 5*time.Second, 10*time.Second)},
+		"40, all kinds 3 times":       {customers: 40, skew: 1, replicas: 6, scale: 1.2, seed: 1, floods: allCustomers(40, 3, "", 5*time.Second, 10*time.Second)},
 		"just as much as there is":    {customers: 5, skew: 1, replicas: 6, scale: 2, seed: 1},
 	}
 }
@@ -371,14 +371,14 @@
 
 // worth returns the worth of the answers as a share of the most that was possible.
 func (o tallies) worth() float64 {
-	earned, owed := 0.0, 0.0
+	earned, possible := 0.0, 0.0
 	for _, kinds := range o {
 		for name, c := range kinds {
 			earned += kindWorth[name] * (float64(c.inTime) + lateWorth*float64(c.late))
-			owed += kindWorth[name] * float64(c.asked)
+			possible += kindWorth[name] * float64(c.asked)
 		}
 	}
-	return earned / owed
+	return earned / possible
 }
 
 // maxShareCost is how much worth fair shares may cost if no customer floods, compared with the
@@ -421,9 +421,9 @@
 func TestFloodSlowsOnlyItsCustomer(t *testing.T) {
 	for name, l := range singleFloods() {
 		t.Run(name, func(t *testing.T) {
-			calm := l
-			calm.floods = nil
-			before, with := calm.simulate(), l.simulate()
+			withoutFlood := l
+			withoutFlood.floods = nil
+			before, with := withoutFlood.simulate(), l.simulate()
 			for _, k := range kinds() {
 				was, is := before.others(&l, k.name), with.others(&l, k.name)
 				t.Logf("%s: %d asked, in time %.3f without the flood, %.3f with it (%d late, %d refused)", k.name, is.asked, was.inTimeShare(), is.inTimeShare(), is.late, is.refused)
--- a/coordination/pipeline/memory.go
+++ b/coordination/pipeline/memory.go
@@ -17,8 +17,8 @@
 
 const (
 	holdTimeWeight    = 0.1                   // weight of a new sample; about the last ten count
-	intermediatePart  = 0.1                   // share of a pool's memory kept free of results that requests read, for results that later stages read
-	upstreamBuffer    = 2.0                   // multiple of the bytes read while a job's first stages run that may be reserved in addition, so that no replica lacks items
+	intermediatePart  = 0.1                   // share of a pool's memory reserved for results that later stages read
+	upstreamBuffer    = 2.0                   // memory that may be reserved beyond the capacity, as a multiple of the bytes that are read while a job's first stages run; keeps every replica supplied with items
 	arrivalDeviations = 2.0                   // standard deviations of the memory that more urgent jobs take while a job waits
 	memoryWaitPart    = 0.4                   // share of its slack that a job may be expected to wait for memory; the rest is for arrivals and for queues of its stages
 	memoryStep        = 50 * time.Millisecond // time step of a memory forecast
@@ -59,8 +59,8 @@
 	}
 }
 
-// limit returns how many bytes started jobs may reserve: what fits into memory, plus what is
-// still upstream while as much is read.
+// limit returns how many bytes started jobs may reserve: what fits into memory, plus what jobs
+// in earlier stages will need only after as much has been read.
 func (u *memoryUse) limit() float64 {
 	return u.capacity*(1-intermediatePart) + u.freeRate()*u.upstreamTime.Seconds()*upstreamBuffer
 }
--- a/coordination/pipeline/options.go
+++ b/coordination/pipeline/options.go
@@ -7,14 +7,14 @@
 	"quinceroad/coordination/warmup"
 )
 
-// Options are the parameters of a Scheduler.
+// Options are the settings of a Scheduler.
 type Options struct {
 	ObjectiveMargin      float64       // share of the objective that a new job may be expected to take
 	LateWorth            float64       // worth of a late answer, with 1 for one in time; from the settings
 	RetryWorth           float64       // worth of an answer that is in time after a refusal; below 1 because its caller waited in vain once
 	ServedWorth          float64       // extra worth of any answer, in time or late; from the settings
 	DeadlineMargin       float64       // share of the deadline that a retried or late job may be expected to take; the engine needs the rest
-	RetryObjectiveFactor float64       // also limits a retried job to this multiple of its objective if late jobs are not admitted; one that ends much later is given up on the way
+	RetryObjectiveFactor float64       // also limits a retried job to this multiple of its objective if late jobs are not admitted; one that takes much longer is given up before it ends
 	LateGrace            float64       // share of the objective for which a late job continues
 	OverdueFactor        float64       // multiple of the expected time after which a call is overdue; above the usual variation of calls
 	OverdueSlack         time.Duration // added to OverdueFactor times the expected time
@@ -29,11 +29,11 @@
 	DefaultRetryAfter    time.Duration // for jobs whose pools are unknown or have no replicas, and for jobs that were given up
 	WarmUpLimit          warmup.Limit  // for calls to warming replicas
 	SendGrants           pace.Limiter  // nil: rate limits of replicas are ignored
-	MaxSuspectsPerCall   int           // jobs under which one replica has ended that may share a call; about the square root of the jobs in a full call
+	MaxSuspectsPerCall   int           // jobs during which one replica has ended that may share a call; about the square root of the jobs in a full call
 	MinRetryAfter        time.Duration // lower bound for the retry time of a refused job
 }
 
-// Option changes Options.
+// Option sets some of the Options.
 type Option func(*Options)
 
 func newOptions(opts []Option) Options {
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -492,9 +492,9 @@
 		j.Rank = 2
 		return h.submit(j)
 	}
-	quiet, busy := decideWithUrgent(0), decideWithUrgent(200*ms)
-	is.True(quiet.Admitted)
-	is.True(busy.Expected > quiet.Expected*3/2)
+	without, with := decideWithUrgent(0), decideWithUrgent(200*ms)
+	is.True(without.Admitted)
+	is.True(with.Expected > without.Expected*3/2)
 }
 
 // A large result that only the request reads used to occupy its replica's memory for more than
@@ -672,13 +672,13 @@
 	h.submitSteadily(200, 14*ms) // 71 items a second of 114 in full calls
 	least := newTestJob("least", 2)
 	least.Rank, least.Objective = 5, 700*ms
-	came := h.now
+	submittedAt := h.now
 	v := h.step(least, 14*ms)
 	is.True(v.Admitted)
 	for i := 0; h.delivered[v.ID] == nil && i < 100; i++ {
 		h.step(newTestJob(fmt.Sprint("more", i), 1), 14*ms)
 	}
-	took := h.now - came
+	took := h.now - submittedAt
 	is.True(took <= least.Objective)
 	is.True((took - v.Expected).Abs() < 200*ms) // less than a call
 }
--- a/coordination/placement/options.go
+++ b/coordination/placement/options.go
@@ -26,7 +26,7 @@
 	HighOccupancyCost    float64
 }
 
-// DefaultOptions returns the production values.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		FirstEventSecondCost: 0.15,
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -42,7 +42,7 @@
 
 // Options are the settings of a Tracker.
 type Options struct {
-	QuarantineAt         int           // number of replicas ended under a request from which it is quarantined
+	QuarantineAt         int           // number of replicas ended while running a request from which it is quarantined
 	MaxEndDelay          time.Duration // maximum time between a broken answer and the replica's end
 	SuccessTTL           time.Duration // time for which a complete answer clears all attempts of a request, whichever replicas end
 	SuspectTTL           time.Duration // time without changes after which a suspect expires
@@ -55,7 +55,7 @@
 	RepeatsPerMessage    int           // further quarantined cases in a message, round-robin, for instances that were suspended or partitioned
 }
 
-// DefaultOptions returns the settings used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		// The most that the requirements allow. With two, a request that ran concurrently
--- a/coordination/regions/regions.go
+++ b/coordination/regions/regions.go
@@ -19,6 +19,7 @@
 	Remote
 )
 
+// String returns the distance's name for logs.
 func (d Distance) String() string {
 	switch d {
 	case SameHall:
--- a/coordination/rollout/ends_test.go
+++ b/coordination/rollout/ends_test.go
@@ -57,9 +57,9 @@
 // Replicas restart with their machine, by a power loss in their hall, or because
 // requests crash them. An outage that interrupts many requests at once counts as one
 // bad answer; a version whose replicas end whenever they get requests is harmful.
-func TestEndsOfReplicasUnderRequests(t *testing.T) {
+func TestEndsOfReplicasDuringRequests(t *testing.T) {
 	cases := map[string]struct {
-		play func(e *restartingVersion)
+		run  func(e *restartingVersion)
 		want Verdict
 	}{
 		"none": {func(*restartingVersion) {}, Good},
@@ -114,7 +114,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			e := newRestartingVersion()
-			c.play(e)
+			c.run(e)
 			got := e.advance(time.Second)
 			t.Logf("%+v", got.Ends)
 			is.New(t).Equal(got.Verdict.String(), c.want.String())
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -40,7 +40,7 @@
 	Against      float64       // score over all routes together
 	Reason       string        `json:"Why"`
 	Routes       []Finding
-	Ends         Finding // ends of replicas under requests, counted like answers
+	Ends         Finding // ends of replicas during requests, counted like answers
 }
 
 // Judge compares the new version with the old one for the duration of an order.
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -34,7 +34,7 @@
 	due            int
 	callUntil      int // tick until which a call to the store is in progress
 	readStatus     *Status
-	lastHeard      map[string]int
+	lastReceived   map[string]int
 	cutOffUntil    int // tick until which it is partitioned from the others and the store
 	suspendedUntil int // tick until which it is suspended
 	lastFault      int // tick of its last fault
@@ -42,7 +42,7 @@
 
 func (i *instance) restart(start float64) {
 	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), ledger: NewTrafficSplitter(start), reports: NewReports(), judge: NewJudge(),
-		own: Report{Rows: make(map[RowKey]*Tally)}, lastHeard: make(map[string]int), cutOffUntil: i.cutOffUntil}
+		own: Report{Rows: make(map[RowKey]*Tally)}, lastReceived: make(map[string]int), cutOffUntil: i.cutOffUntil}
 }
 
 // message is a message in flight.
@@ -221,7 +221,7 @@
 		default:
 			i.view.Merge(f.time(), m.update)
 			i.reports.Merge(f.instances[m.from].name, m.incarnation, m.report)
-			i.lastHeard[f.instances[m.from].name] = f.now
+			i.lastReceived[f.instances[m.from].name] = f.now
 		}
 	}
 	f.messages = left
@@ -236,27 +236,27 @@
 	if i.readStatus != nil {
 		i.status, i.readStatus, i.due = *i.readStatus, nil, f.now
 	}
-	facts := &Inputs{Order: s, Status: i.status, Configured: true, NewReady: 2, OldReady: 2, Slack: 50}
+	inputs := &Inputs{Order: s, Status: i.status, Configured: true, NewReady: 2, OldReady: 2, Slack: 50}
 	i.reports.Merge(i.name, i.incarnation, f.report(i))
 	rank := 0
 	for m, other := range f.instances {
-		if m == n || f.now-i.lastHeard[other.name] > aliveTicks {
+		if m == n || f.now-i.lastReceived[other.name] > aliveTicks {
 			continue
 		}
 		if m < n {
 			rank++
 		}
 		if rep, known := i.reports.Latest(other.name, other.incarnation); !known || !rep.FullyShifted {
-			facts.Lagging++
+			inputs.Lagging++
 		}
 	}
 	if !s.IsFullyShifted(f.time()) {
-		facts.Lagging++
+		inputs.Lagging++
 	}
 	rows, sent, _ := i.reports.Sums()
-	facts.Sent = sent
-	facts.Judgement = i.judge.Observe(f.time(), rows, s.Phase == Promoted)
-	step := Decide(f.time(), facts)
+	inputs.Sent = sent
+	inputs.Judgement = i.judge.Observe(f.time(), rows, s.Phase == Promoted)
+	step := Decide(f.time(), inputs)
 	if rank >= 3 {
 		return
 	}
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -17,7 +17,7 @@
 // Policies are the names allowed in a declaration.
 var Policies = []string{string(Exact), string(Local), string(RoundRobin), string(LeastInflight)}
 
-// Options are a scheduler's settings.
+// Options are the settings of a Scheduler.
 type Options struct {
 	Policy          Policy
 	ShedSlackFactor float64       // drop a queued task once slack < ShedSlackFactor x expected time; 0: never
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -45,7 +45,7 @@
 	Share    float64 // units of that resource per second that the customer may use
 }
 
-// Options are the constants of an Allocator.
+// Options are the settings of an Allocator.
 type Options struct {
 	DemandWindow       time.Duration // averaging window of demand
 	UsageWindow        time.Duration // averaging window of usage
--- a/coordination/speed/fit.go
+++ b/coordination/speed/fit.go
@@ -50,16 +50,16 @@
 }
 
 const (
-	minWeight   = 1e-3 // of an old observation: better than none of its size
-	longestRank = 3    // prompts must be at least this long to count as observed, as a single one may be a wrong measurement
+	minWeight   = 1e-3 // of an old observation, which is better than none of its size
+	longestRank = 3    // number of observations that must reach a prompt length for it to count as observed, as a single one may be a wrong measurement
 )
 
 // longest returns the prompt length that at least longestRank observations
 // reach.
 func (s *sizeWindows) longest() int {
 	var top []float64
-	for _, kept := range slices.Backward(s.samples[:]) {
-		for _, p := range kept {
+	for _, window := range slices.Backward(s.samples[:]) {
+		for _, p := range window {
 			top = append(top, p.x)
 		}
 		if len(top) >= longestRank {
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Options are the constants of the estimator.
+// Options are the settings of a ServiceEstimator.
 type Options struct {
 	Prior              Estimate      // estimate without observations: no configuration states the engines' speed
 	MinObservations    int           // observations after which the prior no longer counts
@@ -43,7 +43,7 @@
 	}
 }
 
-// DefaultOptions returns the production values.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		Prior:              Prior(31 * time.Microsecond),
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -29,16 +29,16 @@
 func TestNoSecondExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Overrun: rapid.Float64Range(1.2, 3).Draw(t, "overrun"), Slack: rapid.Float64Range(2, 20).Draw(t, "slack")}
-		carries := rapid.Float64Range(0.5, 200).Draw(t, "carries")
+		rate := rapid.Float64Range(0.5, 200).Draw(t, "carries")
 		owners := []*Window{NewWindow(), NewWindow()}
 		now := time.Duration(0)
 		var sent []time.Duration
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond
 			w := rapid.SampledFrom(owners).Draw(t, "owner")
-			free := w.NextAllowed(now, "r", l.MaxPerSender(carries))
+			free := w.NextAllowed(now, "r", l.MaxPerSender(rate))
 			if free > now {
-				if w.NextAllowed(free, "r", l.MaxPerSender(carries)) > free {
+				if w.NextAllowed(free, "r", l.MaxPerSender(rate)) > free {
 					t.Fatalf("not free at %v, when it said that it would be", free)
 				}
 				continue
@@ -46,7 +46,7 @@
 			w.Record(now, "r")
 			sent = append(sent, now)
 		}
-		if got, allowed := maxInAnySecond(sent), carries*l.Overrun+l.Slack; float64(got) > allowed {
+		if got, allowed := maxInAnySecond(sent), rate*l.Overrun+l.Slack; float64(got) > allowed {
 			t.Fatalf("%d in a second where %.1f are allowed", got, allowed)
 		}
 	})
@@ -57,14 +57,14 @@
 func TestQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Overrun: 1.5, Slack: 5}
-		carries := rapid.Float64Range(0.5, 200).Draw(t, "carries")
+		rate := rapid.Float64Range(0.5, 200).Draw(t, "carries")
 		n := rapid.IntRange(1, 100).Draw(t, "instances")
 		var names []string
 		for i := range n {
 			names = append(names, fmt.Sprint("i", i))
 		}
 		others := names[rapid.IntRange(0, n/2).Draw(t, "lost"):]
-		all := l.MaxPerSender(carries)
+		all := l.MaxPerSender(rate)
 		sum, either := 0, 0
 		for _, name := range names {
 			q := Quota(name, names, "r", all)
@@ -74,8 +74,8 @@
 		if sum > all || sum < all/2 || sum == 0 {
 			t.Fatalf("%d of %d are given out", sum, all)
 		}
-		if float64(either) > carries*l.Overrun+l.Slack {
-			t.Fatalf("%d where %.1f are allowed", either, carries*l.Overrun+l.Slack)
+		if float64(either) > rate*l.Overrun+l.Slack {
+			t.Fatalf("%d where %.1f are allowed", either, rate*l.Overrun+l.Slack)
 		}
 	})
 }
