--- a/coordination/rollout/ends.go
+++ b/coordination/rollout/ends.go
@@ -86,10 +86,10 @@
 	e.updateScore(0, 1)
 }
 
-func (e *endMonitor) updateScore(good, waves int) {
-	step := float64(waves)*math.Log(harmfulEndRate/allowedEndRate) + float64(good)*math.Log((1-harmfulEndRate)/(1-allowedEndRate))
-	e.score.New += good + waves
-	e.score.NewBad += waves
+func (e *endMonitor) updateScore(good, bursts int) {
+	step := float64(bursts)*math.Log(harmfulEndRate/allowedEndRate) + float64(good)*math.Log((1-harmfulEndRate)/(1-allowedEndRate))
+	e.score.New += good + bursts
+	e.score.NewBad += bursts
 	e.score.Against = max(e.score.Against+step, 0)
 	e.score.GrantedRate = allowedEndRate
 }
