--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -34,7 +34,7 @@
 }
 
 func newAdvisories() *advisories {
-	return &advisories{tracker: advisory.New(advisory.Standard()), deferredFrees: make(map[string]*pipeline.Free), unknownFields: advisory.NewUnknownFields(), rateLimits: pace.New(pace.Standard()), retrySchedule: pace.NewRetrySchedule(), wasEmpty: true, hadNoLimits: true}
+	return &advisories{tracker: advisory.New(advisory.DefaultOptions()), deferredFrees: make(map[string]*pipeline.Free), unknownFields: advisory.NewUnknownFields(), rateLimits: pace.New(pace.DefaultOptions()), retrySchedule: pace.NewRetrySchedule(), wasEmpty: true, hadNoLimits: true}
 }
 
 // withTracker runs f on the tracker of advisories.
@@ -174,7 +174,7 @@
 		}
 	}
 	s.withTracker(func(t *advisory.Tracker) {
-		changes = t.Sweep(now, func(incarnation string) bool { return listed[incarnation] != "" })
+		changes = t.Expire(now, func(incarnation string) bool { return listed[incarnation] != "" })
 		for _, incarnation := range t.Draining() {
 			count(draining, incarnation)
 		}
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -4,21 +4,21 @@
 	"sync"
 	"time"
 
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
-	"quinceroad/coordination/level"
 	"quinceroad/protocol/event"
 	"quinceroad/protocol/pb"
 	"quinceroad/state/catalog"
 )
 
 // buildLevel is the feature level of this build.
-const buildLevel = level.Current
+const buildLevel = featurelevel.Current
 
 // fleetLevel tracks the feature level that all instances support, and the features that
 // single instances were found to lack.
 type fleetLevel struct {
 	mu            sync.Mutex
-	tracker       level.Tracker
+	tracker       featurelevel.Tracker
 	noTrialLeases map[string]uint64 // by instance name: the incarnation that ended the stream when it was asked for a trial lease
 }
 
@@ -93,7 +93,7 @@
 	switch {
 	case !isName:
 		return id, true
-	case len(h.News) > 0 && h.News[0].Level >= level.ReplicaIncarnations:
+	case len(h.News) > 0 && h.News[0].Level >= featurelevel.ReplicaIncarnations:
 		return "", false
 	}
 	return incarnation, true
@@ -128,7 +128,7 @@
 // incarnations, followed by the replica names while some instance may know only these.
 func (n *Node) announcedReplicaIDs(incarnations []string) []string {
 	w := n.world.Load()
-	if len(incarnations) == 0 || len(w.incarnationByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
+	if len(incarnations) == 0 || len(w.incarnationByName) == 0 || n.level.inForce() >= featurelevel.ReplicaIncarnations {
 		return incarnations
 	}
 	out := incarnations
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -21,9 +21,9 @@
 	"quinceroad/cmd/process"
 	"quinceroad/coordination/balancer"
 	"quinceroad/coordination/evacuation"
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
 	"quinceroad/coordination/health"
-	"quinceroad/coordination/level"
 	"quinceroad/coordination/regions"
 	"quinceroad/coordination/shutdown"
 	"quinceroad/platform"
@@ -86,7 +86,7 @@
 
 	detectorMu sync.Mutex
 	detector   *health.Detector
-	loads      *balancer.Table
+	loads      *balancer.Balancer
 	rates      map[string]*serviceRates
 	spillover  regionTrackers
 	deadlines  longestDeadlines
@@ -132,7 +132,7 @@
 		storeMonitor:   newStoreMonitor(),
 		jitter:         jitterOf(s.Name),
 		detector:       health.New(health.DefaultOptions()),
-		loads:          balancer.NewTable(),
+		loads:          balancer.New(),
 		rates:          make(map[string]*serviceRates),
 		deadlines:      make(longestDeadlines),
 		spillover:      newRegionTrackers(),
@@ -149,7 +149,7 @@
 		Incarnation:      process.Incarnation(time.Now()),
 		ClientAddress:    s.ClientAddress,
 		PeerAddress:      s.PeerAddress,
-		Level:            level.Current,
+		Level:            featurelevel.Current,
 		CPUShare:         uint32(s.CPUShare * 1000),
 		HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.HeartbeatPort)),
 	}, gossip.DefaultOptions())
@@ -270,7 +270,7 @@
 		n.links.Sweep(time.Now())
 		n.detectorMu.Lock()
 		defer n.detectorMu.Unlock()
-		n.detector.Prune(n.now(), pruneAfter)
+		n.detector.Expire(n.now(), pruneAfter)
 		n.loads.Prune(func(id string) bool { return listed[id] })
 	})
 }
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -121,7 +121,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return caseMessages(q.tracker.Announce(n.now()))
+	return caseMessages(q.tracker.Updates(n.now()))
 }
 
 // quarantineSnapshot returns all cases, for an instance that has just started.
--- a/cmd/node/rate_limits.go
+++ b/cmd/node/rate_limits.go
@@ -151,8 +151,8 @@
 	}
 	var incarnations []string
 	s.withRateLimits(func(t *pace.Tracker) {
-		s.retrySchedule.Prune(now)
-		t.Sweep(now, func(incarnation string) bool { _, ok := listed[incarnation]; return ok })
+		s.retrySchedule.Expire(now)
+		t.Expire(now, func(incarnation string) bool { _, ok := listed[incarnation]; return ok })
 		incarnations = t.LimitedIncarnations()
 	})
 	limited := make(map[string]int64)
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -21,7 +21,7 @@
 
 	mu           sync.Mutex
 	view         *rollout.View
-	ledger       *rollout.Ledger
+	ledger       *rollout.TrafficSplitter
 	orders       map[uint64]*rolloutProgress // by revision of the order
 	othersReady  map[string]bool             // services for which replicas of other versions than the target accept work
 	fullyShifted map[string]bool             // services whose requests all go to the target version in the current world
@@ -49,7 +49,7 @@
 		canaryShare:  s.CanaryShare,
 		canarySlack:  s.CanarySlack,
 		view:         rollout.NewView(),
-		ledger:       rollout.NewLedger(newRandom().Float64()),
+		ledger:       rollout.NewTrafficSplitter(newRandom().Float64()),
 		orders:       make(map[uint64]*rolloutProgress),
 		othersReady:  make(map[string]bool),
 		fullyShifted: make(map[string]bool),
@@ -133,8 +133,8 @@
 		if !ok {
 			continue
 		}
-		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Gone: items[i].Deleted}
-		if !e.Gone {
+		e := rollout.Entry{Order: rollout.Order{Service: service, Revision: items[i].Revision}, Deleted: items[i].Deleted}
+		if !e.Deleted {
 			var err error
 			if e.Order, err = items[i].RolloutOrder(); err != nil {
 				event.RolloutOrderInvalid.Log(n.log, "service", service, "error", err)
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"quinceroad/coordination/ending"
 	"quinceroad/coordination/pipeline"
 	"quinceroad/coordination/rollout"
+	"quinceroad/coordination/sendresult"
 	"quinceroad/state/catalog"
 )
 
@@ -15,7 +15,7 @@
 type rolloutAnswer struct {
 	route     string
 	replica   *catalog.Replica
-	evidence  ending.VersionEvidence
+	evidence  sendresult.VersionEvidence
 	latency   time.Duration // time until the response began
 	pinnedFor time.Duration // duration of a request that can't move to another replica; 0: it can
 }
@@ -28,7 +28,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.view.Current(a.replica.Service)
-	if !ok || s.Phase >= rollout.Rejected || a.evidence == ending.VersionNone || a.evidence == ending.VersionAnswer && a.replica.WarmingUntil > n.now() {
+	if !ok || s.Phase >= rollout.Rejected || a.evidence == sendresult.VersionNone || a.evidence == sendresult.VersionAnswer && a.replica.WarmingUntil > n.now() {
 		return
 	}
 	own := &r.progress(s.Revision).ownReport
@@ -46,21 +46,21 @@
 		t = &rollout.Tally{}
 		own.Rows[k] = t
 	}
-	if a.evidence == ending.VersionReplicaEnd {
+	if a.evidence == sendresult.VersionReplicaEnd {
 		t.AddReplicaEnd()
 		return
 	}
-	t.Add(a.latency, a.evidence == ending.VersionFailure)
+	t.Add(a.latency, a.evidence == sendresult.VersionFailure)
 }
 
 // countTargetAnswer updates the metrics of a request's outcome at the target version.
-func (n *Node) countTargetAnswer(s *rollout.OrderState, evidence ending.VersionEvidence) {
-	if evidence == ending.VersionReplicaEnd {
+func (n *Node) countTargetAnswer(s *rollout.OrderState, evidence sendresult.VersionEvidence) {
+	if evidence == sendresult.VersionReplicaEnd {
 		n.rolloutCounter(s.Service, s.Target, "ended").Inc(1)
 		return
 	}
 	n.rolloutCounter(s.Service, s.Target, "answers").Inc(1)
-	if evidence == ending.VersionFailure {
+	if evidence == sendresult.VersionFailure {
 		n.rolloutCounter(s.Service, s.Target, "failed").Inc(1)
 	}
 }
@@ -73,7 +73,7 @@
 
 // recordRollout counts the outcome of the attempt in its service's rollout. If the
 // connection broke, it first awaits the probe that shows whether the replica ended.
-func (a *attempt) recordRollout(kind ending.Kind, suspended bool, latency time.Duration) {
+func (a *attempt) recordRollout(kind sendresult.Kind, suspended bool, latency time.Duration) {
 	n := a.node
 	if !n.rollouts.isActive(a.service.Name) {
 		return
@@ -85,14 +85,14 @@
 	if a.answerBegan != 0 {
 		answer.latency = a.answerBegan - a.sentAt
 	}
-	if kind != ending.ConnectionBroken {
+	if kind != sendresult.ConnectionBroken {
 		n.recordRolloutAnswer(answer)
 		return
 	}
 	probe := a.probe
 	go func() {
 		if n.awaitLivenessProbe(context.Background(), probe) {
-			answer.evidence = ending.ReplicaCrashed.Evidence().Version
+			answer.evidence = sendresult.ReplicaCrashed.Evidence().Version
 		}
 		n.recordRolloutAnswer(answer)
 	}()
@@ -117,28 +117,28 @@
 }
 
 // recordRolloutBatch counts the outcome of a batch in its pool's rollout.
-func (n *Node) recordRolloutBatch(r *catalog.Replica, kind ending.Kind, suspended bool, latency time.Duration) {
+func (n *Node) recordRolloutBatch(r *catalog.Replica, kind sendresult.Kind, suspended bool, latency time.Duration) {
 	n.recordRolloutAnswer(&rolloutAnswer{replica: r, evidence: kind.ForVersion(suspended), latency: latency})
 }
 
 // endingOf returns how a batch ended.
-func endingOf(outcome pipeline.Outcome, results []pipeline.Result) ending.Kind {
+func endingOf(outcome pipeline.Outcome, results []pipeline.Result) sendresult.Kind {
 	switch outcome {
 	case pipeline.Answered:
 		if slices.ContainsFunc(results, func(x pipeline.Result) bool { return x.Reason == pipeline.ItemFailed }) {
-			return ending.Failed
+			return sendresult.Failed
 		}
-		return ending.Succeeded
+		return sendresult.Succeeded
 	case pipeline.Refused:
-		return ending.Refused
+		return sendresult.Refused
 	case pipeline.WrongReplica:
-		return ending.WrongReplica
+		return sendresult.WrongReplica
 	case pipeline.Unreachable:
-		return ending.Unreachable
+		return sendresult.Unreachable
 	case pipeline.Broken:
-		return ending.ConnectionBroken
+		return sendresult.ConnectionBroken
 	case pipeline.Crashed: // also if the replica's end was reported before the connection broke
-		return ending.ReplicaCrashed
+		return sendresult.ReplicaCrashed
 	}
-	return ending.ResponseTimeout
+	return sendresult.ResponseTimeout
 }
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -22,7 +22,7 @@
 	origin  uint32
 	cell    int
 	service string
-	figures speed.Figures
+	figures speed.Estimate
 }
 
 // recordLocalSpeeds records the speeds that this instance's cells have observed, and
@@ -52,7 +52,7 @@
 		c.mu.Lock()
 		for service, s := range c.engines.Speeds() {
 			if s.IsReliable() {
-				out = append(out, cellSpeed{origin: self.Key() + uint32(c.number), cell: c.number, service: service, figures: s.Figures()})
+				out = append(out, cellSpeed{origin: self.Key() + uint32(c.number), cell: c.number, service: service, figures: s.Estimate()})
 			}
 		}
 		c.mu.Unlock()
@@ -60,25 +60,25 @@
 	return out
 }
 
-func (n *Node) logSpeed(e *event.Event, cell int, service string, f *speed.Figures) {
-	e.Log(n.log, "service", service, "cell", cell, "base", f.Usual.Base, "per_token", f.Usual.PerToken,
-		"likely_base", f.Likely.Base, "likely_per_token", f.Likely.PerToken, "per_out", f.PerOut, "longest", f.Longest, "count", f.Count)
+func (n *Node) logSpeed(e *event.Event, cell int, service string, f *speed.Estimate) {
+	e.Log(n.log, "service", service, "cell", cell, "base", f.Median.Base, "per_token", f.Median.PerToken,
+		"likely_base", f.UpperBound.Base, "likely_per_token", f.UpperBound.PerToken, "per_out", f.PerOutputToken, "longest", f.LongestPrompt, "count", f.Count)
 }
 
-func (n *Node) updateSpeedGauges(service string, f *speed.Figures) {
+func (n *Node) updateSpeedGauges(service string, f *speed.Estimate) {
 	set := func(name string, value time.Duration) {
 		metrics.GetOrRegisterGauge("node.engines."+service+"."+name, n.registry).Update(int64(value))
 	}
-	set("base_ns", f.Usual.Base)
-	set("token_ns", f.Usual.PerToken)
-	set("out_ns", f.PerOut)
+	set("base_ns", f.Median.Base)
+	set("token_ns", f.Median.PerToken)
+	set("out_ns", f.PerOutputToken)
 }
 
 // mergeSpeeds merges the speeds received from a peer, and seeds those of this instance's
 // cells that have few observations.
 func (n *Node) mergeSpeeds(received []*pb.EngineSpeed) {
 	now := n.now()
-	updated := make(map[string]speed.Figures)
+	updated := make(map[string]speed.Estimate)
 	n.speeds.mu.Lock()
 	for _, p := range received {
 		if !n.speeds.records.Merge(now, decodeSpeed(p)) {
@@ -98,8 +98,8 @@
 }
 
 // combinedSpeeds returns the peers' combined speeds for the services in force.
-func (n *Node) combinedSpeeds() map[string]speed.Figures {
-	out := make(map[string]speed.Figures)
+func (n *Node) combinedSpeeds() map[string]speed.Estimate {
+	out := make(map[string]speed.Estimate)
 	w, now := n.world.Load(), n.now()
 	if w.config == nil {
 		return out
@@ -118,7 +118,7 @@
 }
 
 // seedSpeeds initializes a cell's engine speeds from those of peers.
-func (c *cell) seedSpeeds(speeds map[string]speed.Figures) {
+func (c *cell) seedSpeeds(speeds map[string]speed.Estimate) {
 	n := c.owner.node
 	for service, f := range speeds {
 		c.mu.Lock()
@@ -135,9 +135,9 @@
 func (n *Node) speedUpdates(all bool) []*pb.EngineSpeed {
 	n.speeds.mu.Lock()
 	defer n.speeds.mu.Unlock()
-	records := n.speeds.records.All(n.now())
+	records := n.speeds.records.Snapshot(n.now())
 	if !all {
-		records = n.speeds.records.NextMessage(n.now())
+		records = n.speeds.records.Updates(n.now())
 	}
 	out := make([]*pb.EngineSpeed, 0, len(records))
 	for _, r := range records {
@@ -147,24 +147,24 @@
 }
 
 func encodeSpeed(r *speed.Record) *pb.EngineSpeed {
-	f := &r.Figures
+	f := &r.Estimate
 	return &pb.EngineSpeed{
 		Service: r.Service, Origin: r.Origin, Count: uint32(f.Count), AgeS: uint32(r.Age.Seconds()),
-		BaseUs: uint32(f.Usual.Base.Microseconds()), TokenNs: uint32(f.Usual.PerToken),
-		LikelyBaseUs: uint32(f.Likely.Base.Microseconds()), LikelyTokenNs: uint32(f.Likely.PerToken),
-		OutUs: uint32(f.PerOut.Microseconds()), Longest: uint32(f.Longest),
+		BaseUs: uint32(f.Median.Base.Microseconds()), TokenNs: uint32(f.Median.PerToken),
+		LikelyBaseUs: uint32(f.UpperBound.Base.Microseconds()), LikelyTokenNs: uint32(f.UpperBound.PerToken),
+		OutUs: uint32(f.PerOutputToken.Microseconds()), Longest: uint32(f.LongestPrompt),
 	}
 }
 
 func decodeSpeed(p *pb.EngineSpeed) speed.Record {
 	return speed.Record{
 		Service: p.Service, Origin: p.Origin, Age: time.Duration(p.AgeS) * time.Second,
-		Figures: speed.Figures{
-			Usual:   speed.Line{Base: micros(p.BaseUs), PerToken: time.Duration(p.TokenNs)},
-			Likely:  speed.Line{Base: micros(p.LikelyBaseUs), PerToken: time.Duration(p.LikelyTokenNs)},
-			PerOut:  micros(p.OutUs),
-			Longest: int(p.Longest),
-			Count:   int(p.Count),
+		Estimate: speed.Estimate{
+			Median:         speed.Line{Base: micros(p.BaseUs), PerToken: time.Duration(p.TokenNs)},
+			UpperBound:     speed.Line{Base: micros(p.LikelyBaseUs), PerToken: time.Duration(p.LikelyTokenNs)},
+			PerOutputToken: micros(p.OutUs),
+			LongestPrompt:  int(p.Longest),
+			Count:          int(p.Count),
 		},
 	}
 }
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -25,10 +25,10 @@
 	return n, n.owner.cell(0)
 }
 
-func (c *cell) speedFigures() speed.Figures {
+func (c *cell) speedFigures() speed.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.engines.Speeds()["llm"].Figures()
+	return c.engines.Speeds()["llm"].Estimate()
 }
 
 // announcedSpeeds returns the speeds of a node's heartbeat after encoding and decoding.
@@ -54,7 +54,7 @@
 	service := speed.New(speed.DefaultOptions())
 	oldCell.engines.Speeds()["llm"] = service
 	for i := range 100 {
-		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.Replica{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
+		service.Observe(time.Duration(i)*10*time.Millisecond, &speed.ReplicaEstimator{}, 100<<(i%9), 60*time.Millisecond+time.Duration(100<<(i%9))*9*time.Microsecond, false)
 	}
 	oldCell.mu.Unlock()
 	oldOwner.recordLocalSpeeds()
@@ -65,14 +65,14 @@
 	newOwner, cell := newOwningNode("begun")
 	cell.prepare()
 	newOwner.mergeSpeeds(announcedSpeeds(t, relay))
-	is.True(cell.speedFigures().Usual.PerToken < 10*time.Microsecond)
+	is.True(cell.speedFigures().Median.PerToken < 10*time.Microsecond)
 
 	lateOwner, _ := newOwningNode("late")
 	lateOwner.mergeSpeeds(announcedSpeeds(t, relay))
 	cell = lateOwner.owner.cell(1)
 	cell.prepare()
-	is.True(cell.speedFigures().Usual.PerToken < 10*time.Microsecond)
-	is.True(cell.speedFigures().Longest > 20_000)
+	is.True(cell.speedFigures().Median.PerToken < 10*time.Microsecond)
+	is.True(cell.speedFigures().LongestPrompt > 20_000)
 }
 
 // A heartbeat fits one datagram whatever the number of owners and services.
@@ -80,9 +80,9 @@
 	is := is.New(t)
 	n, _ := newOwningNode("n")
 	f := speed.Prior(9 * time.Microsecond)
-	f.Count, f.Longest = 5000, 50_000
+	f.Count, f.LongestPrompt = 5000, 50_000
 	for i := range uint32(100) {
-		n.mergeSpeeds([]*pb.EngineSpeed{encodeSpeed(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Figures: f})})
+		n.mergeSpeeds([]*pb.EngineSpeed{encodeSpeed(&speed.Record{Origin: i * 1e7, Service: fmt.Sprint("service-", i%3), Estimate: f})})
 	}
 	for range 50 {
 		is.True(proto.Size(&pb.Heartbeat{Speeds: n.speedUpdates(false)}) < 200)
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -8,8 +8,8 @@
 
 	"quinceroad/cmd/process"
 	"quinceroad/coordination/advisory"
+	"quinceroad/coordination/featurelevel"
 	"quinceroad/coordination/gossip"
-	"quinceroad/coordination/level"
 	"quinceroad/coordination/pipeline"
 	"quinceroad/coordination/shares"
 	"quinceroad/coordination/speed"
@@ -71,8 +71,8 @@
 	Calls   int // batches in flight
 	Streams int // streams at engines
 	Pools   []pipeline.PoolState
-	Engines map[string]speed.Figures // by service: speeds, as measured and as reported by peers
-	Shares  []shares.Row             // customers with the highest demand, and all throttled ones
+	Engines map[string]speed.Estimate // by service: speeds, as measured and as reported by peers
+	Shares  []shares.Row              // customers with the highest demand, and all throttled ones
 }
 
 // Reasons for which a node is not ready.
@@ -138,7 +138,7 @@
 	s.RateLimited = n.limitedStates(w)
 	s.Draining = append(s.Draining, n.recentDrainSigns(maxDrainsPerHeartbeat)...)
 	s.FleetLevel = n.level.inForce()
-	s.PendingFeatures = level.PendingFeatures(s.FleetLevel)
+	s.PendingFeatures = featurelevel.PendingFeatures(s.FleetLevel)
 	n.followMu.Lock()
 	s.DrainedHalls = n.drainedHalls.Halls()
 	n.followMu.Unlock()
@@ -164,9 +164,9 @@
 	}
 	for _, c := range n.owner.allCells() {
 		c.mu.Lock()
-		engines := make(map[string]speed.Figures)
+		engines := make(map[string]speed.Estimate)
 		for service, engineSpeed := range c.engines.Speeds() {
-			engines[service] = engineSpeed.Figures()
+			engines[service] = engineSpeed.Estimate()
 		}
 		s.Cells = append(s.Cells, CellState{
 			Number: c.number, Jobs: c.scheduler.Jobs(), Calls: len(c.calls), Streams: c.engines.Running(), Pools: c.scheduler.Pools(n.now()),
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -50,7 +50,7 @@
 	var entries []evacuation.Entry
 	for i := range items {
 		if hall, ok := items[i].DrainedHall(); ok {
-			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Gone: items[i].Deleted})
+			entries = append(entries, evacuation.Entry{Hall: hall, Revision: items[i].Revision, Deleted: items[i].Deleted})
 		}
 	}
 	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
--- a/coordination/advisory/advisory.go
+++ b/coordination/advisory/advisory.go
@@ -19,16 +19,16 @@
 	"time"
 )
 
-// Options are the constants of a Tracker.
+// Options are the settings of a Tracker.
 type Options struct {
-	RampAnswers       int           // answers after a backoff that lift the request limit; as each answer raises the limit by one, a replica has had about ten requests by then
-	RampInterval      time.Duration // time after the last request at which one more may follow although none was answered, so that long answers don't leave a replica idle
+	RampAnswers       int           // number of answers after a backoff at which the request limit ends; each answer raises it by one, so a replica has had about ten requests by then
+	RampInterval      time.Duration // time after the last request at which one more may be sent although none was answered, so that long answers don't leave a replica idle
 	UnlistedRetention time.Duration // how long an incarnation is kept that neither this instance nor any peer that announces it lists; entries that expire while the store is unavailable reappear within seconds of its return
 	MaxUnlisted       int           // incarnations kept that are not listed; bounds memory against a peer that announces many
 }
 
-// Standard returns the options used in production.
-func Standard() Options {
+// DefaultOptions returns the options used in production.
+func DefaultOptions() Options {
 	return Options{RampAnswers: 4, RampInterval: 500 * time.Millisecond, UnlistedRetention: 2 * time.Minute, MaxUnlisted: 4096}
 }
 
@@ -47,7 +47,7 @@
 	backingOff    bool // the end at backoffUntil has not been reported yet
 	ramp          *ramp
 	listedAt      time.Duration // when this instance or a peer last listed it
-	isListed      bool          // it was listed at the last sweep
+	isListed      bool          // it was listed when Expire last ran
 }
 
 // ramp limits the requests to a replica after a backoff; nil: no limit.
@@ -169,7 +169,7 @@
 	}
 }
 
-// Changes are the effects of a sweep.
+// Changes are the effects of Expire.
 type Changes struct {
 	BackoffEnded []string // incarnations whose backoff has ended
 	Removed      []string // draining incarnations that were removed
@@ -178,8 +178,8 @@
 // Empty reports whether there are no drains, backoffs or ramps.
 func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
-// Sweep removes obsolete entries and returns what has changed by the passage of time.
-func (t *Tracker) Sweep(now time.Duration, listedAt func(incarnation string) bool) Changes {
+// Expire removes obsolete entries and returns what has changed by the passage of time.
+func (t *Tracker) Expire(now time.Duration, listedAt func(incarnation string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
 	for incarnation, r := range t.entries {
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -14,9 +14,9 @@
 	upperBoundDeviations = 2    // deviations above the mean
 )
 
-// Stage estimates the duration of one pipeline stage. It is not safe for
+// Estimator estimates the duration of one pipeline stage. It is not safe for
 // concurrent use.
-type Stage struct {
+type Estimator struct {
 	prior   time.Duration
 	buckets [buckets]statistics
 	all     statistics
@@ -29,33 +29,33 @@
 }
 
 // New returns an estimator that starts from the declared duration.
-func New(prior time.Duration) *Stage { return &Stage{prior: prior} }
+func New(prior time.Duration) *Estimator { return &Estimator{prior: prior} }
 
 // Observe records a measured duration for an input of the given bytes.
-func (s *Stage) Observe(size int, took time.Duration) {
-	s.buckets[bucket(size)].add(took)
-	s.all.add(took)
+func (e *Estimator) Observe(size int, took time.Duration) {
+	e.buckets[bucket(size)].add(took)
+	e.all.add(took)
 }
 
 // Mean returns the expected duration for an input of the given bytes.
-func (s *Stage) Mean(size int) time.Duration {
-	m, _ := s.statistics(size)
+func (e *Estimator) Mean(size int) time.Duration {
+	m, _ := e.statistics(size)
 	return m
 }
 
 // UpperBound returns a duration that few inputs of that size exceed.
-func (s *Stage) UpperBound(size int) time.Duration {
-	m, d := s.statistics(size)
+func (e *Estimator) UpperBound(size int) time.Duration {
+	m, d := e.statistics(size)
 	return m + upperBoundDeviations*d
 }
 
-func (s *Stage) statistics(size int) (mean, dev time.Duration) {
-	b := &s.buckets[bucket(size)]
+func (e *Estimator) statistics(size int) (mean, dev time.Duration) {
+	b := &e.buckets[bucket(size)]
 	if b.n < minSamples {
-		b = &s.all
+		b = &e.all
 	}
 	if b.n < minSamples {
-		return s.prior, s.prior / 2
+		return e.prior, e.prior / 2
 	}
 	return time.Duration(b.mean), time.Duration(b.dev)
 }
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -35,7 +35,7 @@
 	CPUShare         uint32   `json:"Share"`      // share of a processor, in thousandths
 	IsReader         bool     `json:"Reads"`      // watches the store on behalf of its hall
 	StoreUnreachable bool     `json:"Blind"`      // its last attempt to reach the store failed
-	Level            uint32   // feature level of its build, see package level; 0: not announced
+	Level            uint32   // feature level of its build, see package featurelevel; 0: not announced
 
 	HeartbeatAge time.Duration `json:"Age"` // in messages: time since the counter last increased, as seen by the sender
 }
@@ -80,7 +80,7 @@
 	key           uint32
 }
 
-// Options are the parameters of a view.
+// Options are the settings of a View.
 type Options struct {
 	FailureTimeout      time.Duration // time without a heartbeat after which an instance is considered dead, in a small fleet
 	TimeoutPerInstance  time.Duration // added for each instance beyond SmallFleetSize, as each counter then arrives less often
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -41,7 +41,7 @@
 	MaxBackoff        time.Duration // longest ejection for a backoff that a replica asked for. It asked one instance; for the others this is only a hint
 }
 
-// DefaultOptions returns the settings used in production.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		BaseEjection:      400 * time.Millisecond,
@@ -153,8 +153,8 @@
 	return out
 }
 
-// Prune drops replicas without a record for longer than after.
-func (d *Detector) Prune(now, after time.Duration) {
+// Expire drops replicas without a record for longer than after.
+func (d *Detector) Expire(now, after time.Duration) {
 	for id, r := range d.replicas {
 		if now-r.lastRecord > after {
 			delete(d.replicas, id)
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options bound the memory of a ledger.
+// Options are the settings of a Ledger; they bound its memory.
 type Options struct {
 	Horizon    time.Duration // time that numbers of a prefix may start
 	Grace      time.Duration // additional time that answers are kept for retries
@@ -20,8 +20,8 @@
 	return o
 }
 
-// Horizon sets the time that numbers of a prefix may start.
-func Horizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
+// WithHorizon sets the time that numbers of a prefix may start.
+func WithHorizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
 
-// MaxRecords sets the maximum number of records.
-func MaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
+// WithMaxRecords sets the maximum number of records.
+func WithMaxRecords(n int) Option { return func(o *Options) { o.MaxRecords = n } }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -39,7 +39,7 @@
 
 func TestSuspectDiesAndRefutes(t *testing.T) {
 	is := is.New(t)
-	v := New(member("a", 1), SuspectTimeout(time.Second))
+	v := New(member("a", 1), WithSuspectTimeout(time.Second))
 	v.Merge(0, member("b", 1))
 	m, suspect := v.MarkSuspect(0, "b")
 	is.True(suspect)
@@ -102,28 +102,28 @@
 	}
 }
 
-func TestPartnersReachAll(t *testing.T) {
+func TestHeartbeatTargetsReachAll(t *testing.T) {
 	is := is.New(t)
 	const n = 390
 	all := make([]Member, n)
 	for i := range all {
 		all[i] = member(fmt.Sprintf("m%03d", i), 1)
 	}
-	partners := make(map[string][]string)
+	targets := make(map[string][]string)
 	for _, self := range all {
 		v := New(self)
 		for _, m := range all {
 			v.Merge(0, m)
 		}
-		partners[self.Name] = v.HeartbeatTargets()
-		is.Equal(len(partners[self.Name]), 9) // ceil(log2(390))
+		targets[self.Name] = v.HeartbeatTargets()
+		is.Equal(len(targets[self.Name]), 9) // ceil(log2(390))
 	}
 	reached, front := map[string]bool{"m000": true}, []string{"m000"}
 	hops := 0
 	for ; len(reached) < n; hops++ {
 		var next []string
 		for _, f := range front {
-			for _, p := range partners[f] {
+			for _, p := range targets[f] {
 				if !reached[p] {
 					reached[p] = true
 					next = append(next, p)
@@ -138,7 +138,7 @@
 
 // A coord that restarts after its clock went back must count as a new and higher
 // incarnation.
-func TestAStartAfterTheClockWentBackIsTheLaterOne(t *testing.T) {
+func TestRestartAfterTheClockWentBackSupersedes(t *testing.T) {
 	for _, previous := range []uint64{5, 6, 1 << 62} {
 		is := is.New(t)
 		a, previousRun := New(member("a", 1)), New(member("b", previous))
--- a/coordination/membership/options.go
+++ b/coordination/membership/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are the timeouts of a view.
+// Options are the timeouts of a View.
 type Options struct {
 	SuspectTimeout time.Duration // time that a suspect has to refute
 	ForgetAfter    time.Duration // time that dead members are kept; must exceed the longest partition
@@ -19,5 +19,5 @@
 	return o
 }
 
-// SuspectTimeout sets the time that a suspect has to refute.
-func SuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
+// WithSuspectTimeout sets the time that a suspect has to refute.
+func WithSuspectTimeout(d time.Duration) Option { return func(o *Options) { o.SuspectTimeout = d } }
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -4,9 +4,10 @@
 // A limit of one request per second can't be divided among hundreds of instances. Each
 // limited replica therefore has one grantor, an instance that all others select by the
 // same rule, and a sender obtains a grant from it before each request. Grants are
-// spaced evenly; unused grants accumulate for Options.Burst only. A new grantor doesn't
-// know what its predecessor granted, so it starts as if it had just issued a grant. An
-// instance that can't reach the grantor uses its own fraction of the limit.
+// spaced evenly (generic cell rate algorithm); unused grants accumulate for
+// Options.Burst only. A new grantor doesn't know what its predecessor granted, so it
+// starts as if it had just issued a grant. An instance that can't reach the grantor
+// uses its own fraction of the limit.
 //
 // A limit holds until the replica answers without it, whichever instance receives that
 // answer. Among several reports on an incarnation the newest wins, compared by age
@@ -23,9 +24,9 @@
 	"time"
 )
 
-// Options are the constants of a Tracker.
+// Options are the settings of a Tracker.
 type Options struct {
-	Burst             time.Duration // how long before it is due a grant may be issued; bounds the unused grants that accumulate
+	Burst             time.Duration // time by which a grant may be issued before it is due; bounds the unused grants that accumulate
 	MaxInterval       time.Duration // longest time between two grants: only an answer can tell that a limit has been removed, so a replica with a limit of 0 still gets requests
 	RemovedRetention  time.Duration // how long a removed limit is remembered, so that an older report doesn't restore it
 	UnlistedRetention time.Duration // how long the limit of an unlisted incarnation is kept; entries that expire while the store is unavailable reappear within seconds of its return
@@ -33,8 +34,8 @@
 	LogInterval       time.Duration // minimum time between two changes of one limit that are logged and trigger extra heartbeats
 }
 
-// Standard returns the options used in production.
-func Standard() Options {
+// DefaultOptions returns the options used in production.
+func DefaultOptions() Options {
 	return Options{
 		Burst:             250 * time.Millisecond,
 		MaxInterval:       10 * time.Second,
@@ -95,25 +96,25 @@
 )
 
 // Record processes the limit that a replica stated in an answer of the given age.
-func (t *Tracker) Record(now time.Duration, w Report) Change {
-	answeredAt := now - max(w.Age, 0)
-	r := t.entries[w.Incarnation]
+func (t *Tracker) Record(now time.Duration, report Report) Change {
+	answeredAt := now - max(report.Age, 0)
+	r := t.entries[report.Incarnation]
 	switch {
-	case r == nil && !w.Limit.Stated, r == nil && len(t.entries) >= t.opts.MaxIncarnations:
+	case r == nil && !report.Limit.Stated, r == nil && len(t.entries) >= t.opts.MaxIncarnations:
 		return Unchanged
 	case r == nil:
 		r = &entry{listedAt: now}
-		t.entries[w.Incarnation] = r
+		t.entries[report.Incarnation] = r
 	case answeredAt < r.answeredAt:
 		return Unchanged
 	}
 	previous := r.limit
-	r.limit, r.answeredAt = w.Limit, answeredAt
-	if previous == w.Limit {
+	r.limit, r.answeredAt = report.Limit, answeredAt
+	if previous == report.Limit {
 		return Unchanged
 	}
 	r.learnedAt = now
-	firstGrant := t.firstGrant(now, w.Limit)
+	firstGrant := t.firstGrant(now, report.Limit)
 	r.nextGrant = min(r.nextGrant, firstGrant)
 	switch {
 	case !previous.Stated:
@@ -121,7 +122,7 @@
 		r.nextGrant = firstGrant
 		r.nextLocalGrant, r.deniedUntil = 0, 0
 		return Added
-	case !w.Limit.Stated:
+	case !report.Limit.Stated:
 		t.limitedCount--
 		return Removed
 	}
@@ -276,9 +277,9 @@
 // maxRepeated is the number of older reports that one heartbeat repeats.
 const maxRepeated = 4
 
-// Sweep removes limits that ended RemovedRetention ago and entries of incarnations that
+// Expire removes limits that ended RemovedRetention ago and entries of incarnations that
 // have been unlisted for UnlistedRetention.
-func (t *Tracker) Sweep(now time.Duration, listed func(incarnation string) bool) {
+func (t *Tracker) Expire(now time.Duration, listed func(incarnation string) bool) {
 	for incarnation, r := range t.entries {
 		if listed(incarnation) {
 			r.listedAt = now
--- a/coordination/pace/retryschedule.go
+++ b/coordination/pace/retry_schedule.go
@@ -23,8 +23,8 @@
 	return at + time.Duration(random*interval)
 }
 
-// Prune removes reservations that have passed.
-func (s *RetrySchedule) Prune(now time.Duration) {
+// Expire removes reservations that have passed.
+func (s *RetrySchedule) Expire(now time.Duration) {
 	for service, next := range s.next {
 		if next < now {
 			delete(s.next, service)
--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -11,10 +11,10 @@
 // the records of one origin the one with the highest count is the newest, so
 // late and repeated records have no effect.
 type Record struct {
-	Origin  uint32 // identifies a cell in one incarnation of its owner
-	Service string
-	Figures Figures
-	Age     time.Duration // since the estimate was made
+	Origin   uint32 // identifies a cell in one incarnation of its owner
+	Service  string
+	Estimate Estimate
+	Age      time.Duration // since the estimate was made
 }
 
 // Records holds the newest record of each origin. It is not safe for concurrent
@@ -46,23 +46,23 @@
 // RecordLocal stores the estimate of one of this instance's cells and reports
 // whether it is announced: after a significant change, and otherwise once per
 // refreshInterval.
-func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, f Figures) bool {
+func (r *Records) RecordLocal(now time.Duration, origin uint32, service string, e Estimate) bool {
 	if old := r.find(service, origin); old != nil {
 		pause := refreshInterval
-		if f.Differs(&old.Figures) {
+		if e.Differs(&old.Estimate) {
 			pause = minUpdateInterval
 		}
 		if now-old.observedAt < pause {
 			return false
 		}
 	}
-	return r.Merge(now, Record{Origin: origin, Service: service, Figures: f})
+	return r.Merge(now, Record{Origin: origin, Service: service, Estimate: e})
 }
 
 // Merge stores a received record and reports whether it was new.
-func (r *Records) Merge(now time.Duration, n Record) bool {
-	old := r.find(n.Service, n.Origin)
-	if old != nil && old.Figures.Count >= n.Figures.Count || n.Age >= recordTTL || !n.Figures.isValid() {
+func (r *Records) Merge(now time.Duration, rec Record) bool {
+	old := r.find(rec.Service, rec.Origin)
+	if old != nil && old.Estimate.Count >= rec.Estimate.Count || rec.Age >= recordTTL || !rec.Estimate.isValid() {
 		return false
 	}
 	if old == nil {
@@ -70,19 +70,19 @@
 		r.entries = append(r.entries, old)
 	}
 	sends := 0
-	if !n.Figures.Differs(&old.Figures) {
+	if !rec.Estimate.Differs(&old.Estimate) {
 		sends = old.sends // no significant change: the resend schedule continues
 	}
-	*old = entry{Record: n, observedAt: now - n.Age, sends: sends}
+	*old = entry{Record: rec, observedAt: now - rec.Age, sends: sends}
 	r.prune(now)
 	return true
 }
 
-// isValid reports whether received figures are plausible: peers are not trusted
+// isValid reports whether a received estimate is plausible: peers are not trusted
 // to send valid values.
-func (f *Figures) isValid() bool {
-	lines := f.Usual.Base > 0 && f.Usual.PerToken >= 0 && f.Likely.Base > 0 && f.Likely.PerToken >= 0
-	return lines && f.PerOut > 0 && f.Longest >= 0 && f.Count > 0
+func (e *Estimate) isValid() bool {
+	lines := e.Median.Base > 0 && e.Median.PerToken >= 0 && e.UpperBound.Base > 0 && e.UpperBound.PerToken >= 0
+	return lines && e.PerOutputToken > 0 && e.LongestPrompt >= 0 && e.Count > 0
 }
 
 func (r *Records) find(service string, origin uint32) *entry {
@@ -104,20 +104,20 @@
 	})
 }
 
-// Differs reports whether the figures changed enough to be announced.
-func (f *Figures) Differs(from *Figures) bool {
-	return differsBy(f.Usual.Base, from.Usual.Base, significantChange) || differsBy(f.Usual.PerToken, from.Usual.PerToken, significantChange) ||
-		differsBy(f.Likely.Base, from.Likely.Base, significantChange) || differsBy(f.Likely.PerToken, from.Likely.PerToken, significantChange) ||
-		differsBy(f.PerOut, from.PerOut, significantChangeCoarse) || differsBy(time.Duration(f.Longest), time.Duration(from.Longest), significantChangeCoarse)
+// Differs reports whether the estimate changed enough to be announced.
+func (e *Estimate) Differs(from *Estimate) bool {
+	return differsBy(e.Median.Base, from.Median.Base, significantChange) || differsBy(e.Median.PerToken, from.Median.PerToken, significantChange) ||
+		differsBy(e.UpperBound.Base, from.UpperBound.Base, significantChange) || differsBy(e.UpperBound.PerToken, from.UpperBound.PerToken, significantChange) ||
+		differsBy(e.PerOutputToken, from.PerOutputToken, significantChangeCoarse) || differsBy(time.Duration(e.LongestPrompt), time.Duration(from.LongestPrompt), significantChangeCoarse)
 }
 
 func differsBy(a, b time.Duration, share float64) bool {
 	return math.Abs(float64(a-b)) > share*float64(max(a, b))
 }
 
-// NextMessage returns the records to send in a gossip round: new ones, and each
-// of the others once in resendRounds.
-func (r *Records) NextMessage(now time.Duration) []Record {
+// Updates returns the records to send in a gossip round: new ones, and each of
+// the others once in resendRounds.
+func (r *Records) Updates(now time.Duration) []Record {
 	r.round++
 	var out []Record
 	for i, x := range r.entries {
@@ -130,8 +130,9 @@
 	return out
 }
 
-// All returns the newest unexpired records, as many as fit a message.
-func (r *Records) All(now time.Duration) []Record {
+// Snapshot returns the newest unexpired records, as many as fit a message, for
+// an instance that has just started.
+func (r *Records) Snapshot(now time.Duration) []Record {
 	var out []Record
 	for _, x := range r.entries {
 		if now-x.observedAt < recordTTL && len(out) < maxRecordsPerMessage {
@@ -142,43 +143,43 @@
 }
 
 func (x *entry) at(now time.Duration) Record {
-	n := x.Record
-	n.Age = now - x.observedAt
-	return n
+	rec := x.Record
+	rec.Age = now - x.observedAt
+	return rec
 }
 
 // Combined returns the combined estimate of all origins for a service: the
-// weighted median of each figure, so that one wrong peer has little influence.
+// weighted median of each value, so that one wrong peer has little influence.
 // Its count is the number of origins.
-func (r *Records) Combined(now time.Duration, service string) (Figures, bool) {
+func (r *Records) Combined(now time.Duration, service string) (Estimate, bool) {
 	var rows []*entry
 	var weights []float64
 	for _, x := range r.entries {
 		if x.Service == service && now-x.observedAt < recordTTL {
 			rows = append(rows, x)
-			weights = append(weights, float64(min(x.Figures.Count, maxCountWeight))*(1-float64(now-x.observedAt)/float64(recordTTL)))
+			weights = append(weights, float64(min(x.Estimate.Count, maxCountWeight))*(1-float64(now-x.observedAt)/float64(recordTTL)))
 		}
 	}
 	if len(rows) == 0 {
-		return Figures{}, false
+		return Estimate{}, false
 	}
-	median := func(of func(*Figures) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
-	return Figures{
-		Usual: Line{
-			Base:     median(func(f *Figures) time.Duration { return f.Usual.Base }),
-			PerToken: median(func(f *Figures) time.Duration { return f.Usual.PerToken }),
+	median := func(of func(*Estimate) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
+	return Estimate{
+		Median: Line{
+			Base:     median(func(f *Estimate) time.Duration { return f.Median.Base }),
+			PerToken: median(func(f *Estimate) time.Duration { return f.Median.PerToken }),
 		},
-		Likely: Line{
-			Base:     median(func(f *Figures) time.Duration { return f.Likely.Base }),
-			PerToken: median(func(f *Figures) time.Duration { return f.Likely.PerToken }),
+		UpperBound: Line{
+			Base:     median(func(f *Estimate) time.Duration { return f.UpperBound.Base }),
+			PerToken: median(func(f *Estimate) time.Duration { return f.UpperBound.PerToken }),
 		},
-		PerOut:  median(func(f *Figures) time.Duration { return f.PerOut }),
-		Longest: int(median(func(f *Figures) time.Duration { return time.Duration(f.Longest) })),
-		Count:   len(rows),
+		PerOutputToken: median(func(f *Estimate) time.Duration { return f.PerOutputToken }),
+		LongestPrompt:  int(median(func(f *Estimate) time.Duration { return time.Duration(f.LongestPrompt) })),
+		Count:          len(rows),
 	}, true
 }
 
-func weightedMedian(rows []*entry, weights []float64, of func(*Figures) time.Duration) time.Duration {
+func weightedMedian(rows []*entry, weights []float64, of func(*Estimate) time.Duration) time.Duration {
 	type item struct {
 		value  time.Duration
 		weight float64
@@ -186,7 +187,7 @@
 	items := make([]item, len(rows))
 	half := 0.0
 	for i, x := range rows {
-		items[i] = item{of(&x.Figures), weights[i]}
+		items[i] = item{of(&x.Estimate), weights[i]}
 		half += weights[i] / 2
 	}
 	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.value, b.value) })
