--- a/cmd/check/check.go
+++ b/cmd/check/check.go
@@ -15,7 +15,7 @@
 )
 
 // Told is one receipt of a request and what its caller was told.
-type Told struct {
+type Response struct {
 	Customer string
 	Label    string // the caller's own id
 	Pipeline string
@@ -36,18 +36,18 @@
 
 // Violation is one broken promise; Row is that of docs/PROOFS.md.
 type Violation struct {
-	Row  string
-	ID   string
-	Text string
+	Guarantee string
+	ID        string
+	Text      string
 }
 
 // String returns "P3 id: text".
-func (v Violation) String() string { return fmt.Sprintf("%s %s: %s", v.Row, v.ID, v.Text) }
+func (v Violation) String() string { return fmt.Sprintf("%s %s: %s", v.Guarantee, v.ID, v.Text) }
 
 // history is the two sides joined.
 type history struct {
 	fleet *fleet.Fleet
-	told  []Told
+	told  []Response
 	ran   map[string][]api.Execution // by request id
 	found []Violation
 
@@ -58,7 +58,7 @@
 type receipt struct{ ticket, input string }
 
 // All checks every row that histories alone can show.
-func All(f *fleet.Fleet, told []Told, journal []api.Execution) []Violation {
+func All(f *fleet.Fleet, told []Response, journal []api.Execution) []Violation {
 	h := &history{fleet: f, told: told, ran: make(map[string][]api.Execution), receipts: make(map[receipt][]string)}
 	for _, t := range told {
 		if t.Ticket != "" && t.ID != "" {
@@ -85,11 +85,11 @@
 }
 
 func (h *history) add(row, id, format string, args ...any) {
-	h.found = append(h.found, Violation{Row: row, ID: id, Text: fmt.Sprintf(format, args...)})
+	h.found = append(h.found, Violation{Guarantee: row, ID: id, Text: fmt.Sprintf(format, args...)})
 }
 
 // Expect returns the output of a pipeline for an input.
-func Expect(p *fleet.Pipeline, input string) string {
+func ExpectedOutput(p *fleet.Pipeline, input string) string {
 	b := []byte(input)
 	for _, s := range p.Stages {
 		b = work.Output(s.Operation, b)
@@ -98,11 +98,11 @@
 }
 
 // own is P1: a done answer is this request's own, over each stage once.
-func (h *history) own(t *Told, p *fleet.Pipeline) {
+func (h *history) own(t *Response, p *fleet.Pipeline) {
 	if t.Outcome != outcome.Done {
 		return
 	}
-	if want := upstream.Digest([]byte(Expect(p, t.Input))); t.Digest != want {
+	if want := upstream.Digest([]byte(ExpectedOutput(p, t.Input))); t.Digest != want {
 		h.add("P1", t.ID, "the answer's digest is %s, this request's is %s", t.Digest, want)
 	}
 	if len(t.Stages) != len(p.Stages) {
@@ -128,7 +128,7 @@
 }
 
 // whole is P2: a done answer has all its bytes.
-func (h *history) whole(t *Told) {
+func (h *history) whole(t *Response) {
 	if t.Outcome != outcome.Done {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // notRun is P3: what was told not_run has no execution, neither under its own
 // id nor, for a numbered one, under that of another receipt of the same request.
-func (h *history) notRun(t *Told) {
+func (h *history) notRun(t *Response) {
 	if t.Outcome != outcome.NotRun {
 		return
 	}
@@ -160,7 +160,7 @@
 const immediateSlack = 500 * time.Millisecond
 
 // immediate is a bound on P8: no refusal comes after the deadline.
-func (h *history) immediate(t *Told) {
+func (h *history) immediate(t *Response) {
 	if t.Outcome == outcome.NotRun && t.Answered.Sub(t.Intended) > t.Deadline+immediateSlack {
 		h.add("P8", t.ID, "told not_run %s after it was sent, deadline %s", t.Answered.Sub(t.Intended), t.Deadline)
 	}
@@ -226,35 +226,35 @@
 
 // Left is P5: no execution began on a replica later than grace after it was
 // said to leave.
-func Left(journal []api.Execution, replica string, at time.Time, grace time.Duration) []Violation {
+func StartedAfterLeaving(journal []api.Execution, replica string, at time.Time, grace time.Duration) []Violation {
 	var out []Violation
 	for _, x := range journal {
 		if after := time.UnixMicro(x.StartUS).Sub(at); x.Replica == replica && after > grace {
-			out = append(out, Violation{Row: "P5", ID: x.Request, Text: fmt.Sprintf("began on %s %s after it left", replica, after)})
+			out = append(out, Violation{Guarantee: "P5", ID: x.Request, Text: fmt.Sprintf("began on %s %s after it left", replica, after)})
 		}
 	}
 	return out
 }
 
 // Unended is P6: every request was answered, and as done.
-func Unended(told []Told) []Violation {
+func NotDone(told []Response) []Violation {
 	var out []Violation
 	for _, t := range told {
 		if t.Outcome != outcome.Done {
 			text := fmt.Sprintf("not done but %q, code %q, status %d", t.Outcome, t.Code, t.Status)
-			out = append(out, Violation{Row: "P6", ID: t.ID, Text: strings.TrimSpace(text)})
+			out = append(out, Violation{Guarantee: "P6", ID: t.ID, Text: strings.TrimSpace(text)})
 		}
 	}
 	return out
 }
 
 // Fenced is P9: no engine that checks obeys a token lower than one it has obeyed.
-func Fenced(orders []api.Ordered) []Violation {
+func StaleFences(orders []api.Ordered) []Violation {
 	highest := make(map[string]uint64)
 	var out []Violation
 	for _, o := range orders {
 		if o.Obeyed && o.Fence < highest[o.Replica] {
-			out = append(out, Violation{Row: "P9", ID: o.Replica, Text: fmt.Sprintf("obeyed token %d after %d", o.Fence, highest[o.Replica])})
+			out = append(out, Violation{Guarantee: "P9", ID: o.Replica, Text: fmt.Sprintf("obeyed token %d after %d", o.Fence, highest[o.Replica])})
 		}
 		if o.Obeyed {
 			highest[o.Replica] = o.Fence
--- a/cmd/check/check_test.go
+++ b/cmd/check/check_test.go
@@ -19,10 +19,10 @@
 }}
 
 // good is a history that keeps every promise.
-func good() ([]Told, []api.Execution) {
-	out := Expect(&testFleet.Pipelines[0], "in")
+func good() ([]Response, []api.Execution) {
+	out := ExpectedOutput(&testFleet.Pipelines[0], "in")
 	t0 := time.Now()
-	told := []Told{
+	told := []Response{
 		{Pipeline: "p", Input: "in", ID: "1", Outcome: outcome.Done, Output: out, Count: len(out), Digest: upstream.Digest([]byte(out)),
 			Stages: []api.Stage{{Name: "a"}, {Name: "b"}}, Intended: t0, Answered: t0, Deadline: time.Second},
 		{Pipeline: "p", Input: "no", ID: "2", Outcome: outcome.NotRun, Intended: t0, Answered: t0, Deadline: time.Second},
@@ -39,7 +39,7 @@
 func rows(vs []Violation) map[string]bool {
 	out := make(map[string]bool)
 	for _, v := range vs {
-		out[v.Row] = true
+		out[v.Guarantee] = true
 	}
 	return out
 }
@@ -52,42 +52,42 @@
 func TestEachViolationIsCalledOne(t *testing.T) {
 	cases := []struct {
 		name, row string
-		spoil     func(told []Told, journal []api.Execution) ([]Told, []api.Execution)
+		spoil     func(told []Response, journal []api.Execution) ([]Response, []api.Execution)
 	}{
-		{"another request's answer", "P1", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
-			t[0].Output = Expect(&testFleet.Pipelines[0], "other")
+		{"another request's answer", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+			t[0].Output = ExpectedOutput(&testFleet.Pipelines[0], "other")
 			t[0].Digest = upstream.Digest([]byte(t[0].Output))
 			return t, j
 		}},
-		{"a stage missing from the report", "P1", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"a stage missing from the report", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[0].Stages = t[0].Stages[:1]
 			return t, j
 		}},
-		{"a stage that no replica ended", "P1", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"a stage that no replica ended", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			j[1].EndUS = 0
 			return t, j
 		}},
-		{"a cut answer", "P2", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"a cut answer", "P2", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[0].Output = t[0].Output[:3]
 			return t, j
 		}},
-		{"not_run that ran", "P3", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"not_run that ran", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			return t, append(j, api.Execution{Request: "2", Stage: "a", Op: "x"})
 		}},
-		{"a retry told not_run of a number that ran", "P3", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"a retry told not_run of a number that ran", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			again := t[2]
 			again.ID, again.Outcome = "", outcome.NotRun
 			return append(t, again), j
 		}},
-		{"one id twice", "P4", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"one id twice", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			return t, append(j, j[2])
 		}},
-		{"one number under two ids", "P4", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"one number under two ids", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			x := j[2]
 			x.Request = "r.9"
 			return t, append(j, x)
 		}},
-		{"a refusal held back", "P8", func(t []Told, j []api.Execution) ([]Told, []api.Execution) {
+		{"a refusal held back", "P8", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[1].Answered = t[1].Intended.Add(3 * time.Second)
 			return t, j
 		}},
@@ -104,7 +104,7 @@
 	is := is.New(t)
 	at := time.Now()
 	late := []api.Execution{{Replica: "r", StartUS: at.Add(4 * time.Second).UnixMicro()}}
-	is.Equal(len(Left(late, "r", at, 3*time.Second)), 1)
-	is.Equal(len(Left(late, "r", at, 5*time.Second)), 0)
-	is.Equal(len(Unended([]Told{{Outcome: outcome.Done}, {}, {Outcome: outcome.NotRun}})), 2)
+	is.Equal(len(StartedAfterLeaving(late, "r", at, 3*time.Second)), 1)
+	is.Equal(len(StartedAfterLeaving(late, "r", at, 5*time.Second)), 0)
+	is.Equal(len(NotDone([]Response{{Outcome: outcome.Done}, {}, {Outcome: outcome.NotRun}})), 2)
 }
--- a/cmd/coord/owner.go
+++ b/cmd/coord/owner.go
@@ -73,7 +73,7 @@
 			}
 			return
 		}
-		known, answered := o.coord.slots.Ask(b.Ask.GetService(), ask)
+		known, answered := o.coord.slots.Submit(b.Ask.GetService(), ask)
 		switch {
 		case !known:
 			o.deliver(b.Ask.GetService(), scheduler.Action{Task: ask.ID, Holder: name, Reason: scheduler.NoReplica})
@@ -82,7 +82,7 @@
 		}
 	case *pb.PermitFrame_Done:
 		d := b.Done
-		o.coord.slots.Done(d.GetService(), d.GetPermit(), convert.FromMicros(d.GetTookUs()), d.GetFailed())
+		o.coord.slots.Release(d.GetService(), d.GetPermit(), convert.FromMicros(d.GetTookUs()), d.GetFailed())
 	case *pb.PermitFrame_Cancel:
 		o.coord.slots.Cancel(b.Cancel.GetService(), b.Cancel.GetId(), name)
 	}
--- a/cmd/entry/slots.go
+++ b/cmd/entry/slots.go
@@ -112,7 +112,7 @@
 	a.Deadline = c.local.Now() + left
 	c.waiting.Put(a.ID, ch)
 	defer c.waiting.Delete(a.ID)
-	if known, _ := c.local.Ask(service, a); !known {
+	if known, _ := c.local.Submit(service, a); !known {
 		return nil, scheduler.Action{Reason: scheduler.NoReplica}
 	}
 	t := time.NewTimer(left)
@@ -132,7 +132,7 @@
 	}
 	return &slot{replica: ans.Replica, done: func(took time.Duration, failed bool) {
 		if ans.from == nil {
-			c.local.Done(service, ans.Permit, took, failed)
+			c.local.Release(service, ans.Permit, took, failed)
 			return
 		}
 		ans.from.send(doneFrame(service, ans.Permit, took, failed))
--- a/cmd/load/caller.go
+++ b/cmd/load/caller.go
@@ -36,9 +36,9 @@
 // Caller is one customer's program: it asks which addresses to use, keeps the
 // answer for its lifetime, and calls them.
 type Caller struct {
-	Key   string
-	Hall  string
-	Known []string // IP:port of some entries, to ask first
+	Key     string
+	Hall    string
+	Entries []string // IP:port of some entries, to ask first
 
 	http   *fasthttp.Client
 	mu     sync.Mutex
@@ -50,7 +50,7 @@
 
 // NewCaller returns a caller that has asked nobody yet.
 func NewCaller(key, hall string, known []string) *Caller {
-	c := &Caller{Key: key, Hall: hall, Known: known, http: web.NewClient()}
+	c := &Caller{Key: key, Hall: hall, Entries: known, http: web.NewClient()}
 	c.http.MaxConnsPerHost = maxConns
 	c.http.MaxIdleConnDuration = idleFor
 	return c
@@ -65,11 +65,11 @@
 	if time.Now().Before(c.until) {
 		return c.answer, nil
 	}
-	ask := make([]string, 0, len(c.Known)+len(c.answer.Addresses))
+	ask := make([]string, 0, len(c.Entries)+len(c.answer.Addresses))
 	for _, a := range c.answer.Addresses {
 		ask = append(ask, a.Address)
 	}
-	for i, addr := range append(ask, c.Known...) {
+	for i, addr := range append(ask, c.Entries...) {
 		if i >= mostAsked {
 			break
 		}
@@ -85,7 +85,7 @@
 }
 
 // Forget makes the next call ask anew.
-func (c *Caller) Forget() {
+func (c *Caller) ExpireAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = time.Time{}
@@ -113,7 +113,7 @@
 	Input    string
 	Deadline time.Duration
 	Stream   bool
-	Numbered bool   // under a ticket
+	Ticketed bool   // under a ticket
 	Ticket   string // a retry's; "" takes the next number
 	Address  string // "" takes one of the answer's
 	Label    string // the caller's own id for it
@@ -121,23 +121,23 @@
 }
 
 // Do sends one request and returns what the caller was told.
-func (c *Caller) Do(q Request) check.Told {
-	t := check.Told{Label: q.Label, Pipeline: q.Pipeline, Input: q.Input, Deadline: q.Deadline, Intended: q.Intended, Ticket: q.Ticket}
+func (c *Caller) Do(q Request) check.Response {
+	t := check.Response{Label: q.Label, Pipeline: q.Pipeline, Input: q.Input, Deadline: q.Deadline, Intended: q.Intended, Ticket: q.Ticket}
 	if t.Intended.IsZero() {
 		t.Intended = time.Now()
 	}
 	addr := q.Address
-	if addr == "" || (q.Numbered && q.Ticket == "") {
+	if addr == "" || (q.Ticketed && q.Ticket == "") {
 		a, err := c.Addresses()
 		if err != nil {
 			t.Answered, t.Code = time.Now(), err.Error()
 			return t
 		}
-		if q.Numbered && q.Ticket == "" {
+		if q.Ticketed && q.Ticket == "" {
 			t.Ticket = fmt.Sprintf("%s.%d", a.Ticket, c.number.Add(1))
 		}
 		switch {
-		case addr == "" && q.Numbered:
+		case addr == "" && q.Ticketed:
 			addr = a.Home // any other would have to forward it there
 		case addr == "":
 			addr = a.Addresses[c.turn.Add(1)%uint64(len(a.Addresses))].Address
@@ -161,8 +161,8 @@
 }
 
 // elsewhere tries the other addresses in turn, as a caller does whose entry is gone.
-func (c *Caller) elsewhere(gone string, q Request, t *check.Told) error {
-	c.Forget()
+func (c *Caller) elsewhere(gone string, q Request, t *check.Response) error {
+	c.ExpireAddresses()
 	a, err := c.Addresses()
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return err
 }
 
-func (c *Caller) post(addr string, q Request, t *check.Told) error {
+func (c *Caller) post(addr string, q Request, t *check.Response) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -207,7 +207,7 @@
 }
 
 // readAnswer fills t from a whole answer or an error; both have its fields.
-func readAnswer(body []byte, t *check.Told) error {
+func readAnswer(body []byte, t *check.Response) error {
 	var a struct {
 		api.RunAnswer
 		Code string `json:"code"`
@@ -223,7 +223,7 @@
 // errCut is a stream without its end event.
 var errCut = errors.New("the stream was cut")
 
-func readStream(body []byte, t *check.Told) error {
+func readStream(body []byte, t *check.Response) error {
 	var output strings.Builder
 	sc := bufio.NewScanner(bytes.NewReader(body))
 	sc.Buffer(nil, len(body)+1)
--- a/cmd/load/load.go
+++ b/cmd/load/load.go
@@ -23,28 +23,28 @@
 	Share    float64
 	Deadline time.Duration
 	Stream   bool
-	Numbered bool
-	Only     []string // entries to use in turn, whatever the address answers say
+	Ticketed bool
+	Entries  []string // entries to use in turn, whatever the address answers say
 }
 
 // Phase is a time with one rate.
 type Phase struct {
-	For  time.Duration
-	Rate float64 // requests a second
+	Duration time.Duration
+	Rate     float64 // requests a second
 }
 
 // Options describe one load.
 type Options struct {
-	Known  []string // entries to ask for addresses
-	Mix    []Mix
-	Phases []Phase
-	Seed   uint64
+	Entries []string // entries to ask for addresses
+	Mix     []Mix
+	Phases  []Phase
+	Seed    uint64
 }
 
 // Result is what a load brought.
 type Result struct {
-	Told  []check.Told
-	Began time.Time
+	Responses []check.Response
+	Start     time.Time
 }
 
 // Run sends the load, open loop: each request goes out at its own time,
@@ -54,17 +54,17 @@
 	callers := make([]*Caller, len(o.Mix))
 	total := 0.0
 	for i, m := range o.Mix {
-		callers[i] = NewCaller("key-"+m.Customer, m.Hall, o.Known)
+		callers[i] = NewCaller("key-"+m.Customer, m.Hall, o.Entries)
 		_, _ = callers[i].Addresses()
 		total += m.Share
 	}
-	res := &Result{Began: time.Now()}
+	res := &Result{Start: time.Now()}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	at := res.Began
+	at := res.Start
 	n := 0
 	for _, ph := range o.Phases {
-		for end := at.Add(ph.For); ; n++ {
+		for end := at.Add(ph.Duration); ; n++ {
 			at = at.Add(time.Duration(rnd.ExpFloat64() / ph.Rate * float64(time.Second)))
 			if at.After(end) {
 				at = end
@@ -74,11 +74,11 @@
 			m := o.Mix[i]
 			q := Request{
 				Pipeline: m.Pipeline, Input: input(m, o.Seed, n, rnd), Deadline: m.Deadline,
-				Stream: m.Stream, Numbered: m.Numbered, Intended: at,
+				Stream: m.Stream, Ticketed: m.Ticketed, Intended: at,
 				Label: fmt.Sprintf("s%d-%d", o.Seed, n),
 			}
-			if len(m.Only) > 0 {
-				q.Address = m.Only[n%len(m.Only)]
+			if len(m.Entries) > 0 {
+				q.Address = m.Entries[n%len(m.Entries)]
 			}
 			time.Sleep(time.Until(at))
 			wg.Go(func() {
@@ -86,7 +86,7 @@
 				t.Customer = m.Customer
 				mu.Lock()
 				defer mu.Unlock()
-				res.Told = append(res.Told, t)
+				res.Responses = append(res.Responses, t)
 			})
 		}
 	}
@@ -112,23 +112,23 @@
 // Summary is a load's figures.
 type Summary struct {
 	Sent       int
-	Whole      int // done within the deadline
+	InTime     int // done within the deadline
 	Attainment float64
 	ByOutcome  map[outcome.Kind]int
 	P50, P99   time.Duration // of the whole ones, from the intended time
 	Cost       float64       // units spent on answers that came
 	StageTime  time.Duration // of the whole ones
-	ByCustomer map[string]Share
+	ByCustomer map[string]CustomerCounts
 }
 
 // Share is how many of a customer's requests were whole in time.
-type Share struct{ Sent, Whole int }
+type CustomerCounts struct{ Sent, InTime int }
 
 // Attainment is the share as a number.
-func (s Share) Attainment() float64 { return float64(s.Whole) / float64(max(s.Sent, 1)) }
+func (s CustomerCounts) Attainment() float64 { return float64(s.InTime) / float64(max(s.Sent, 1)) }
 
 // Whole reports whether the request was answered whole within its deadline.
-func Whole(t *check.Told) bool {
+func IsInTime(t *check.Response) bool {
 	return t.Outcome == outcome.Done && t.Answered.Sub(t.Intended) <= t.Deadline
 }
 
@@ -139,10 +139,10 @@
 
 // Summarize works out a load's figures.
 func (r *Result) Summarize() Summary {
-	s := Summary{Sent: len(r.Told), ByOutcome: make(map[outcome.Kind]int), ByCustomer: make(map[string]Share)}
+	s := Summary{Sent: len(r.Responses), ByOutcome: make(map[outcome.Kind]int), ByCustomer: make(map[string]CustomerCounts)}
 	h := hdr.New(1, maxLatencyUS, digits)
-	for i := range r.Told {
-		t := &r.Told[i]
+	for i := range r.Responses {
+		t := &r.Responses[i]
 		kind := t.Outcome
 		if t.Status == 0 || kind == "" {
 			kind = "no_answer"
@@ -153,20 +153,20 @@
 		}
 		share := s.ByCustomer[t.Customer]
 		share.Sent++
-		if Whole(t) {
-			share.Whole++
+		if IsInTime(t) {
+			share.InTime++
 		}
 		s.ByCustomer[t.Customer] = share
-		if !Whole(t) {
+		if !IsInTime(t) {
 			continue
 		}
-		s.Whole++
+		s.InTime++
 		_ = h.RecordValue(t.Answered.Sub(t.Intended).Microseconds()) // in range: a whole one is within its deadline
 		for _, st := range t.Stages {
 			s.StageTime += time.Duration(st.TimeMS * float64(time.Millisecond))
 		}
 	}
-	s.Attainment = float64(s.Whole) / float64(max(s.Sent, 1))
+	s.Attainment = float64(s.InTime) / float64(max(s.Sent, 1))
 	s.P50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	s.P99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	return s
@@ -175,7 +175,7 @@
 // String returns the figures in one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, whole in time %d (%.3f), p50 %s, p99 %s, outcomes %v, cost %.1f",
-		s.Sent, s.Whole, s.Attainment, s.P50, s.P99, s.ByOutcome, s.Cost)
+		s.Sent, s.InTime, s.Attainment, s.P50, s.P99, s.ByOutcome, s.Cost)
 }
 
 // Journal reads a stand-in upstream's journal from its control address.
--- a/cmd/quince-load/main.go
+++ b/cmd/quince-load/main.go
@@ -70,9 +70,9 @@
 }
 
 func run(f *fleet.Fleet, o options) error {
-	lo := load.Options{Known: strings.Split(o.entries, ","), Seed: o.seed, Phases: []load.Phase{{For: o.duration, Rate: o.rate}}}
+	lo := load.Options{Entries: strings.Split(o.entries, ","), Seed: o.seed, Phases: []load.Phase{{Duration: o.duration, Rate: o.rate}}}
 	if o.burst > 0 {
-		lo.Phases = append(lo.Phases, load.Phase{For: o.burstFor, Rate: o.burst}, load.Phase{For: o.duration, Rate: o.rate})
+		lo.Phases = append(lo.Phases, load.Phase{Duration: o.burstFor, Rate: o.burst}, load.Phase{Duration: o.duration, Rate: o.rate})
 	}
 	for i, p := range f.Pipelines {
 		if o.pipeline != "" && o.pipeline != p.Name {
@@ -80,7 +80,7 @@
 		}
 		lo.Mix = append(lo.Mix, load.Mix{
 			Customer: f.Customers[i%len(f.Customers)].Name, Hall: f.Halls[i%len(f.Halls)],
-			Pipeline: p.Name, Share: 1, Deadline: p.Deadline(), Numbered: !p.Repeatable,
+			Pipeline: p.Name, Share: 1, Deadline: p.Deadline(), Ticketed: !p.Repeatable,
 		})
 	}
 	if len(lo.Mix) == 0 {
@@ -95,11 +95,11 @@
 	if err != nil {
 		return err
 	}
-	found := check.All(f, res.Told, journal)
+	found := check.All(f, res.Responses, journal)
 	for _, v := range found {
 		fmt.Println("violation:", v)
 	}
-	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Told), len(journal), len(found))
+	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Responses), len(journal), len(found))
 	if len(found) > 0 {
 		return fmt.Errorf("%d violations", len(found))
 	}
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -88,7 +88,7 @@
 
 // Ask passes an ask on. It tells whether the service is known here, and
 // whether the ask has its answer already; else it waits in the queue.
-func (h *Host) Ask(name string, a scheduler.Task) (known, answered bool) {
+func (h *Host) Submit(name string, a scheduler.Task) (known, answered bool) {
 	known = h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 		actions := s.Submit(now, a)
 		for _, x := range actions {
@@ -106,7 +106,7 @@
 }
 
 // Done returns a permit's slot; took of zero means that it was not used.
-func (h *Host) Done(name string, permit uint64, took time.Duration, failed bool) {
+func (h *Host) Release(name string, permit uint64, took time.Duration, failed bool) {
 	h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 		return s.Release(now, permit, took, failed)
 	})
--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -22,14 +22,14 @@
 		mix = append(mix, load.Mix{
 			Customer: r.Fleet.Customers[i%len(r.Fleet.Customers)].Name,
 			Hall:     r.Fleet.Halls[i%len(r.Fleet.Halls)], Pipeline: p.Name, Share: 1,
-			Deadline: p.Deadline(), Stream: i == 0, Numbered: !p.Repeatable,
+			Deadline: p.Deadline(), Stream: i == 0, Ticketed: !p.Repeatable,
 		})
 	}
 	return mix
 }
 
 func runLoad(r *rig.Rig, rate float64, d time.Duration) *load.Result {
-	return load.Run(load.Options{Known: r.Entries(), Mix: mixOf(r), Phases: []load.Phase{{For: d, Rate: rate}}, Seed: 7})
+	return load.Run(load.Options{Entries: r.Entries(), Mix: mixOf(r), Phases: []load.Phase{{Duration: d, Rate: rate}}, Seed: 7})
 }
 
 // replicasOf names the first n replicas of a service.
@@ -59,7 +59,7 @@
 	}
 	res := runLoad(r, 150, 4*time.Second)
 	t.Log(res.Summarize())
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	if whole := res.Summarize().ByOutcome[outcome.Done]; whole < res.Summarize().Sent/2 {
 		t.Errorf("%d of %d done: the faults reach a few replicas of each service", whole, res.Summarize().Sent)
 	}
@@ -73,7 +73,7 @@
 		must(t, r.FaultUpstream(upstream.Fault{Replica: id, CutAt: 2 + i%4}))
 	}
 	c := caller(r, 0)
-	var told []check.Told
+	var told []check.Response
 	resumed := 0
 	const least, most = 30, 300                              // streams
 	for n := 0; n < least || resumed == 0 && n < most; n++ { // entries soon know who cuts and leave it alone: of 30 few are resumed, at times none
@@ -103,7 +103,7 @@
 	res := runLoad(r, 700, 3*time.Second)
 	sum := res.Summarize()
 	t.Log(sum)
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	if sum.ByOutcome[outcome.NotRun] < 50 {
 		t.Errorf("%d refusals: the load was no overload", sum.ByOutcome[outcome.NotRun])
 	}
@@ -121,7 +121,7 @@
 	c := caller(r, 0)
 	runLoad(r, 100, 2*time.Second) // the entries learn how long stages take here
 	const requests, deadline = 400, 2 * time.Second
-	told := make([]check.Told, requests)
+	told := make([]check.Response, requests)
 	var wg sync.WaitGroup
 	for i := range told {
 		wg.Go(func() {
--- a/proctest/capacity/added.go
+++ b/proctest/capacity/added.go
@@ -17,9 +17,9 @@
 		inSlots[x.Request] += time.Duration(x.EndUS-x.StartUS) * time.Microsecond
 	}
 	var over []float64
-	for i := range res.Told {
-		t := &res.Told[i]
-		if load.Whole(t) {
+	for i := range res.Responses {
+		t := &res.Responses[i]
+		if load.IsInTime(t) {
 			took := t.Answered.Sub(t.Intended) - inSlots[t.ID]
 			over = append(over, float64(took)/float64(time.Millisecond))
 		}
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -255,5 +255,5 @@
 	for _, h := range r.Fleet.Halls {
 		mix = append(mix, load.Mix{Customer: "shaft-supervisors", Hall: h, Pipeline: "bylaw-answer", Share: 1, Deadline: 2 * time.Second})
 	}
-	return load.Run(load.Options{Known: r.Entries(), Mix: mix, Phases: []load.Phase{{For: d, Rate: rate}}, Seed: 3})
+	return load.Run(load.Options{Entries: r.Entries(), Mix: mix, Phases: []load.Phase{{Duration: d, Rate: rate}}, Seed: 3})
 }
--- a/proctest/demo/main.go
+++ b/proctest/demo/main.go
@@ -77,21 +77,21 @@
 		c := r.Fleet.Customers[i%len(r.Fleet.Customers)]
 		mix = append(mix, load.Mix{
 			Customer: c.Name, Hall: r.Fleet.Halls[i%len(r.Fleet.Halls)], Pipeline: p.Name, Share: 1,
-			Deadline: min(deadline, p.Deadline()), Stream: i%2 == 0 && p.Repeatable, Numbered: !p.Repeatable,
+			Deadline: min(deadline, p.Deadline()), Stream: i%2 == 0 && p.Repeatable, Ticketed: !p.Repeatable,
 		})
 	}
-	res := load.Run(load.Options{Known: r.Entries(), Mix: mix, Phases: []load.Phase{{For: duration, Rate: rate}}, Seed: 1})
+	res := load.Run(load.Options{Entries: r.Entries(), Mix: mix, Phases: []load.Phase{{Duration: duration, Rate: rate}}, Seed: 1})
 	sum := res.Summarize()
 	fmt.Println(sum)
 	journal, err := r.Journal()
 	if err != nil {
 		return err
 	}
-	found := check.All(r.Fleet, res.Told, journal)
+	found := check.All(r.Fleet, res.Responses, journal)
 	for _, v := range found {
 		fmt.Println("violation:", v)
 	}
-	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Told), len(journal), len(found))
+	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Responses), len(journal), len(found))
 	switch {
 	case len(found) > 0:
 		return fmt.Errorf("%d violations", len(found))
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -53,15 +53,15 @@
 			return nil, err
 		}
 	}
-	o := load.Options{Known: r.Entries(), Mix: s.mix(r), Seed: seed}
+	o := load.Options{Entries: r.Entries(), Mix: s.mix(r), Seed: seed}
 	n := bottleneck(r.Fleet, standins, o.Mix)
 	for _, st := range s.phases {
 		rate := st.share * n.rate()
-		o.Phases = append(o.Phases, load.Phase{For: time.Duration(st.seconds * float64(time.Second)), Rate: rate})
+		o.Phases = append(o.Phases, load.Phase{Duration: time.Duration(st.seconds * float64(time.Second)), Rate: rate})
 	}
 	faulted := make(chan error, 1)
 	if s.fault != nil {
-		time.AfterFunc(o.Phases[0].For, func() { faulted <- s.fault(r) })
+		time.AfterFunc(o.Phases[0].Duration, func() { faulted <- s.fault(r) })
 	} else {
 		faulted <- nil
 	}
@@ -73,13 +73,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &figures{Violations: len(check.All(r.Fleet, res.Told, journal)), StageCost: make(map[string]float64)}
+	f := &figures{Violations: len(check.All(r.Fleet, res.Responses, journal)), StageCost: make(map[string]float64)}
 	// The first phase teaches the estimates; it is not counted.
-	res.Told = slices.DeleteFunc(res.Told, func(t check.Told) bool { return t.Intended.Before(res.Began.Add(o.Phases[0].For)) })
+	res.Responses = slices.DeleteFunc(res.Responses, func(t check.Response) bool { return t.Intended.Before(res.Start.Add(o.Phases[0].Duration)) })
 	f.Summary = res.Summarize()
-	f.account(r.Fleet, res.Told, journal)
-	f.Busy = n.busy(res.Told, journal)
-	f.Bound = n.bound(res.Told)
+	f.account(r.Fleet, res.Responses, journal)
+	f.Busy = n.busy(res.Responses, journal)
+	f.Bound = n.bound(res.Responses)
 	return f, nil
 }
 
@@ -96,7 +96,7 @@
 
 // busy is the share of the slots' time between the first and the last arrival
 // in which they ran something.
-func (n neck) busy(told []check.Told, journal []api.Execution) float64 {
+func (n neck) busy(told []check.Response, journal []api.Execution) float64 {
 	if len(told) == 0 {
 		return 0
 	}
@@ -134,12 +134,12 @@
 }
 
 // account works out wasted time and cost by stage from the journal.
-func (f *figures) account(fl *fleet.Fleet, told []check.Told, journal []api.Execution) {
+func (f *figures) account(fl *fleet.Fleet, told []check.Response, journal []api.Execution) {
 	whole := make(map[string]bool)
 	counted := make(map[string]bool)
 	for i := range told {
 		counted[told[i].ID] = true
-		whole[told[i].ID] = load.Whole(&told[i])
+		whole[told[i].ID] = load.IsInTime(&told[i])
 	}
 	var all, wasted time.Duration
 	for _, x := range journal {
@@ -152,7 +152,7 @@
 			wasted += took
 		}
 		if svc, ok := fl.Service(x.Service); ok {
-			f.StageCost[x.Service] += took.Seconds() * svc.Cost / float64(max(f.Whole, 1))
+			f.StageCost[x.Service] += took.Seconds() * svc.Cost / float64(max(f.InTime, 1))
 		}
 	}
 	f.Wasted = float64(wasted) / float64(max(all, 1))
@@ -160,7 +160,7 @@
 }
 
 // refusedAfter is the median time until a refusal was told.
-func refusedAfter(told []check.Told) time.Duration {
+func refusedAfter(told []check.Response) time.Duration {
 	var took []time.Duration
 	for _, t := range told {
 		if t.Outcome == "not_run" {
@@ -178,8 +178,8 @@
 // knowing all times beforehand: in any window the whole ones' work at the
 // bottleneck must fit its slots from the window's start to its last deadline.
 // Taking the shortest first counts the most that fit.
-func (n neck) bound(told []check.Told) float64 {
-	slices.SortFunc(told, func(a, b check.Told) int { return a.Intended.Compare(b.Intended) })
+func (n neck) bound(told []check.Response) float64 {
+	slices.SortFunc(told, func(a, b check.Response) int { return a.Intended.Compare(b.Intended) })
 	took := make([]time.Duration, len(told))
 	for i, t := range told {
 		took[i] = work.Time(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
@@ -196,7 +196,7 @@
 	return float64(most) / float64(max(len(told), 1))
 }
 
-func fits(told []check.Told, took []time.Duration, slots int) int {
+func fits(told []check.Response, took []time.Duration, slots int) int {
 	if len(told) == 0 {
 		return 0
 	}
--- a/proctest/experiment/scenario.go
+++ b/proctest/experiment/scenario.go
@@ -78,7 +78,7 @@
 	var out []load.Mix
 	for _, h := range r.Fleet.Halls {
 		out = append(out, load.Mix{
-			Customer: customer, Hall: h, Pipeline: pipeline, Numbered: numbered,
+			Customer: customer, Hall: h, Pipeline: pipeline, Ticketed: numbered,
 			Share: share / float64(len(r.Fleet.Halls)), Deadline: deadline,
 		})
 	}
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -43,7 +43,7 @@
 				left <- time.Now()
 			})
 			res := runLoad(r, 150, 7*time.Second)
-			verdict(t, r, res.Told)
+			verdict(t, r, res.Responses)
 			at := <-left
 			journal, err := r.Journal()
 			must(t, err)
@@ -56,7 +56,7 @@
 			if before == 0 {
 				t.Error("the replica had no work before it left")
 			}
-			for _, v := range check.Left(journal, "encoder-1", at, leaveGrace) {
+			for _, v := range check.StartedAfterLeaving(journal, "encoder-1", at, leaveGrace) {
 				t.Error(v)
 			}
 		})
@@ -79,10 +79,10 @@
 		left <- time.Now()
 	})
 	res := runLoad(r, 200, 7*time.Second)
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	journal, err := r.Journal()
 	must(t, err)
-	for _, v := range check.Left(journal, "encoder-1", <-left, leaveGrace) {
+	for _, v := range check.StartedAfterLeaving(journal, "encoder-1", <-left, leaveGrace) {
 		t.Error(v)
 	}
 }
@@ -117,8 +117,8 @@
 	}
 	wg.Wait()
 	t.Log(res.Summarize())
-	verdict(t, r, res.Told)
-	for _, v := range check.Unended(res.Told) {
+	verdict(t, r, res.Responses)
+	for _, v := range check.NotDone(res.Responses) {
 		t.Error(v)
 	}
 }
@@ -242,7 +242,7 @@
 		t.Error("a confirmation while the platform is down was not refused")
 	}
 	res := runLoad(r, 60, 2*time.Second)
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	stop()
 }
 
@@ -267,7 +267,7 @@
 	must(t, r.FaultPlatform(platform.Faults{}))
 	loseNewest(t, r)
 	res := runLoad(r, 60, 3*time.Second)
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	stop()
 	must(t, r.WaitRevision(d.Revision))
 	next := plan(t, r, r.Instances[1], changed(r, 2))
@@ -346,7 +346,7 @@
 	cut(true)
 	res := runLoad(r, 60, 5*time.Second)
 	t.Log(res.Summarize())
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	if allAlive(t, r) {
 		t.Error("nobody noticed the cut")
 	}
--- a/proctest/limits_test.go
+++ b/proctest/limits_test.go
@@ -23,11 +23,11 @@
 	must(t, err)
 	send := func(at []string, perSecond float64) (refused, sent int) {
 		res := load.Run(load.Options{
-			Known: at, Seed: 5, Phases: []load.Phase{{For: seconds * time.Second, Rate: perSecond}},
-			Mix: []load.Mix{{Customer: "archive-clerks", Pipeline: "desk-lookup", Share: 1, Deadline: 500 * time.Millisecond, Only: at}},
+			Entries: at, Seed: 5, Phases: []load.Phase{{Duration: seconds * time.Second, Rate: perSecond}},
+			Mix: []load.Mix{{Customer: "archive-clerks", Pipeline: "desk-lookup", Share: 1, Deadline: 500 * time.Millisecond, Entries: at}},
 		})
-		for _, x := range res.Told {
-			if x.Intended.Before(res.Began.Add(2 * time.Second)) {
+		for _, x := range res.Responses {
+			if x.Intended.Before(res.Start.Add(2 * time.Second)) {
 				continue // the shares settle
 			}
 			sent++
--- a/proctest/main_test.go
+++ b/proctest/main_test.go
@@ -91,7 +91,7 @@
 }
 
 // verdict fails the test for every broken promise.
-func verdict(t testing.TB, r *rig.Rig, told []check.Told) {
+func verdict(t testing.TB, r *rig.Rig, told []check.Response) {
 	t.Helper()
 	journal, err := r.Journal()
 	if err != nil {
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -30,7 +30,7 @@
 }
 
 func fieldReport(input string) load.Request {
-	return load.Request{Pipeline: "field-report", Input: input, Deadline: time.Second, Numbered: true}
+	return load.Request{Pipeline: "field-report", Input: input, Deadline: time.Second, Ticketed: true}
 }
 
 // homeOf returns the instance whose entry a caller's tickets belong to.
@@ -59,7 +59,7 @@
 }
 
 // again repeats a numbered request at an instance.
-func again(c *load.Caller, first check.Told, in *rig.Instance) check.Told {
+func again(c *load.Caller, first check.Response, in *rig.Instance) check.Response {
 	q := fieldReport(first.Input)
 	q.Ticket, q.Address = first.Ticket, in.Settings.Entry.HTTP
 	return c.Do(q)
@@ -73,7 +73,7 @@
 	must(t, err)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var told []check.Told
+	var told []check.Response
 	const numbers = 10
 	for n := range numbers {
 		for _, in := range r.Instances {
@@ -110,12 +110,12 @@
 	home.Entry.Freeze()
 	q := fieldReport("frozen")
 	q.Ticket, q.Address = a.Ticket+".1", home.Settings.Entry.HTTP
-	var first check.Told
+	var first check.Response
 	var wg sync.WaitGroup
 	wg.Go(func() { first = c.Do(q) })
-	told := []check.Told{}
+	told := []check.Response{}
 	for _, in := range others(r, home) {
-		x := again(c, check.Told{Input: q.Input, Ticket: q.Ticket}, in)
+		x := again(c, check.Response{Input: q.Input, Ticket: q.Ticket}, in)
 		if x.Outcome != outcome.Unknown {
 			t.Errorf("while the home is frozen: %s %s, want unknown", x.Outcome, x.Code)
 		}
@@ -125,7 +125,7 @@
 	wg.Wait()
 	told = append(told, first)
 	for _, in := range r.Instances {
-		told = append(told, again(c, check.Told{Input: q.Input, Ticket: q.Ticket}, in))
+		told = append(told, again(c, check.Response{Input: q.Input, Ticket: q.Ticket}, in))
 	}
 	verdict(t, r, told)
 	if n := executions(t, r, storeOp); n > 1 {
@@ -143,16 +143,16 @@
 	must(t, err)
 	q := fieldReport("killed")
 	q.Ticket, q.Address = a.Ticket+".1", home.Settings.Entry.HTTP
-	var first check.Told
+	var first check.Response
 	var wg sync.WaitGroup
 	wg.Go(func() { first = c.Do(q) })
 	waitExecutions(t, r, storeOp, 1)
 	home.Entry.Kill()
 	wg.Wait()
-	told := []check.Told{first}
+	told := []check.Response{first}
 	retry := func() {
 		for _, in := range r.Instances {
-			x := again(c, check.Told{Input: q.Input, Ticket: q.Ticket}, in)
+			x := again(c, check.Response{Input: q.Input, Ticket: q.Ticket}, in)
 			if x.Outcome == outcome.Done || x.Outcome == outcome.NotRun {
 				t.Errorf("after the kill: %s %s, want unknown or no answer", x.Outcome, x.Code)
 			}
@@ -175,8 +175,8 @@
 	must(t, r.FaultLink(proxy.Fault{Route: route, Cut: true}))
 	a, err := c.Addresses()
 	must(t, err)
-	first := check.Told{Input: "cut", Ticket: a.Ticket + ".1"}
-	var told []check.Told
+	first := check.Response{Input: "cut", Ticket: a.Ticket + ".1"}
+	var told []check.Response
 	for _, in := range others(r, home) {
 		x := again(c, first, in)
 		if x.Outcome != outcome.Unknown {
@@ -207,7 +207,7 @@
 		must(t, r.FaultUpstream(upstream.Fault{Replica: fmt.Sprintf("field-sync-%d", i), HangUp: true}))
 	}
 	c := caller(r, 0)
-	var told []check.Told
+	var told []check.Response
 	const numbers = 20
 	for n := range numbers {
 		x := c.Do(fieldReport(fmt.Sprintf("report %d", n)))
@@ -238,7 +238,7 @@
 	if code := home.Entry.Wait(); code != 0 {
 		t.Errorf("planned stop: exit code %d", code)
 	}
-	told := []check.Told{first}
+	told := []check.Response{first}
 	for _, in := range others(r, home) {
 		x := again(c, first, in)
 		if x.Outcome != outcome.Done || x.Digest != first.Digest {
@@ -246,7 +246,7 @@
 		}
 		told = append(told, x)
 	}
-	fresh := check.Told{Input: "after", Ticket: a.Ticket + ".77"}
+	fresh := check.Response{Input: "after", Ticket: a.Ticket + ".77"}
 	for _, in := range others(r, home) {
 		x := again(c, fresh, in)
 		if x.Outcome != outcome.Done {
@@ -271,7 +271,7 @@
 	}
 	_, err := r.Confirm(strings.Replace(r.Text, `name = "field-report"`, `name = "field-note"`, 1))
 	must(t, err)
-	told := []check.Told{first}
+	told := []check.Response{first}
 	for _, in := range r.Instances {
 		x := again(c, first, in)
 		if x.Outcome != outcome.Unknown {
@@ -303,11 +303,11 @@
 		}
 		return err != nil
 	}))
-	var told []check.Told
+	var told []check.Response
 	others := others(r, home)
 	after := 0
 	for n := 1; after < 20; n++ {
-		x := again(c, check.Told{Input: fmt.Sprintf("number %d", n), Ticket: fmt.Sprintf("%s.%d", a.Ticket, n)}, others[n%len(others)])
+		x := again(c, check.Response{Input: fmt.Sprintf("number %d", n), Ticket: fmt.Sprintf("%s.%d", a.Ticket, n)}, others[n%len(others)])
 		if x.Outcome != outcome.Done {
 			t.Errorf("number %d: %s %s, want done", n, x.Outcome, x.Code)
 		}
--- a/proctest/orders_test.go
+++ b/proctest/orders_test.go
@@ -83,7 +83,7 @@
 	old.Coord.Thaw()
 	must(t, r.WaitRevision(2))
 	orders := ordersOf(t, r)
-	for _, v := range check.Fenced(orders) {
+	for _, v := range check.StaleFences(orders) {
 		t.Error(v)
 	}
 	if !allServe(orders, "leaf-7b@2") {
--- a/proctest/outage_test.go
+++ b/proctest/outage_test.go
@@ -35,8 +35,8 @@
 	r := deploy(t, rig.Options{Example: kalahari})
 	must(t, r.FaultPlatform(platform.Faults{Down: true}))
 	res := runLoad(r, 60, 4*time.Second)
-	verdict(t, r, res.Told)
-	for _, v := range check.Unended(res.Told) {
+	verdict(t, r, res.Responses)
+	for _, v := range check.NotDone(res.Responses) {
 		t.Error("during the outage:", v)
 	}
 	before := platformStats(t, r)
@@ -71,7 +71,7 @@
 	if code := home.Entry.Wait(); code != 0 {
 		t.Errorf("planned stop: exit code %d", code)
 	}
-	told := []check.Told{first}
+	told := []check.Response{first}
 	for _, in := range others(r, home) {
 		x := again(c, first, in)
 		if x.Outcome != outcome.Unknown {
@@ -112,7 +112,7 @@
 	wg.Wait()
 	sum := res.Summarize()
 	t.Log(sum)
-	verdict(t, r, res.Told)
+	verdict(t, r, res.Responses)
 	if sum.ByOutcome[outcome.Done] < sum.Sent*9/10 {
 		t.Errorf("%d of %d done, with one of six entries killed and one frozen", sum.ByOutcome[outcome.Done], sum.Sent)
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	must(t, sc.Err())
-	if end.Outcome != outcome.Done || output.String() != check.Expect(p, "slowly") || end.Digest != upstream.Digest([]byte(output.String())) {
+	if end.Outcome != outcome.Done || output.String() != check.ExpectedOutput(p, "slowly") || end.Digest != upstream.Digest([]byte(output.String())) {
 		t.Errorf("%s: %q, digest %s", end.Outcome, output.String(), end.Digest)
 	}
 }
