--- a/cmd/coord/intent.go
+++ b/cmd/coord/api.go
@@ -14,9 +14,9 @@
 	"quinceroad/transport/web"
 )
 
-// handler serves the operators' intent API.
+// handler serves the operators' API.
 func (p *plans) handler(ctx *fasthttp.RequestCtx) {
-	by, ok := p.operator(ctx)
+	by, ok := p.authenticate(ctx)
 	if !ok {
 		event.OperatorDeny.Log(p.coord.log, "path", string(ctx.Path()))
 		fail(ctx, 401, "bad_token", "no operator has this token; send Authorization: Bearer TOKEN")
@@ -28,7 +28,7 @@
 	case len(path) == 2 && path[1] == "plans" && method == "POST":
 		p.servePlan(ctx, by)
 	case len(path) == 3 && path[1] == "plans" && method == "GET":
-		p.serveShow(ctx, path[2])
+		p.serveGetPlan(ctx, path[2])
 	case len(path) == 4 && path[1] == "plans" && path[3] == "confirm" && method == "POST":
 		p.serveConfirm(ctx, path[2], by)
 	case len(path) == 2 && path[1] == "status" && method == "GET":
@@ -44,11 +44,11 @@
 	}
 }
 
-// operator returns who calls, by a token compared in constant time.
-func (p *plans) operator(ctx *fasthttp.RequestCtx) (string, bool) {
+// authenticate returns the operator whose token the request carries, compared in constant time.
+func (p *plans) authenticate(ctx *fasthttp.RequestCtx) (string, bool) {
 	digest := web.Digest(web.Bearer(ctx))
 	name, found := "", false
-	for _, o := range p.coord.set.Operators {
+	for _, o := range p.coord.settings.Operators {
 		if web.SameDigest(o.TokenSHA256, digest) {
 			name, found = o.Name, true
 		}
@@ -57,11 +57,11 @@
 }
 
 func (p *plans) servePlan(ctx *fasthttp.RequestCtx, by string) {
-	plan, err := p.make(string(ctx.PostBody()), by)
-	var found settings.Findings
+	plan, err := p.create(string(ctx.PostBody()), by)
+	var findings settings.Findings
 	switch {
-	case errors.As(err, &found):
-		web.JSON(ctx, 422, found)
+	case errors.As(err, &findings):
+		web.JSON(ctx, 422, findings)
 	case err != nil:
 		fail(ctx, 503, "platform_unreachable", "the plan could not be kept: "+err.Error())
 	default:
@@ -69,33 +69,33 @@
 	}
 }
 
-func (p *plans) serveShow(ctx *fasthttp.RequestCtx, id string) {
+func (p *plans) serveGetPlan(ctx *fasthttp.RequestCtx, id string) {
 	plan, err := p.load(id)
 	if err != nil {
-		planError(ctx, err)
+		failPlan(ctx, err)
 		return
 	}
 	web.JSON(ctx, 200, plan)
 }
 
 func (p *plans) serveConfirm(ctx *fasthttp.RequestCtx, id, by string) {
-	done, err := p.confirm(id, by)
+	confirmed, err := p.confirm(id, by)
 	if err != nil {
-		planError(ctx, err)
+		failPlan(ctx, err)
 		return
 	}
 	status := 200
-	switch done.State {
+	switch confirmed.State {
 	case stateConflict:
 		status = 409
 	case stateUndetermined:
 		status = 202
 	}
-	web.JSON(ctx, status, done)
+	web.JSON(ctx, status, confirmed)
 }
 
-func planError(ctx *fasthttp.RequestCtx, err error) {
-	if errors.Is(err, errNoPlan) {
+func failPlan(ctx *fasthttp.RequestCtx, err error) {
+	if errors.Is(err, errPlanNotFound) {
 		fail(ctx, 404, "unknown_plan", "no plan has this id; plan again")
 		return
 	}
@@ -115,15 +115,15 @@
 	}
 	s := api.InForce{Revision: rev.Revision, PlanID: rev.PlanID, Declaration: string(text)}
 	if kv, err := p.coord.platform.Get(configKey); err == nil {
-		if at, err := decodeStored(kv); err == nil && at.Revision == s.Revision {
-			s.History = at.History
+		if stored, err := decodeStored(kv); err == nil && stored.Revision == s.Revision {
+			s.History = stored.History
 		}
 	}
 	web.JSON(ctx, 200, s)
 }
 
 func (p *plans) serveDrain(ctx *fasthttp.RequestCtx, name string) {
-	if !p.coord.drainOther(name) {
+	if !p.coord.drainInstance(name) {
 		fail(ctx, 404, "no_such_instance", "no instance of this name answers; see GET /v1/status")
 		return
 	}
--- a/cmd/coord/config.go
+++ b/cmd/coord/config.go
@@ -18,42 +18,43 @@
 )
 
 const (
-	configKey  = "config/current"
-	watchFor   = 10 * time.Second
-	backoffMin = 200 * time.Millisecond
-	backoffMax = 5 * time.Second
+	configKey    = "config/current"
+	watchTimeout = 10 * time.Second
+	minBackoff   = 200 * time.Millisecond
+	maxBackoff   = 5 * time.Second
 )
 
-// configLoop keeps the configuration: the hall's reader watches the platform,
-// the others hear of a new revision from the beats and pull it from a peer.
+// configLoop keeps the configuration up to date: the hall's reader watches the
+// platform; the other coords learn of a new revision from heartbeats and pull it
+// from a peer.
 func (c *Coord) configLoop(ctx context.Context) {
-	version := c.firstConfig(ctx)
-	var down time.Time
-	backoff := backoffMin
+	version := c.loadInitialConfig(ctx)
+	var downSince time.Time
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !c.isReader("config") {
-			pause(ctx, beatEvery)
+			sleep(ctx, heartbeatInterval)
 			continue
 		}
-		c.count.platformReads.Inc(1)
+		c.counters.platformReads.Inc(1)
 		kv, err := c.watchPlatform(ctx, version)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			down = c.platformLost(down, err)
-			pause(ctx, jitter(backoff))
-			backoff = min(2*backoff, backoffMax)
+			downSince = c.recordPlatformFailure(downSince, err)
+			sleep(ctx, jitter(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		backoff = backoffMin
-		if !down.IsZero() {
-			event.PlatformBack.Log(c.log, "after", time.Since(down).String())
-			down = time.Time{}
+		backoff = minBackoff
+		if !downSince.IsZero() {
+			event.PlatformBack.Log(c.log, "after", time.Since(downSince).String())
+			downSince = time.Time{}
 		}
 		if kv.Version < version { // a stale read, or the store lost data
 			c.offerStored(kv.Value, "platform")
-			pause(ctx, beatEvery)
+			sleep(ctx, heartbeatInterval)
 		} else if kv.Version > version {
 			c.offerStored(kv.Value, "platform")
 		}
@@ -61,19 +62,19 @@
 	}
 }
 
-// watched is what a watch of the platform brought.
-type watched struct {
+// watchResult is the result of a watch of the platform.
+type watchResult struct {
 	kv  api.KV
 	err error
 }
 
-// watchPlatform waits for a newer configuration, or until ctx ends; the call
-// itself then ends by its own time-out.
+// watchPlatform waits for a newer configuration, or until ctx ends; the call to the
+// platform then ends by its own timeout.
 func (c *Coord) watchPlatform(ctx context.Context, version uint64) (api.KV, error) {
-	ch := make(chan watched, 1)
+	ch := make(chan watchResult, 1)
 	go func() {
-		kv, err := c.platform.Watch(configKey, version, watchFor)
-		ch <- watched{kv, err}
+		kv, err := c.platform.Watch(configKey, version, watchTimeout)
+		ch <- watchResult{kv, err}
 	}()
 	select {
 	case <-ctx.Done():
@@ -83,15 +84,15 @@
 	}
 }
 
-// firstConfig asks the seeds, which have what is in force, and then the
-// platform, which may answer with older data; the highest is taken. It returns
-// the platform's version of the key.
-func (c *Coord) firstConfig(ctx context.Context) uint64 {
-	c.askSeeds()
-	c.count.platformReads.Inc(1)
+// loadInitialConfig asks the seeds, which know the configuration in force, and then
+// the platform, which may answer with older data; the highest revision wins. It
+// returns the platform's version of the key.
+func (c *Coord) loadInitialConfig(ctx context.Context) uint64 {
+	c.contactSeeds()
+	c.counters.platformReads.Inc(1)
 	kv, err := c.platform.Get(configKey)
 	if err != nil {
-		c.platformLost(time.Time{}, err)
+		c.recordPlatformFailure(time.Time{}, err)
 		return 0
 	}
 	if kv.Version > 0 {
@@ -100,8 +101,10 @@
 	return kv.Version
 }
 
-func (c *Coord) platformLost(since time.Time, err error) time.Time {
-	c.count.platformFailed.Inc(1)
+// recordPlatformFailure counts a failed call, logs the start of an outage, and
+// returns when the outage started.
+func (c *Coord) recordPlatformFailure(since time.Time, err error) time.Time {
+	c.counters.platformFailed.Inc(1)
 	if !since.IsZero() {
 		return since
 	}
@@ -111,22 +114,25 @@
 
 // isReader reports whether this instance reads the topic for its hall.
 func (c *Coord) isReader(topic string) bool {
-	return c.readerOf(topic) == c.set.Name
+	return c.readerOf(topic) == c.settings.Name
 }
 
+// readerOf names the hall's instance that reads the topic from the platform: one of
+// the live members that are not leaving, chosen by rendezvous hashing.
 func (c *Coord) readerOf(topic string) string {
 	var hall []string
 	for _, m := range c.members() {
-		if m.Hall == c.set.Hall && m.State == 0 && !m.Leaving {
+		if m.Hall == c.settings.Hall && m.State == 0 && !m.Leaving {
 			hall = append(hall, m.Name)
 		}
 	}
 	if len(hall) == 0 {
-		return c.set.Name
+		return c.settings.Name
 	}
-	return rendezvous.Owner(topic+"/"+c.set.Hall, hall)
+	return rendezvous.Owner(topic+"/"+c.settings.Hall, hall)
 }
 
+// offerStored decodes a stored configuration and offers it.
 func (c *Coord) offerStored(value []byte, from string) {
 	var s api.Stored
 	if len(value) == 0 {
@@ -141,9 +147,9 @@
 	c.offer(revision.Config{Revision: s.Revision, PlanID: s.PlanID, Declaration: s.Declaration}, from)
 }
 
-// offer takes a configuration into force if it is newer and can be read.
+// offer adopts a configuration if it is newer and its declaration is valid.
 func (c *Coord) offer(cfg revision.Config, from string) revision.Verdict {
-	f, err := settings.LoadPacked(cfg.Declaration)
+	parsed, err := settings.LoadPacked(cfg.Declaration)
 	if err != nil {
 		event.ConfigBroken.Log(c.log, "from", from, "revision", cfg.Revision, "error", err.Error())
 		return revision.Conflict
@@ -152,15 +158,15 @@
 	before := c.inForce.Config().Revision
 	v := c.inForce.Offer(cfg)
 	if v == revision.Adopted {
-		c.fleet = f
+		c.fleet = parsed
 	}
 	c.configMu.Unlock()
 	switch v {
 	case revision.Adopted:
 		event.ConfigAdopted.Log(c.log, "revision", cfg.Revision, "plan", cfg.PlanID)
 		c.watchers.send(&pb.View{Config: convert.Config(cfg)})
-		c.owner.configure()
-		c.kickBeat()
+		c.slotOwner.configure()
+		c.triggerHeartbeat()
 	case revision.Older:
 		event.ConfigOlder.Log(c.log, "from", from, "revision", cfg.Revision, "in_force", before)
 	case revision.Conflict:
@@ -169,13 +175,13 @@
 	return v
 }
 
-// pullConfig takes a newer configuration from a peer, one at a time: news of a
-// revision comes from several peers at once, and one copy of it is enough.
-func (c *Coord) pullConfig(addr string, theirs uint64) {
-	c.pulling.Lock()
-	defer c.pulling.Unlock()
+// pullConfig gets a newer configuration from a peer. Pulls run one at a time: several
+// peers report a new revision at once, and one copy of it is enough.
+func (c *Coord) pullConfig(addr string, peerRevision uint64) {
+	c.pullMu.Lock()
+	defer c.pullMu.Unlock()
 	rev, _ := c.config()
-	if rev.Revision >= theirs {
+	if rev.Revision >= peerRevision {
 		return
 	}
 	var r pb.Config
@@ -187,8 +193,8 @@
 	}
 }
 
-// servePullConfig answers with the configuration in force; who has it already
-// gets its revision only.
+// servePullConfig answers with the configuration in force, or with its revision alone
+// if the peer has it already.
 func (c *Coord) servePullConfig(p *pb.PullConfig) *pb.Config {
 	rev, _ := c.config()
 	if p.GetHave() >= rev.Revision {
@@ -197,7 +203,8 @@
 	return convert.Config(rev)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -206,9 +213,10 @@
 	}
 }
 
-// jitter spreads returns after an outage over half to one and a half of d.
+// jitter returns a random time from half to one and a half of d, which spreads
+// reconnects after an outage.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-var errUndetermined = errors.New("the platform did not say whether the write took effect")
+var errUndetermined = errors.New("outcome of the write to the platform is unknown")
--- a/cmd/coord/coord.go
+++ b/cmd/coord/coord.go
@@ -1,6 +1,6 @@
-// Package coord is the process that knows the fleet: membership, the
-// configuration in force, the upstreams' replicas, slots of the services it
-// owns, and the operators' intent API. Every instance runs one.
+// Package coord is the coordination process; every instance runs one. It maintains
+// the membership, the configuration in force and the list of replicas, schedules the
+// slots of the services it owns, and serves the operators' API.
 package coord
 
 import (
@@ -27,60 +27,60 @@
 	"quinceroad/transport/web"
 )
 
-// Coord is one instance's coord. Locks, in order: configMu, membersMu,
-// replicasMu, then the slots host's, then watchersMu (docs/ARCHITECTURE.md).
+// Coord is one instance's coordination process. Lock order: configMu, membersMu,
+// replicasMu, the slots host's, watchers.mu (docs/ARCHITECTURE.md).
 type Coord struct {
-	set      *settings.Instance
+	settings *settings.Instance
 	log      hclog.Logger
 	start    time.Time
 	platform *platform.Client
 	links    *link.Pool
 	traffic  *link.Traffic
 	registry metrics.Registry
-	count    counters
+	counters counters
 
 	configMu sync.RWMutex
 	inForce  revision.InForce
-	pulling  sync.Mutex   // held over a pull; taken before any other
-	fleet    *fleet.Fleet // parsed from inForce; nil before the first
-
-	membersMu sync.RWMutex
-	view      *membership.View
-	news      map[string]int // member -> rounds it is still passed on
-
-	replicasMu sync.RWMutex
-	replicas   *replicas.Set
-	signs      map[string]int // replica -> rounds its leaving is still passed on
-	listAt     time.Time      // when the list was last known good
-
-	slots    *slots.Host
-	owner    *owner
-	watchers *watchers
-	plans    *plans
-	orders   *orders
-	limits   *limits
-
-	kick    chan struct{} // beat now: there is news
-	alone   atomic.Bool   // no partner answered the last beats
-	server  *link.Server
-	api     *web.Server
-	admin   *web.Server
-	cancel  context.CancelFunc
-	running *errgroup.Group
+	pullMu   sync.Mutex   // serializes pulls; locked before any other
+	fleet    *fleet.Fleet // parsed from inForce; nil before the first configuration configuration
+
+	membersMu     sync.RWMutex
+	view          *membership.View
+	memberUpdates map[string]int // member -> rounds left to gossip it
+
+	replicasMu     sync.RWMutex
+	replicas       *replicas.Set
+	leavingUpdates map[string]int // replica -> rounds left to gossip that it is leaving
+	listConfirmed  time.Time      // when the list was last known to be current; zero without a list
+
+	slots     *slots.Host
+	slotOwner *slotOwner
+	watchers  *watchers
+	plans     *plans
+	orders    *orders
+	limits    *limits
+
+	heartbeatNow chan struct{} // triggers heartbeats before their interval ends
+	isolated     atomic.Bool   // no member answered the last heartbeats
+	server       *link.Server
+	api          *web.Server
+	admin        *web.Server
+	cancel       context.CancelFunc
+	loops        *errgroup.Group
 }
 
 // counters are the coord's metrics.
 type counters struct {
-	beats, beatsFailed, platformReads, platformWrites, platformFailed, grants, refusals metrics.Counter
+	heartbeats, heartbeatsFailed, platformReads, platformWrites, platformFailed, slotGrants, slotRefusals metrics.Counter
 }
 
 func newCounters(r metrics.Registry) counters {
 	c := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) }
 	return counters{
-		beats: c("coord.beats"), beatsFailed: c("coord.beats_failed"),
+		heartbeats: c("coord.beats"), heartbeatsFailed: c("coord.beats_failed"),
 		platformReads: c("coord.platform_reads"), platformWrites: c("coord.platform_writes"),
 		platformFailed: c("coord.platform_failed"),
-		grants:         c("coord.slot_grants"), refusals: c("coord.slot_refusals"),
+		slotGrants:     c("coord.slot_grants"), slotRefusals: c("coord.slot_refusals"),
 	}
 }
 
@@ -90,27 +90,27 @@
 	t := &link.Traffic{}
 	t.Register(r)
 	c := &Coord{
-		set:      s,
-		log:      l,
-		start:    time.Now(),
-		platform: platform.New(s.Platform),
-		links:    link.NewPool(t),
-		traffic:  t,
-		registry: r,
-		count:    newCounters(r),
-		news:     make(map[string]int),
-		replicas: replicas.New(),
-		signs:    make(map[string]int),
-		watchers: newWatchers(),
-		kick:     make(chan struct{}, 1),
+		settings:       s,
+		log:            l,
+		start:          time.Now(),
+		platform:       platform.New(s.Platform),
+		links:          link.NewPool(t),
+		traffic:        t,
+		registry:       r,
+		counters:       newCounters(r),
+		memberUpdates:  make(map[string]int),
+		replicas:       replicas.New(),
+		leavingUpdates: make(map[string]int),
+		watchers:       newWatchers(),
+		heartbeatNow:   make(chan struct{}, 1),
 	}
 	c.view = membership.New(membership.Member{
 		Name: s.Name, Hall: s.Hall, CoordAddress: s.Coord.Known,
-		// A start later than the last one gives a higher incarnation. Only
-		// soft state rests on this clock.
+		// A later start gets a higher incarnation. Only soft state depends on
+		// this clock.
 		Incarnation: process.Incarnation(time.Now()),
 	})
-	c.owner = newOwner(c)
+	c.slotOwner = newSlotOwner(c)
 	c.plans = newPlans(c)
 	c.orders = newOrders(c)
 	c.limits = newLimits(c)
@@ -119,36 +119,36 @@
 
 // Start implements process.Process.
 func (c *Coord) Start() (err error) {
-	if c.server, err = link.Listen(c.set.Coord.Link, c.serveLink, c.traffic); err != nil {
+	if c.server, err = link.Listen(c.settings.Coord.Link, c.serveLink, c.traffic); err != nil {
 		return err
 	}
 	onPanic := func(v any) { event.Panicked.Log(c.log, "panic", v) }
-	if c.api, err = web.Listen(c.set.Coord.Operators, c.plans.handler, onPanic); err != nil {
+	if c.api, err = web.Listen(c.settings.Coord.Operators, c.plans.handler, onPanic); err != nil {
 		return err
 	}
 	admin := &web.Admin{Registry: c.registry, Ready: c.ready, State: c.state}
-	if c.admin, err = web.Listen(c.set.Coord.Admin, admin.Handler, onPanic); err != nil {
+	if c.admin, err = web.Listen(c.settings.Coord.Admin, admin.Handler, onPanic); err != nil {
 		return err
 	}
 	c.slots.Start()
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.running, ctx = errgroup.WithContext(ctx)
-	loops := []func(context.Context){c.beatLoop, c.configLoop, c.listLoop, c.sweepLoop, c.orders.loop}
+	c.loops, ctx = errgroup.WithContext(ctx)
+	loops := []func(context.Context){c.heartbeatLoop, c.configLoop, c.listLoop, c.sweepLoop, c.orders.loop}
 	for _, loop := range loops {
-		c.running.Go(func() error { loop(ctx); return nil })
+		c.loops.Go(func() error { loop(ctx); return nil })
 	}
-	event.CoordStarted.Log(c.log, "incarnation", c.view.Self().Incarnation, "link", c.set.Coord.Link)
+	event.CoordStarted.Log(c.log, "incarnation", c.view.Self().Incarnation, "link", c.settings.Coord.Link)
 	return nil
 }
 
-// Stop implements process.Process: it tells peers that it leaves, so that
-// slots move to their next owner, and ends.
+// Stop implements process.Process. It first announces to the peers that this instance
+// is leaving, so that slots move to their next owner.
 func (c *Coord) Stop() error {
 	c.updateSelf(func(m *membership.Member) { m.Leaving = true })
-	c.beatAll()
+	c.sendHeartbeats()
 	c.cancel()
-	err := c.running.Wait()
+	err := c.loops.Wait()
 	c.slots.Stop()
 	c.api.Stop(time.Second)
 	c.admin.Stop(time.Second)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// config returns what is in force; the fleet is nil before the first.
+// config returns the configuration in force; the fleet is nil before the first.
 func (c *Coord) config() (revision.Config, *fleet.Fleet) {
 	c.configMu.RLock()
 	defer c.configMu.RUnlock()
@@ -189,10 +189,10 @@
 	return c.replicas.All()
 }
 
-const sweepEvery = 5 * time.Second
+const sweepInterval = 5 * time.Second
 
 func (c *Coord) sweepLoop(ctx context.Context) {
-	process.Every(ctx, sweepEvery, func() {
+	process.Every(ctx, sweepInterval, func() {
 		c.links.Sweep(time.Now())
 		c.limits.sweep()
 	})
--- a/cmd/coord/limits.go
+++ b/cmd/coord/limits.go
@@ -7,8 +7,8 @@
 	"quinceroad/protocol/pb"
 )
 
-// limits holds the budgets of the customers whose limits this coord owns. It is
-// soft state: a new owner starts from the entries' next reports.
+// limits holds the rate budgets of the customers that this coord owns. It is soft
+// state: a new owner starts from the entries' next reports.
 type limits struct {
 	coord   *Coord
 	mu      sync.Mutex // table.RankLimits
@@ -19,7 +19,7 @@
 	return &limits{coord: c, budgets: make(map[string]*limit.Budget)}
 }
 
-// serve answers an entry's demands with its shares.
+// serve answers an entry's demands with its shares of the customers' rates.
 func (l *limits) serve(d *pb.Demands) *pb.Demands {
 	_, f := l.coord.config()
 	out := &pb.Demands{}
@@ -45,7 +45,7 @@
 	return out
 }
 
-// sweep drops the budgets that nobody draws on.
+// sweep removes idle budgets.
 func (l *limits) sweep() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/coord/serve.go
+++ b/cmd/coord/link.go
@@ -15,50 +15,50 @@
 func (c *Coord) serveLink(k frame.Kind, first []byte, s net.Conn) {
 	switch k {
 	case frame.Beat:
-		answer(first, s, &pb.Beat{}, c.serveBeat)
+		serveCall(first, s, &pb.Beat{}, c.serveHeartbeat)
 	case frame.PullConfig:
-		answer(first, s, &pb.PullConfig{}, c.servePullConfig)
+		serveCall(first, s, &pb.PullConfig{}, c.servePullConfig)
 	case frame.PullMembers:
-		answer(first, s, &pb.PullMembers{}, c.servePullMembers)
+		serveCall(first, s, &pb.PullMembers{}, c.servePullMembers)
 	case frame.Leaving:
-		answer(first, s, &pb.Beat{}, func(b *pb.Beat) *pb.Noted {
+		serveCall(first, s, &pb.Beat{}, func(b *pb.Beat) *pb.Noted {
 			c.mergeLeaving(b.GetLeaving(), "entry")
 			return &pb.Noted{}
 		})
 	case frame.Drain:
-		answer(first, s, &pb.Noted{}, func(*pb.Noted) *pb.Noted {
+		serveCall(first, s, &pb.Noted{}, func(*pb.Noted) *pb.Noted {
 			c.drain()
 			return &pb.Noted{}
 		})
 	case frame.Limits:
-		answer(first, s, &pb.Demands{}, c.limits.serve)
+		serveCall(first, s, &pb.Demands{}, c.limits.serve)
 	case frame.Watch:
 		var w pb.Watch
 		if proto.Unmarshal(first, &w) == nil {
 			c.serveWatch(&w, s)
 		}
 	case frame.Permits:
-		c.owner.serve(s)
+		c.slotOwner.serve(s)
 	}
 }
 
-// answer reads a request, calls f, and sends what it returns. What can't be
-// read is not answered.
-func answer[Q, R proto.Message](first []byte, s net.Conn, q Q, f func(Q) R) {
+// serveCall decodes a request, calls f, and sends its reply. A request that can't be
+// decoded gets no reply.
+func serveCall[Q, R proto.Message](first []byte, s net.Conn, q Q, f func(Q) R) {
 	if proto.Unmarshal(first, q) == nil {
-		_ = frame.Write(s, frame.Reply, f(q)) // a peer that is gone asks again
+		_ = frame.Write(s, frame.Reply, f(q)) // a peer whose connection failed retries
 	}
 }
 
-// takeEntry notes what the local entry says of itself.
-func (c *Coord) takeEntry(w *pb.Watch) {
+// updateEntry records the state that the local entry reports of itself.
+func (c *Coord) updateEntry(w *pb.Watch) {
 	c.membersMu.RLock()
-	me := c.view.Self()
+	self := c.view.Self()
 	c.membersMu.RUnlock()
-	same := me.EntryIncarnation == w.GetEntryIncarnation() && me.Leaving == w.GetLeaving() &&
-		me.EntryHTTPAddress == w.GetEntryHttp() &&
-		slices.Equal(me.AdoptedIncarnations, w.GetSucceeds())
-	if same {
+	unchanged := self.EntryIncarnation == w.GetEntryIncarnation() && self.Leaving == w.GetLeaving() &&
+		self.EntryHTTPAddress == w.GetEntryHttp() &&
+		slices.Equal(self.AdoptedIncarnations, w.GetSucceeds())
+	if unchanged {
 		return
 	}
 	c.updateSelf(func(m *membership.Member) {
--- a/cmd/coord/orders.go
+++ b/cmd/coord/orders.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	leaseKey    = "orders/lease"
-	leaseTTL    = 3 * time.Second
-	leaseMargin = 500 * time.Millisecond
-	leaseEvery  = 800 * time.Millisecond
-	orderLimit  = 600 * time.Millisecond // of one order, with its answer
+	leaseKey      = "orders/lease"
+	leaseTTL      = 3 * time.Second
+	leaseMargin   = 500 * time.Millisecond
+	renewInterval = 800 * time.Millisecond
+	orderTimeout  = 600 * time.Millisecond // of one order, including its answer
 )
 
-// orders gives model engines their orders while this coord holds the order
-// lease: each engine replica is told to serve its service's declared model.
-// One replica at a time, so that the others go on serving and the weight store
-// is asked by one.
+// orders sends each replica of a model engine the order to serve its service's
+// declared model, while this coord holds the order lease. Replicas get their orders
+// one at a time, so that the others keep serving and only one loads weights from the
+// store.
 type orders struct {
-	coord *Coord
-	http  *fasthttp.Client
-	lease *lease.Lease
-	given map[string]given // by replica
-	acted bool             // the lease was held at the last look
+	coord   *Coord
+	http    *fasthttp.Client
+	lease   *lease.Lease
+	sent    map[string]sentOrder // last order accepted, by replica
+	wasHeld bool                 // the lease was held at the last check
 }
 
-// given is what a replica's incarnation was last ordered.
-type given struct {
+// sentOrder is the model that a replica's incarnation was last ordered to serve.
+type sentOrder struct {
 	incarnation uint64
 	model       string
 }
@@ -49,25 +49,26 @@
 		coord: c,
 		http:  web.NewClient(),
 		lease: lease.New(leaseTTL, leaseMargin),
-		given: make(map[string]given),
+		sent:  make(map[string]sentOrder),
 	}
 }
 
-// loop is one goroutine, the only one that touches the lease.
+// loop renews the lease and sends orders. Its goroutine is the only one that uses the lease.
 func (o *orders) loop(ctx context.Context) {
-	process.Every(ctx, leaseEvery, func() {
-		if !o.wanted() {
+	process.Every(ctx, renewInterval, func() {
+		if !o.isCandidate() {
 			return
 		}
 		o.renew()
-		o.noteChange()
-		o.giveAll(ctx)
+		o.handleLeaseChange()
+		o.sendOrders(ctx)
 	})
 }
 
-// wanted reports whether the declaration orders anything, and this instance is
-// among the few that try for the lease: more would only cost platform calls.
-func (o *orders) wanted() bool {
+// isCandidate reports whether the declaration has a model to order and this instance
+// is its hall's candidate for the lease. More candidates would only cost calls to the
+// platform.
+func (o *orders) isCandidate() bool {
 	_, f := o.coord.config()
 	if f == nil || !o.coord.isReader("orders") {
 		return false
@@ -80,83 +81,86 @@
 	return false
 }
 
-// renew takes or renews the lease. The clock is read before the write is sent.
+// renew acquires or renews the lease. The clock is read before the write is sent, so
+// the estimate of the lease's end is never late.
 func (o *orders) renew() {
 	c := o.coord
 	held := o.lease.Held(c.now())
 	version := o.lease.Version()
 	if !held {
-		c.count.platformReads.Inc(1)
+		c.counters.platformReads.Inc(1)
 		kv, err := c.platform.Get(leaseKey)
-		if err != nil || (kv.Version != 0 && string(kv.Value) != c.leaseName()) {
+		if err != nil || (kv.Version != 0 && string(kv.Value) != c.leaseHolderID()) {
 			o.lease.RecordLoss()
 			return
 		}
 		version = kv.Version
 	}
 	sent := c.now()
-	c.count.platformWrites.Inc(1)
-	next, err := c.platform.Put(leaseKey, api.KVPut{Value: []byte(c.leaseName()), IfVersion: version, LeaseMS: leaseTTL.Milliseconds()})
+	c.counters.platformWrites.Inc(1)
+	newVersion, err := c.platform.Put(leaseKey, api.KVPut{Value: []byte(c.leaseHolderID()), IfVersion: version, LeaseMS: leaseTTL.Milliseconds()})
 	if err != nil {
-		// Refused, or unknown: what is held runs out by the own clock.
+		// Refused, or unknown: a lease that is held expires by this process's clock.
 		return
 	}
-	o.lease.RecordGrant(sent, next)
+	o.lease.RecordGrant(sent, newVersion)
 }
 
-// leaseName names this incarnation, so that a restarted coord does not take
-// its predecessor's lease for its own.
-func (c *Coord) leaseName() string {
+// leaseHolderID names this incarnation, so that a restarted coord doesn't mistake its
+// predecessor's lease for its own.
+func (c *Coord) leaseHolderID() string {
 	c.membersMu.RLock()
 	defer c.membersMu.RUnlock()
-	return fmt.Sprintf("%s/%d", c.set.Name, c.view.Self().Incarnation)
+	return fmt.Sprintf("%s/%d", c.settings.Name, c.view.Self().Incarnation)
 }
 
-func (o *orders) noteChange() {
+// handleLeaseChange logs when the lease is acquired or lost, and forgets the sent
+// orders when it is acquired.
+func (o *orders) handleLeaseChange() {
 	held := o.lease.Held(o.coord.now())
 	switch {
-	case held && !o.acted:
-		clear(o.given) // another may have ordered otherwise meanwhile
+	case held && !o.wasHeld:
+		clear(o.sent) // another holder may have sent other orders meanwhile
 		event.LeaseTaken.Log(o.coord.log, "token", o.lease.Version())
-	case !held && o.acted:
+	case !held && o.wasHeld:
 		event.LeaseLost.Log(o.coord.log, "token", o.lease.Version())
 	}
-	o.acted = held
+	o.wasHeld = held
 }
 
-// giveAll orders every replica that was not ordered the declared model.
-func (o *orders) giveAll(ctx context.Context) {
+// sendOrders sends an order to every replica that has not been ordered to serve the declared model.
+func (o *orders) sendOrders(ctx context.Context) {
 	_, f := o.coord.config()
 	for _, r := range o.coord.allReplicas() {
 		s, ok := f.Service(r.Service)
-		if !ok || s.Model == "" || r.Leaving || o.given[r.ID] == (given{r.Incarnation, s.Model}) {
+		if !ok || s.Model == "" || r.Leaving || o.sent[r.ID] == (sentOrder{r.Incarnation, s.Model}) {
 			continue
 		}
-		if ctx.Err() != nil || !o.give(r, s) {
+		if ctx.Err() != nil || !o.sendOrder(r, s) {
 			return
 		}
 	}
 }
 
-// give sends one order; false when the lease does not last for it.
-func (o *orders) give(r replicas.Replica, s *fleet.Service) bool {
-	if !r.ChecksFences && !o.lease.Settled(o.coord.now(), orderLimit) {
-		return true // a former holder's order may still be under way: later
+// sendOrder sends one order. It returns false if the lease may expire before the answer.
+func (o *orders) sendOrder(r replicas.Replica, s *fleet.Service) bool {
+	if !r.ChecksFences && !o.lease.Settled(o.coord.now(), orderTimeout) {
+		return true // an order of a former holder may still be under way; retried on the next round
 	}
-	token, ok := o.lease.CanAct(o.coord.now(), orderLimit)
+	token, ok := o.lease.CanAct(o.coord.now(), orderTimeout)
 	if !ok {
 		return false
 	}
-	if err := o.send(r, s.Model, token); err != nil {
+	if err := o.postOrder(r, s.Model, token); err != nil {
 		event.OrderRefused.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token, "error", err.Error())
 		return true
 	}
-	o.given[r.ID] = given{r.Incarnation, s.Model}
+	o.sent[r.ID] = sentOrder{r.Incarnation, s.Model}
 	event.OrderGiven.Log(o.coord.log, "replica", r.ID, "model", s.Model, "token", token)
 	return true
 }
 
-func (o *orders) send(r replicas.Replica, model string, token uint64) error {
+func (o *orders) postOrder(r replicas.Replica, model string, token uint64) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -168,7 +172,7 @@
 	req.SetRequestURI("http://" + r.Address + "/v1/orders")
 	req.Header.Set(api.HeaderFence, strconv.FormatUint(token, 10))
 	req.SetBody(b)
-	if err := o.http.DoTimeout(req, resp, orderLimit); err != nil {
+	if err := o.http.DoTimeout(req, resp, orderTimeout); err != nil {
 		return err
 	}
 	if resp.StatusCode() != 200 {
--- a/cmd/coord/plans.go
+++ b/cmd/coord/plans.go
@@ -26,22 +26,22 @@
 )
 
 const (
-	planPrefix   = "plans/"
-	planLife     = time.Hour // a plan that is not confirmed by then is gone
-	confirmTries = 4
-	confirmGap   = 150 * time.Millisecond
+	planPrefix         = "plans/"
+	planTTL            = time.Hour // an unconfirmed plan expires
+	maxConfirmAttempts = 4
+	confirmRetryDelay  = 150 * time.Millisecond
 )
 
-var errNoPlan = errors.New("no such plan")
+var errPlanNotFound = errors.New("no such plan")
 
-// plans makes and confirms plans. A plan lies on the platform, so that any
-// coord can confirm it; confirming is one compare-and-swap.
+// plans creates and confirms plans. A plan is stored on the platform, so any coord
+// can confirm it; a confirmation is one compare-and-swap.
 type plans struct{ coord *Coord }
 
 func newPlans(c *Coord) *plans { return &plans{coord: c} }
 
-// make answers an intent; findings come back as an error.
-func (p *plans) make(text, by string) (*api.Plan, error) {
+// create makes and stores the plan for a declaration; findings are returned as an error.
+func (p *plans) create(text, by string) (*api.Plan, error) {
 	next, err := settings.LoadFleet("declaration", []byte(text))
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		ID: rand.Text(), Base: rev.Revision, By: by, State: statePlanned, Text: text,
 		Inputs: api.PlanInputs{Instances: len(p.coord.members()), Replicas: len(all)},
 	}
-	fill(out, planner.Compute(next, old, all))
+	fillPlan(out, planner.Compute(next, old, all))
 	if old != nil && reflect.DeepEqual(next, old) {
 		out.State = stateUnchanged
 		return out, nil
@@ -61,18 +61,18 @@
 	if err != nil {
 		return nil, err
 	}
-	p.coord.count.platformWrites.Inc(1)
-	put := api.KVPut{Value: b, LeaseMS: planLife.Milliseconds()}
+	p.coord.counters.platformWrites.Inc(1)
+	put := api.KVPut{Value: b, LeaseMS: planTTL.Milliseconds()}
 	if _, err := p.coord.platform.Put(planPrefix+out.ID, put); err != nil {
-		// The id is fresh: whether the write took effect or not, nobody knows
-		// of the plan but this operator, who is told to plan again.
+		// The id is new, so even if the write took effect only this operator
+		// could confirm the plan, and gets an error instead.
 		return nil, err
 	}
 	event.PlanMade.Log(p.coord.log, "plan", out.ID, "by", by, "base", out.Base)
 	return out, nil
 }
 
-// encodePlan returns a plan as it lies on the platform.
+// encodePlan returns a plan in its stored form.
 func encodePlan(plan api.Plan) ([]byte, error) {
 	packed, err := pack.Text(plan.Text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return json.Marshal(api.StoredPlan{Plan: plan, Declaration: packed})
 }
 
-func fill(out *api.Plan, p planner.Plan) {
+func fillPlan(out *api.Plan, p planner.Plan) {
 	out.Changes, out.Warnings = p.Changes, p.Warnings
 	for _, s := range p.Steps {
 		out.Stages = append(out.Stages, api.PlannedStep{
@@ -99,13 +99,13 @@
 }
 
 func (p *plans) load(id string) (*api.Plan, error) {
-	p.coord.count.platformReads.Inc(1)
+	p.coord.counters.platformReads.Inc(1)
 	kv, err := p.coord.platform.Get(planPrefix + id)
 	if err != nil {
 		return nil, err
 	}
 	if kv.Version == 0 {
-		return nil, errNoPlan
+		return nil, errPlanNotFound
 	}
 	var stored api.StoredPlan
 	if err := json.Unmarshal(kv.Value, &stored); err != nil {
@@ -116,55 +116,56 @@
 	return &stored.Plan, err
 }
 
-// confirm puts a plan into force if its base still is. A lost answer is read
-// back by the plan's id, and until it is known the operator is told so.
+// confirm puts a plan into force if its base revision still is in force. If the
+// answer to the write is lost, the outcome is read back by the plan's id; if that
+// fails too, the state is undetermined.
 func (p *plans) confirm(id, by string) (*api.Confirmed, error) {
 	plan, err := p.load(id)
 	if err != nil {
 		return nil, err
 	}
-	for try := range confirmTries {
-		if try > 0 {
-			time.Sleep(jitter(confirmGap))
+	for attempt := range maxConfirmAttempts {
+		if attempt > 0 {
+			time.Sleep(jitter(confirmRetryDelay))
 		}
-		done, err := p.tryConfirm(plan, by)
+		confirmed, err := p.tryConfirm(plan, by)
 		if err == nil {
-			event.PlanConfirmed.Log(p.coord.log, "plan", id, "by", by, "revision", done.Revision, "state", done.State)
-			return done, nil
+			event.PlanConfirmed.Log(p.coord.log, "plan", id, "by", by, "revision", confirmed.Revision, "state", confirmed.State)
+			return confirmed, nil
 		}
-		if try == 0 && !errors.Is(err, errUndetermined) {
-			return nil, err // the platform could not even be read
+		if attempt == 0 && !errors.Is(err, errUndetermined) {
+			return nil, err // the platform could not be read
 		}
 	}
 	return &api.Confirmed{Plan: id, State: stateUndetermined}, nil
 }
 
-// tryConfirm reads what is in force, and writes the plan if it is its turn.
-// Trying again is safe: the version it read guards the write.
+// tryConfirm reads the configuration in force and writes the plan if its base
+// matches. A retry is safe: the write is conditional on the version that was read.
 func (p *plans) tryConfirm(plan *api.Plan, by string) (*api.Confirmed, error) {
-	p.coord.count.platformReads.Inc(1)
+	p.coord.counters.platformReads.Inc(1)
 	kv, err := p.coord.platform.Get(configKey)
 	if err != nil {
 		return nil, err
 	}
-	at, err := decodeStored(kv)
+	stored, err := decodeStored(kv)
 	if err != nil {
 		return nil, err
 	}
-	for _, past := range at.History {
+	for _, past := range stored.History {
 		if past.PlanID == plan.ID {
 			p.coord.offerStored(kv.Value, "platform")
 			return &api.Confirmed{Plan: plan.ID, Revision: past.Revision, State: stateConfirmed}, nil
 		}
 	}
 	inForce, _ := p.coord.config()
-	if at.Revision < inForce.Revision { // the store lost data: go on from what is in force
-		at = api.Stored{Revision: inForce.Revision, PlanID: inForce.PlanID, Declaration: inForce.Declaration}
+	if stored.Revision < inForce.Revision { // the store lost data: continue from the configuration in force
+		stored = api.Stored{Revision: inForce.Revision, PlanID: inForce.PlanID, Declaration: inForce.Declaration}
 	}
-	if at.Revision != plan.Base {
-		return &api.Confirmed{Plan: plan.ID, Revision: at.Revision, State: stateConflict}, nil
+	if stored.Revision != plan.Base {
+		return &api.Confirmed{Plan: plan.ID, Revision: stored.Revision, State: stateConflict}, nil
 	}
-	next, err := follow(at, plan, by)
+	next, err := nextStored(stored, plan, by)
 	if err != nil {
 		return nil, err
 	}
@@ -172,23 +173,23 @@
 	if err != nil {
 		return nil, err
 	}
-	p.coord.count.platformWrites.Inc(1)
+	p.coord.counters.platformWrites.Inc(1)
 	_, err = p.coord.platform.Put(configKey, api.KVPut{Value: b, IfVersion: kv.Version})
 	if err != nil && !errors.Is(err, platform.ErrConflict) {
 		return nil, errors.Join(errUndetermined, err)
 	}
-	if err != nil { // another operator's or our own earlier write: read again
+	if err != nil { // another operator's write or this plan's earlier one: read again
 		return nil, errUndetermined
 	}
 	p.coord.offer(revision.Config{Revision: next.Revision, PlanID: plan.ID, Declaration: next.Declaration}, "confirm")
 	return &api.Confirmed{Plan: plan.ID, Revision: next.Revision, State: stateConfirmed}, nil
 }
 
-// follow returns what is stored once the plan is in force.
-func follow(at api.Stored, plan *api.Plan, by string) (api.Stored, error) {
+// nextStored returns the stored configuration that puts the plan into force.
+func nextStored(prev api.Stored, plan *api.Plan, by string) (api.Stored, error) {
 	packed, err := pack.Text(plan.Text)
-	next := api.Stored{Revision: at.Revision + 1, PlanID: plan.ID, By: by, Declaration: packed}
-	next.History = append([]api.Past{{Revision: next.Revision, PlanID: plan.ID, By: by}}, at.History...)
+	next := api.Stored{Revision: prev.Revision + 1, PlanID: plan.ID, By: by, Declaration: packed}
+	next.History = append([]api.Past{{Revision: next.Revision, PlanID: plan.ID, By: by}}, prev.History...)
 	if len(next.History) > api.MaxHistory {
 		next.History = next.History[:api.MaxHistory]
 	}
--- a/cmd/coord/owner.go
+++ b/cmd/coord/slotowner.go
@@ -16,39 +16,39 @@
 	"quinceroad/state/table"
 )
 
-// owner holds the slots of the services this coord owns, and the streams of
-// the entries that ask for them. It is soft state: two owners for a moment
-// only fill the replicas a little more.
-type owner struct {
-	coord   *Coord
-	holders *table.Table[string, *holder]
-	streams atomic.Int64 // served so far: tells two streams of one address apart
+// slotOwner schedules the slots of the services that this coord owns and keeps the
+// streams of the entries that request them. It is soft state: while two coords both
+// act as owner, the replicas are only loaded a little more.
+type slotOwner struct {
+	coord       *Coord
+	holders     *table.Table[string, *holder]
+	streamCount atomic.Int64 // number of streams served, which distinguishes two streams of one address
 }
 
 // holder is one entry's stream.
 type holder struct {
-	mu sync.Mutex // keeps frames whole
-	s  net.Conn
+	mu     sync.Mutex // held for the write of one frame
+	stream net.Conn
 }
 
-func newOwner(c *Coord) *owner {
-	o := &owner{coord: c, holders: table.New[string, *holder](table.RankSessions)}
+func newSlotOwner(c *Coord) *slotOwner {
+	o := &slotOwner{coord: c, holders: table.New[string, *holder](table.RankSessions)}
 	exact := func(f *fleet.Fleet) scheduler.Policy { return scheduler.Exact }
 	c.slots = slots.New(exact, o.deliver)
 	return o
 }
 
-// configure gives the schedulers what is in force and who is there.
-func (o *owner) configure() {
+// configure passes the configuration in force and the replicas to the schedulers.
+func (o *slotOwner) configure() {
 	if _, f := o.coord.config(); f != nil {
 		o.coord.slots.Configure(f, o.coord.allReplicas(), 1)
 	}
 }
 
-// serve handles one entry's stream until it ends; then its permits end too.
-func (o *owner) serve(s net.Conn) {
-	h := &holder{s: s}
-	name := fmt.Sprintf("%s/%d", s.RemoteAddr(), o.streams.Add(1))
+// serve handles one entry's stream until it ends, and then releases its permits.
+func (o *slotOwner) serve(s net.Conn) {
+	h := &holder{stream: s}
+	name := fmt.Sprintf("%s/%d", s.RemoteAddr(), o.streamCount.Add(1))
 	o.holders.Put(name, h)
 	defer func() {
 		o.holders.Delete(name)
@@ -59,26 +59,26 @@
 		if frame.Read(s, &f) != nil {
 			return
 		}
-		o.take(name, h, &f)
+		o.handleFrame(name, h, &f)
 	}
 }
 
-func (o *owner) take(name string, h *holder, f *pb.PermitFrame) {
+func (o *slotOwner) handleFrame(name string, h *holder, f *pb.PermitFrame) {
 	switch b := f.GetBody().(type) {
 	case *pb.PermitFrame_Ask:
-		ask := o.ask(name, b.Ask)
+		task := o.newTask(name, b.Ask)
 		if b.Ask.GetAnnounce() {
-			if !o.coord.slots.Announce(b.Ask.GetService(), ask, convert.FromMicros(b.Ask.GetReadyUs())) {
-				o.deliver(b.Ask.GetService(), scheduler.Action{Task: ask.ID, Holder: name, Reason: scheduler.NoReplica})
+			if !o.coord.slots.Announce(b.Ask.GetService(), task, convert.FromMicros(b.Ask.GetReadyUs())) {
+				o.deliver(b.Ask.GetService(), scheduler.Action{Task: task.ID, Holder: name, Reason: scheduler.NoReplica})
 			}
 			return
 		}
-		known, answered := o.coord.slots.Submit(b.Ask.GetService(), ask)
+		known, answered := o.coord.slots.Submit(b.Ask.GetService(), task)
 		switch {
 		case !known:
-			o.deliver(b.Ask.GetService(), scheduler.Action{Task: ask.ID, Holder: name, Reason: scheduler.NoReplica})
+			o.deliver(b.Ask.GetService(), scheduler.Action{Task: task.ID, Holder: name, Reason: scheduler.NoReplica})
 		case !answered:
-			h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Queued{Queued: &pb.Queued{Id: ask.ID}}})
+			h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Queued{Queued: &pb.Queued{Id: task.ID}}})
 		}
 	case *pb.PermitFrame_Done:
 		d := b.Done
@@ -88,7 +88,7 @@
 	}
 }
 
-func (o *owner) ask(name string, a *pb.Ask) scheduler.Task {
+func (o *slotOwner) newTask(name string, a *pb.Ask) scheduler.Task {
 	return scheduler.Task{
 		ID: a.GetId(), Holder: name, Customer: a.GetCustomer(), Weight: int(a.GetWeight()),
 		Class:     fleet.Class(a.GetClass()),
@@ -99,8 +99,8 @@
 	}
 }
 
-// deliver sends a grant or refusal to its holder.
-func (o *owner) deliver(service string, a scheduler.Action) {
+// deliver sends a grant, refusal or admission to its holder.
+func (o *slotOwner) deliver(service string, a scheduler.Action) {
 	h, ok := o.holders.Get(a.Holder)
 	if !ok {
 		return
@@ -110,13 +110,13 @@
 		return
 	}
 	if a.Granted() {
-		o.coord.count.grants.Inc(1)
+		o.coord.counters.slotGrants.Inc(1)
 		h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Grant{
 			Grant: &pb.Grant{Id: a.Task, Permit: a.Permit, Replica: a.Replica},
 		}})
 		return
 	}
-	o.coord.count.refusals.Inc(1)
+	o.coord.counters.slotRefusals.Inc(1)
 	h.send(&pb.PermitFrame{Body: &pb.PermitFrame_Refuse{
 		Refuse: &pb.Refuse{Id: a.Task, Reason: string(a.Reason), RetryAfterUs: convert.Micros(a.RetryAfter)},
 	}})
@@ -124,12 +124,12 @@
 
 const sendTimeout = 500 * time.Millisecond
 
-// send writes a frame; a holder that can't take it is closed, which ends its permits.
+// send writes a frame. If the write fails, the stream is closed, which releases the holder's permits.
 func (h *holder) send(f *pb.PermitFrame) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.s.SetWriteDeadline(time.Now().Add(sendTimeout))
-	if frame.Write(h.s, frame.Permits, f) != nil {
-		_ = h.s.Close()
+	_ = h.stream.SetWriteDeadline(time.Now().Add(sendTimeout))
+	if frame.Write(h.stream, frame.Permits, f) != nil {
+		_ = h.stream.Close()
 	}
 }
--- a/cmd/coord/status.go
+++ b/cmd/coord/status.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	askAtOnce  = 16 // coords asked at a time for a status
-	askTimeout = time.Second
+	statusConcurrency = 16 // coords queried at a time for a status
+	statusTimeout     = time.Second
 )
 
-// status returns this coord's view of the fleet, with the revision that each
-// instance says is in force there.
+// status returns this coord's view of the fleet, with the revision that each instance
+// reports to be in force.
 func (c *Coord) status() api.Status {
 	rev, _ := c.config()
-	s := api.Status{Instance: c.set.Name, Revision: rev.Revision, Plan: rev.PlanID}
+	s := api.Status{Instance: c.settings.Name, Revision: rev.Revision, Plan: rev.PlanID}
 	members := c.members()
-	revisions := c.askRevisions(members)
+	revisions := c.fetchRevisions(members)
 	for i, m := range members {
 		s.Instances = append(s.Instances, api.InstanceStatus{
 			Name: m.Name, Hall: m.Hall, State: stateName(m.State), Leaving: m.Leaving,
@@ -38,18 +38,18 @@
 	return s
 }
 
-// askRevisions asks each member's coord, some at a time; 0 stands for no answer.
-func (c *Coord) askRevisions(members []membership.Member) []uint64 {
+// fetchRevisions returns the revision of each member's coord, 0 without an answer.
+func (c *Coord) fetchRevisions(members []membership.Member) []uint64 {
 	out := make([]uint64, len(members))
 	var g errgroup.Group
-	g.SetLimit(askAtOnce)
+	g.SetLimit(statusConcurrency)
 	for i, m := range members {
 		if m.State == membership.Dead {
 			continue
 		}
 		g.Go(func() error {
 			var r pb.Config
-			if c.links.Call(m.CoordAddress, frame.PullConfig, &pb.PullConfig{Have: math.MaxUint64}, &r, askTimeout) == nil {
+			if c.links.Call(m.CoordAddress, frame.PullConfig, &pb.PullConfig{Have: math.MaxUint64}, &r, statusTimeout) == nil {
 				out[i] = r.GetRevision()
 			}
 			return nil
@@ -61,19 +61,19 @@
 
 func stateName(s membership.State) string { return [...]string{"alive", "suspect", "dead"}[s] }
 
-// drain makes this instance's entry take no new callers until it is started
-// again: peers and address answers leave it out.
+// drain makes this instance's entry accept no new callers until it is restarted: peers
+// skip it, and address answers omit it.
 func (c *Coord) drain() { c.watchers.send(&pb.View{Drain: true}) }
 
-// drainOther asks an instance to drain; false when it is not known or silent.
-func (c *Coord) drainOther(name string) bool {
+// drainInstance asks an instance to drain. It returns false if the instance is unknown or doesn't answer.
+func (c *Coord) drainInstance(name string) bool {
 	c.membersMu.RLock()
 	m, ok := c.view.Get(name)
 	c.membersMu.RUnlock()
-	return ok && c.links.Call(m.CoordAddress, frame.Drain, &pb.Noted{}, &pb.Noted{}, askTimeout) == nil
+	return ok && c.links.Call(m.CoordAddress, frame.Drain, &pb.Noted{}, &pb.Noted{}, statusTimeout) == nil
 }
 
-// dump is the coord's state on request, without secrets.
+// dump is the coord's state for operators, without secrets.
 type dump struct {
 	Status   api.Status   `json:"status"`
 	Fleet    *fleet.Fleet `json:"fleet"`
@@ -84,7 +84,7 @@
 	Readers  readers      `json:"readers"`
 }
 
-// readers names who reads the platform for this hall.
+// readers names the instances that read the platform for this hall.
 type readers struct {
 	Config string `json:"config"`
 	List   string `json:"list"`
@@ -93,9 +93,9 @@
 func (c *Coord) state() any {
 	_, f := c.config()
 	if f != nil {
-		shown := *f
-		shown.Customers = nil // their key digests stay inside
-		f = &shown
+		redacted := *f
+		redacted.Customers = nil // contain key digests
+		f = &redacted
 	}
 	return dump{
 		Status: c.status(), Fleet: f, Slots: c.slots.Stats(), Watchers: c.watchers.len(),
--- a/cmd/coord/watchers.go
+++ b/cmd/coord/watchers.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	watchBuffer = 64          // views a slow watcher may be behind before it is cut
-	watchBeat   = time.Second // an empty view when nothing changed, so that a watcher knows it is current
+	watcherBuffer          = 64          // views that a slow watcher may lag behind before its stream is closed
+	watchHeartbeatInterval = time.Second // interval of empty views, which confirm that nothing changed
 )
 
-// watchers are the streams on which views go out: the local entry's and, at a
-// hall's reader, other coords'.
+// watchers are the streams that views are sent on: the local entry's and, at a hall's
+// reader, those of the other coords.
 type watchers struct {
-	mu  sync.Mutex // table.RankSessions
-	out map[chan *pb.View]struct{}
+	mu       sync.Mutex // table.RankSessions
+	channels map[chan *pb.View]struct{}
 }
 
-func newWatchers() *watchers { return &watchers{out: make(map[chan *pb.View]struct{})} }
+func newWatchers() *watchers { return &watchers{channels: make(map[chan *pb.View]struct{})} }
 
-// send passes a change to all watchers; one that can't keep up is cut, and
-// gets everything anew when it returns.
+// send sends a change to all watchers. The stream of one that can't keep up is closed;
+// it gets the full view when it reconnects.
 func (w *watchers) send(v *pb.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for ch := range w.out {
+	for ch := range w.channels {
 		select {
 		case ch <- v:
 		default:
-			delete(w.out, ch)
+			delete(w.channels, ch)
 			close(ch)
 		}
 	}
 }
 
 func (w *watchers) add() chan *pb.View {
-	ch := make(chan *pb.View, watchBuffer)
+	ch := make(chan *pb.View, watcherBuffer)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.out[ch] = struct{}{}
+	w.channels[ch] = struct{}{}
 	return ch
 }
 
-func (w *watchers) drop(ch chan *pb.View) {
+func (w *watchers) remove(ch chan *pb.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, ok := w.out[ch]; ok {
-		delete(w.out, ch)
+	if _, ok := w.channels[ch]; ok {
+		delete(w.channels, ch)
 		close(ch)
 	}
 }
@@ -61,31 +61,31 @@
 func (w *watchers) len() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.out)
+	return len(w.channels)
 }
 
-// serveWatch sends the whole view, then the changes. A watcher that names an
-// entry is this instance's own.
+// serveWatch sends the full view, then the changes. A watcher that names an entry's
+// incarnation is this instance's own entry.
 func (c *Coord) serveWatch(w *pb.Watch, s net.Conn) {
 	if w.GetEntryIncarnation() != 0 {
-		c.takeEntry(w)
+		c.updateEntry(w)
 	}
 	ch := c.watchers.add()
-	defer c.watchers.drop(ch)
-	if frame.Write(s, frame.Reply, c.wholeView()) != nil {
+	defer c.watchers.remove(ch)
+	if frame.Write(s, frame.Reply, c.fullView()) != nil {
 		return
 	}
-	beat := time.NewTicker(watchBeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(watchHeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		var v proto.Message = &pb.View{Reach: c.reach()}
+		var v proto.Message = &pb.View{Reach: c.reachability()}
 		select {
 		case change, ok := <-ch:
 			if !ok {
 				return
 			}
 			v = change
-		case <-beat.C:
+		case <-heartbeat.C:
 		}
 		if frame.Write(s, frame.Reply, v) != nil {
 			return
@@ -93,11 +93,11 @@
 	}
 }
 
-func (c *Coord) wholeView() *pb.View {
+func (c *Coord) fullView() *pb.View {
 	rev, f := c.config()
 	v := &pb.View{
-		Self:    c.set.Name,
-		Reach:   c.reach(),
+		Self:    c.settings.Name,
+		Reach:   c.reachability(),
 		Members: &pb.Members{Members: convert.Members(c.members())},
 	}
 	if c.hasList() {
--- a/cmd/quince-coord/main.go
+++ b/cmd/quince-coord/main.go
@@ -1,5 +1,5 @@
-// Command quince-coord runs the process that knows the fleet: membership,
-// configuration, slots, and the operators' intent API.
+// Command quince-coord runs the coordination process: membership, configuration,
+// slots, and the operators' API.
 package main
 
 import (
@@ -10,8 +10,7 @@
 	"quinceroad/cmd/process"
 )
 
-// gcPercent keeps a coord's memory within its budget with customers by the
-// thousand.
+// gcPercent keeps a coord's memory within its budget with thousands of customers.
 const gcPercent = 50
 
 func main() {
