--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -1,5 +1,6 @@
-// Package slots runs schedulers, one per service, for many goroutines: the
-// coord's as the owner of slots, the entry's as its own fallback.
+// Package slots runs one scheduler per service for concurrent use: in a coord, which
+// owns the slots of services, and in an entry, as its fallback when the owner can't be
+// reached.
 package slots
 
 import (
@@ -13,12 +14,12 @@
 	"quinceroad/state/table"
 )
 
-const tickEvery = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-// Deliver hands an action to the holder it is for. It is called without locks.
+// Deliver passes an action to its holder. It is called without locks held.
 type Deliver func(service string, a scheduler.Action)
 
-// Host runs the schedulers.
+// Host runs one scheduler per service. It is safe for concurrent use.
 type Host struct {
 	start    time.Time
 	policy   func(*fleet.Fleet) scheduler.Policy
@@ -33,8 +34,8 @@
 	policy scheduler.Policy
 }
 
-// New returns a host without services; policy tells which policy a
-// configuration asks for here.
+// New returns a host without services. policy returns the scheduling policy that this
+// process uses under a configuration.
 func New(policy func(*fleet.Fleet) scheduler.Policy, d Deliver) *Host {
 	return &Host{
 		start:    time.Now(),
@@ -45,17 +46,17 @@
 	}
 }
 
-// Start begins the ticks.
-func (h *Host) Start() { go h.ticks() }
+// Start starts the schedulers' ticks.
+func (h *Host) Start() { go h.tickLoop() }
 
-// Stop ends the ticks.
+// Stop stops the schedulers' ticks.
 func (h *Host) Stop() { close(h.quit) }
 
-// Now is the host's clock, which deadlines of asks are on.
+// Now returns the time on the host's clock, which the deadlines of tasks refer to.
 func (h *Host) Now() time.Duration { return time.Since(h.start) }
 
-// Configure takes in the configuration, the replicas, and the share of their
-// slots that this process may fill.
+// Configure applies the configuration, the replicas, and the share of their slots that
+// this process may use. A service whose policy changes gets a new scheduler.
 func (h *Host) Configure(f *fleet.Fleet, all []replicas.Replica, share float64) {
 	policy := h.policy(f)
 	for _, s := range f.Services {
@@ -65,13 +66,13 @@
 				slots[r.ID] = s.Slots
 			}
 		}
-		fresh := func() *service { return newService(policy, f.ShedSlackFactor) }
-		svc := h.services.GetOrPut(s.Name, fresh)
+		create := func() *service { return newService(policy, f.ShedSlackFactor) }
+		svc := h.services.GetOrPut(s.Name, create)
 		if svc.policy != policy {
-			svc = fresh()
+			svc = create()
 			h.services.Put(s.Name, svc)
 		}
-		h.with(s.Name, func(sc *scheduler.Scheduler, now time.Duration) []scheduler.Action {
+		h.withScheduler(s.Name, func(sc *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 			sc.Configure(scheduler.Shed(f.ShedSlackFactor), scheduler.Share(share))
 			return sc.SetReplicas(now, slots)
 		})
@@ -86,51 +87,51 @@
 	return &service{policy: p, sched: scheduler.New(rand.Uint64(), opts...)}
 }
 
-// Ask passes an ask on. It tells whether the service is known here, and
-// whether the ask has its answer already; else it waits in the queue.
-func (h *Host) Submit(name string, a scheduler.Task) (known, answered bool) {
-	known = h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
+// Submit passes a task to the service's scheduler. It reports whether the service is
+// configured here and whether the task was answered at once; otherwise it is queued.
+func (h *Host) Submit(name string, a scheduler.Task) (found, answered bool) {
+	found = h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 		actions := s.Submit(now, a)
 		for _, x := range actions {
 			answered = answered || (x.Task == a.ID && x.Holder == a.Holder)
 		}
 		return actions
 	})
-	return known, answered
+	return found, answered
 }
 
-// Announce passes an announcement on; its answer comes at once. False when the
-// service is not known here.
+// Announce passes an announcement to the service's scheduler, which answers it at once.
+// It returns false if the service isn't configured here.
 func (h *Host) Announce(name string, a scheduler.Task, ready time.Duration) bool {
-	return h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action { return s.Announce(now, a, ready) })
+	return h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action { return s.Announce(now, a, ready) })
 }
 
-// Done returns a permit's slot; took of zero means that it was not used.
+// Release returns a permit's slot; a took of zero means that the permit was not used.
 func (h *Host) Release(name string, permit uint64, took time.Duration, failed bool) {
-	h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
+	h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 		return s.Release(now, permit, took, failed)
 	})
 }
 
-// Cancel drops an ask, or frees its slot if it was granted meanwhile.
+// Cancel removes a task, or frees its slot if it was granted meanwhile.
 func (h *Host) Cancel(name string, id uint64, holder string) {
-	h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
+	h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 		return s.Cancel(now, id, holder)
 	})
 }
 
-// DropHolder ends everything a holder has.
+// DropHolder cancels all tasks and releases all permits of a holder.
 func (h *Host) DropHolder(holder string) {
 	for name := range h.services.Rows() {
-		h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action { return s.DropHolder(now, holder) })
+		h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action { return s.DropHolder(now, holder) })
 	}
 }
 
-// Stats returns every scheduler's state.
+// Stats returns the schedulers' states by service.
 func (h *Host) Stats() map[string]scheduler.Stats {
 	out := make(map[string]scheduler.Stats)
 	for name := range h.services.Rows() {
-		h.with(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
+		h.withScheduler(name, func(s *scheduler.Scheduler, now time.Duration) []scheduler.Action {
 			out[name] = s.Stats()
 			return nil
 		})
@@ -138,8 +139,8 @@
 	return out
 }
 
-// with runs f under the service's lock and delivers its actions after it.
-func (h *Host) with(name string, f func(*scheduler.Scheduler, time.Duration) []scheduler.Action) bool {
+// withScheduler runs f under the service's lock and delivers its actions after unlocking.
+func (h *Host) withScheduler(name string, f func(*scheduler.Scheduler, time.Duration) []scheduler.Action) bool {
 	svc, ok := h.services.Get(name)
 	if !ok {
 		return false
@@ -160,8 +161,8 @@
 	return s.Tick(now)
 }
 
-func (h *Host) ticks() {
-	t := time.NewTicker(tickEvery)
+func (h *Host) tickLoop() {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -170,7 +171,7 @@
 		case <-t.C:
 		}
 		for name := range h.services.Rows() {
-			h.with(name, tick)
+			h.withScheduler(name, tick)
 		}
 	}
 }
