--- a/cmd/check/check.go
+++ b/cmd/check/check.go
@@ -1,5 +1,6 @@
-// Package check joins what callers were told with what the upstreams journalled
-// and names every broken promise. It trusts neither the entries nor the coords.
+// Package check compares the responses that callers received with the executions that
+// the upstreams journalled, and reports every violated guarantee. It relies on no
+// record of the entries or coords.
 package check
 
 import (
@@ -14,13 +15,13 @@
 	"quinceroad/transport/upstream"
 )
 
-// Told is one receipt of a request and what its caller was told.
+// Response is one request sent and the response that its caller received.
 type Response struct {
 	Customer string
 	Label    string // the caller's own id
 	Pipeline string
 	Input    string
-	Ticket   string // with its number; "" without
+	Ticket   string // with its number; "" for a request without a ticket
 	Intended time.Time
 	Answered time.Time
 	Deadline time.Duration
@@ -34,7 +35,7 @@
 	Stages   []api.Stage
 }
 
-// Violation is one broken promise; Row is that of docs/PROOFS.md.
+// Violation is one violated guarantee, named by its row in docs/PROOFS.md.
 type Violation struct {
 	Guarantee string
 	ID        string
@@ -44,51 +45,52 @@
 // String returns "P3 id: text".
 func (v Violation) String() string { return fmt.Sprintf("%s %s: %s", v.Guarantee, v.ID, v.Text) }
 
-// history is the two sides joined.
+// history joins responses and executions.
 type history struct {
-	fleet *fleet.Fleet
-	told  []Response
-	ran   map[string][]api.Execution // by request id
-	found []Violation
+	fleet      *fleet.Fleet
+	responses  []Response
+	executions map[string][]api.Execution // by request id
+	violations []Violation
 
-	receipts map[receipt][]string // ids that the receipts of a numbered request were told
+	ticketIDs map[ticketedRequest][]string // ids in the responses to a ticketed request
 }
 
-// receipt names a numbered request.
-type receipt struct{ ticket, input string }
+// ticketedRequest identifies a request with a ticket.
+type ticketedRequest struct{ ticket, input string }
 
-// All checks every row that histories alone can show.
-func All(f *fleet.Fleet, told []Response, journal []api.Execution) []Violation {
-	h := &history{fleet: f, told: told, ran: make(map[string][]api.Execution), receipts: make(map[receipt][]string)}
-	for _, t := range told {
+// All checks every guarantee that responses and journal alone can show to be violated.
+func All(f *fleet.Fleet, responses []Response, journal []api.Execution) []Violation {
+	h := &history{fleet: f, responses: responses, executions: make(map[string][]api.Execution), ticketIDs: make(map[ticketedRequest][]string)}
+	for _, t := range responses {
 		if t.Ticket != "" && t.ID != "" {
-			key := receipt{t.Ticket, t.Input}
-			h.receipts[key] = append(h.receipts[key], t.ID)
+			key := ticketedRequest{t.Ticket, t.Input}
+			h.ticketIDs[key] = append(h.ticketIDs[key], t.ID)
 		}
 	}
 	for _, x := range journal {
-		h.ran[x.Request] = append(h.ran[x.Request], x)
+		h.executions[x.Request] = append(h.executions[x.Request], x)
 	}
-	for i := range told {
-		t := &told[i]
+	for i := range responses {
+		t := &responses[i]
 		p, ok := f.Pipeline(t.Pipeline)
 		if !ok {
 			continue
 		}
-		h.own(t, p)
-		h.whole(t)
-		h.notRun(t)
-		h.immediate(t)
+		h.checkOutput(t, p)
+		h.checkComplete(t)
+		h.checkNotRun(t)
+		h.checkRefusalTime(t)
 	}
-	h.once()
-	return h.found
+	h.checkAtMostOnce()
+	return h.violations
 }
 
-func (h *history) add(row, id, format string, args ...any) {
-	h.found = append(h.found, Violation{Guarantee: row, ID: id, Text: fmt.Sprintf(format, args...)})
+// add records a violation.
+func (h *history) add(guarantee, id, format string, args ...any) {
+	h.violations = append(h.violations, Violation{Guarantee: guarantee, ID: id, Text: fmt.Sprintf(format, args...)})
 }
 
-// Expect returns the output of a pipeline for an input.
+// ExpectedOutput returns the output of a pipeline for an input.
 func ExpectedOutput(p *fleet.Pipeline, input string) string {
 	b := []byte(input)
 	for _, s := range p.Stages {
@@ -97,13 +99,13 @@
 	return string(b)
 }
 
-// own is P1: a done answer is this request's own, over each stage once.
-func (h *history) own(t *Response, p *fleet.Pipeline) {
+// checkOutput checks P1: a done answer is this request's own, and each stage ran on its input.
+func (h *history) checkOutput(t *Response, p *fleet.Pipeline) {
 	if t.Outcome != outcome.Done {
 		return
 	}
 	if want := upstream.Digest([]byte(ExpectedOutput(p, t.Input))); t.Digest != want {
-		h.add("P1", t.ID, "the answer's digest is %s, this request's is %s", t.Digest, want)
+		h.add("P1", t.ID, "digest of the answer is %s, expected %s for this request", t.Digest, want)
 	}
 	if len(t.Stages) != len(p.Stages) {
 		h.add("P1", t.ID, "%d stages reported, the pipeline has %d", len(t.Stages), len(p.Stages))
@@ -111,15 +113,17 @@
 	}
 	in := []byte(t.Input)
 	for i, s := range p.Stages {
-		if t.Stages[i].Name != s.Name || !h.ended(t.ID, s.Name, upstream.Digest(in)) {
-			h.add("P1", t.ID, "stage %s was reported done but no replica ended it for this input", s.Name)
+		if t.Stages[i].Name != s.Name || !h.hasEnded(t.ID, s.Name, upstream.Digest(in)) {
+			h.add("P1", t.ID, "stage %s was reported done, but no replica completed it for this input", s.Name)
 		}
 		in = work.Output(s.Operation, in)
 	}
 }
 
-func (h *history) ended(id, stage, digest string) bool {
-	for _, x := range h.ran[id] {
+// hasEnded reports whether a replica completed the request's stage for the input with
+// this digest.
+func (h *history) hasEnded(id, stage, digest string) bool {
+	for _, x := range h.executions[id] {
 		if x.Stage == stage && x.Digest == digest && x.EndUS > 0 {
 			return true
 		}
@@ -127,94 +131,95 @@
 	return false
 }
 
-// whole is P2: a done answer has all its bytes.
-func (h *history) whole(t *Response) {
+// checkComplete checks P2: a done answer has all its bytes.
+func (h *history) checkComplete(t *Response) {
 	if t.Outcome != outcome.Done {
 		return
 	}
 	if t.Count != len(t.Output) || t.Digest != upstream.Digest([]byte(t.Output)) {
-		h.add("P2", t.ID, "the answer says %d bytes, digest %s; %d came", t.Count, t.Digest, len(t.Output))
+		h.add("P2", t.ID, "the answer states %d bytes, digest %s; %d bytes received", t.Count, t.Digest, len(t.Output))
 	}
 }
 
-// notRun is P3: what was told not_run has no execution, neither under its own
-// id nor, for a numbered one, under that of another receipt of the same request.
-func (h *history) notRun(t *Response) {
+// checkNotRun checks P3: a request answered not_run has no execution, neither under its
+// own id nor, if it has a ticket, under the id in another response to the same request.
+func (h *history) checkNotRun(t *Response) {
 	if t.Outcome != outcome.NotRun {
 		return
 	}
-	if n := len(h.ran[t.ID]); t.ID != "" && n > 0 {
-		h.add("P3", t.ID, "told not_run (%s), but %d executions began", t.Code, n)
+	if n := len(h.executions[t.ID]); t.ID != "" && n > 0 {
+		h.add("P3", t.ID, "answered not_run (%s), but %d executions started", t.Code, n)
 		return
 	}
-	for _, id := range h.receipts[receipt{t.Ticket, t.Input}] {
-		if n := len(h.ran[id]); n > 0 {
-			h.add("P3", id, "one receipt was told not_run (%s), but %d executions began", t.Code, n)
+	for _, id := range h.ticketIDs[ticketedRequest{t.Ticket, t.Input}] {
+		if n := len(h.executions[id]); n > 0 {
+			h.add("P3", id, "answered not_run (%s) once, but %d executions started", t.Code, n)
 			return
 		}
 	}
 }
 
-// immediateSlack is how long past a deadline a refusal may take on a busy
-// machine; holding it back on purpose shows as far more refusals near it.
-const immediateSlack = 500 * time.Millisecond
+// refusalGrace is how long after the deadline a refusal may arrive on a busy machine.
+// Refusals delayed on purpose show as many more refusals near this bound.
+const refusalGrace = 500 * time.Millisecond
 
-// immediate is a bound on P8: no refusal comes after the deadline.
-func (h *history) immediate(t *Response) {
-	if t.Outcome == outcome.NotRun && t.Answered.Sub(t.Intended) > t.Deadline+immediateSlack {
-		h.add("P8", t.ID, "told not_run %s after it was sent, deadline %s", t.Answered.Sub(t.Intended), t.Deadline)
+// checkRefusalTime checks a bound on P8: no refusal arrives after the deadline.
+func (h *history) checkRefusalTime(t *Response) {
+	if t.Outcome == outcome.NotRun && t.Answered.Sub(t.Intended) > t.Deadline+refusalGrace {
+		h.add("P8", t.ID, "answered not_run %s after it was sent, deadline %s", t.Answered.Sub(t.Intended), t.Deadline)
 	}
 }
 
-// once is P4: a stage with an effect began at most once per ticketed number.
-func (h *history) once() {
-	onceStage := make(map[string]bool)
+// checkAtMostOnce checks P4: an at-most-once stage started at most once per ticket number.
+func (h *history) checkAtMostOnce() {
+	atMostOnce := make(map[string]bool)
 	for _, p := range h.fleet.Pipelines {
 		for _, s := range p.Stages {
 			if s.AtMostOnce {
-				onceStage[s.Name+"/"+s.Operation] = true
+				atMostOnce[s.Name+"/"+s.Operation] = true
 			}
 		}
 	}
-	for id, xs := range h.ran {
+	for id, xs := range h.executions {
 		n := 0
 		for _, x := range xs {
-			if onceStage[x.Stage+"/"+x.Op] {
+			if atMostOnce[x.Stage+"/"+x.Op] {
 				n++
 			}
 		}
 		if n > 1 {
-			h.add("P4", id, "a stage that may not be repeated began %d times", n)
+			h.add("P4", id, "an at-most-once stage started %d times", n)
 		}
 	}
-	h.ticketsOnce(onceStage)
+	h.checkTicketsAtMostOnce(atMostOnce)
 }
 
-// ticketsOnce joins by input too, so that two ids for one number would show:
-// the load client gives each number an input of its own.
-func (h *history) ticketsOnce(onceStage map[string]bool) {
-	ids := make(map[string]map[string]bool) // input digest -> request ids
-	for _, t := range h.told {
+// checkTicketsAtMostOnce joins by input as well, which shows two ids for one ticket
+// number: the load client gives each number a different input.
+func (h *history) checkTicketsAtMostOnce(atMostOnce map[string]bool) {
+	idsByInput := make(map[string]map[string]bool) // input digest -> request ids
+	for _, t := range h.responses {
 		if t.Ticket != "" {
-			ids[upstream.Digest([]byte(t.Input))] = make(map[string]bool)
+			idsByInput[upstream.Digest([]byte(t.Input))] = make(map[string]bool)
 		}
 	}
-	for id, xs := range h.ran {
-		set, ok := ids[firstInput(xs)]
+	for id, xs := range h.executions {
+		ids, ok := idsByInput[firstInputDigest(xs)]
 		for _, x := range xs {
-			if ok && onceStage[x.Stage+"/"+x.Op] {
-				set[id] = true
+			if ok && atMostOnce[x.Stage+"/"+x.Op] {
+				ids[id] = true
 			}
 		}
 	}
-	for digest, set := range ids {
-		if len(set) > 1 {
-			h.add("P4", digest, "one number ran under %d ids", len(set))
+	for digest, ids := range idsByInput {
+		if len(ids) > 1 {
+			h.add("P4", digest, "one ticket number ran under %d ids", len(ids))
 		}
 	}
 }
 
-func firstInput(xs []api.Execution) string {
+// firstInputDigest returns the input digest of the earliest execution.
+func firstInputDigest(xs []api.Execution) string {
 	first := xs[0]
 	for _, x := range xs {
 		if x.StartUS < first.StartUS {
@@ -224,22 +229,22 @@
 	return first.Digest
 }
 
-// Left is P5: no execution began on a replica later than grace after it was
-// said to leave.
+// StartedAfterLeaving checks P5: no execution started on a replica later than grace
+// after the replica was reported to be leaving.
 func StartedAfterLeaving(journal []api.Execution, replica string, at time.Time, grace time.Duration) []Violation {
 	var out []Violation
 	for _, x := range journal {
 		if after := time.UnixMicro(x.StartUS).Sub(at); x.Replica == replica && after > grace {
-			out = append(out, Violation{Guarantee: "P5", ID: x.Request, Text: fmt.Sprintf("began on %s %s after it left", replica, after)})
+			out = append(out, Violation{Guarantee: "P5", ID: x.Request, Text: fmt.Sprintf("started on %s %s after it was reported leaving", replica, after)})
 		}
 	}
 	return out
 }
 
-// Unended is P6: every request was answered, and as done.
-func NotDone(told []Response) []Violation {
+// NotDone checks P6: every request was answered as done.
+func NotDone(responses []Response) []Violation {
 	var out []Violation
-	for _, t := range told {
+	for _, t := range responses {
 		if t.Outcome != outcome.Done {
 			text := fmt.Sprintf("not done but %q, code %q, status %d", t.Outcome, t.Code, t.Status)
 			out = append(out, Violation{Guarantee: "P6", ID: t.ID, Text: strings.TrimSpace(text)})
@@ -248,7 +253,7 @@
 	return out
 }
 
-// Fenced is P9: no engine that checks obeys a token lower than one it has obeyed.
+// StaleFences checks P9: no engine that checks fencing tokens obeys a lower one than it has obeyed before.
 func StaleFences(orders []api.Ordered) []Violation {
 	highest := make(map[string]uint64)
 	var out []Violation
--- a/cmd/check/check_test.go
+++ b/cmd/check/check_test.go
@@ -18,11 +18,11 @@
 	{Name: "q", Stages: []fleet.Stage{{Name: "s", Operation: "store", AtMostOnce: true}}},
 }}
 
-// good is a history that keeps every promise.
-func good() ([]Response, []api.Execution) {
+// validHistory returns a history that violates no guarantee.
+func validHistory() ([]Response, []api.Execution) {
 	out := ExpectedOutput(&testFleet.Pipelines[0], "in")
 	t0 := time.Now()
-	told := []Response{
+	responses := []Response{
 		{Pipeline: "p", Input: "in", ID: "1", Outcome: outcome.Done, Output: out, Count: len(out), Digest: upstream.Digest([]byte(out)),
 			Stages: []api.Stage{{Name: "a"}, {Name: "b"}}, Intended: t0, Answered: t0, Deadline: time.Second},
 		{Pipeline: "p", Input: "no", ID: "2", Outcome: outcome.NotRun, Intended: t0, Answered: t0, Deadline: time.Second},
@@ -33,10 +33,10 @@
 		{Request: "1", Stage: "b", Op: "y", Digest: upstream.Digest(work.Output("x", []byte("in"))), EndUS: 3},
 		{Request: "3.t", Stage: "s", Op: "store", Digest: upstream.Digest([]byte("n1"))},
 	}
-	return told, journal
+	return responses, journal
 }
 
-func rows(vs []Violation) map[string]bool {
+func violated(vs []Violation) map[string]bool {
 	out := make(map[string]bool)
 	for _, v := range vs {
 		out[v.Guarantee] = true
@@ -44,15 +44,15 @@
 	return out
 }
 
-func TestGoodHistory(t *testing.T) {
-	told, journal := good()
-	is.New(t).Equal(len(All(testFleet, told, journal)), 0)
+func TestValidHistoryHasNoViolations(t *testing.T) {
+	responses, journal := validHistory()
+	is.New(t).Equal(len(All(testFleet, responses, journal)), 0)
 }
 
-func TestEachViolationIsCalledOne(t *testing.T) {
+func TestEachViolationIsDetected(t *testing.T) {
 	cases := []struct {
-		name, row string
-		spoil     func(told []Response, journal []api.Execution) ([]Response, []api.Execution)
+		name, guarantee string
+		corrupt         func(responses []Response, journal []api.Execution) ([]Response, []api.Execution)
 	}{
 		{"another request's answer", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[0].Output = ExpectedOutput(&testFleet.Pipelines[0], "other")
@@ -63,44 +63,44 @@
 			t[0].Stages = t[0].Stages[:1]
 			return t, j
 		}},
-		{"a stage that no replica ended", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"a stage that no replica completed", "P1", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			j[1].EndUS = 0
 			return t, j
 		}},
-		{"a cut answer", "P2", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"a truncated answer", "P2", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[0].Output = t[0].Output[:3]
 			return t, j
 		}},
-		{"not_run that ran", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"executed but answered not_run", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			return t, append(j, api.Execution{Request: "2", Stage: "a", Op: "x"})
 		}},
-		{"a retry told not_run of a number that ran", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"retry answered not_run for an executed ticket", "P3", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			again := t[2]
 			again.ID, again.Outcome = "", outcome.NotRun
 			return append(t, again), j
 		}},
-		{"one id twice", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"one id executed twice", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			return t, append(j, j[2])
 		}},
-		{"one number under two ids", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"one ticket number under two ids", "P4", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			x := j[2]
 			x.Request = "r.9"
 			return t, append(j, x)
 		}},
-		{"a refusal held back", "P8", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
+		{"a refusal after the deadline", "P8", func(t []Response, j []api.Execution) ([]Response, []api.Execution) {
 			t[1].Answered = t[1].Intended.Add(3 * time.Second)
 			return t, j
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			told, journal := c.spoil(good())
-			is.New(t).True(rows(All(testFleet, told, journal))[c.row])
+			responses, journal := c.corrupt(validHistory())
+			is.New(t).True(violated(All(testFleet, responses, journal))[c.guarantee])
 		})
 	}
 }
 
-func TestLeftAndUnended(t *testing.T) {
+func TestStartedAfterLeavingAndNotDone(t *testing.T) {
 	is := is.New(t)
 	at := time.Now()
 	late := []api.Execution{{Replica: "r", StartUS: at.Add(4 * time.Second).UnixMicro()}}
