--- a/cmd/load/caller.go
+++ b/cmd/load/caller.go
@@ -1,5 +1,5 @@
-// Package load is the load and experiment client: open-loop arrivals, one
-// history line per request, the checker's verdict.
+// Package load is the client for load tests and experiments. Arrivals are open loop,
+// and each request adds one response to the history that package check verifies.
 package load
 
 import (
@@ -23,82 +23,82 @@
 )
 
 const (
-	answerGrace = 3 * time.Second // over the deadline, before a caller gives up
-	askTimeout  = time.Second
-	mostAsked   = 8    // entries asked for addresses before giving up
-	maxConns    = 4096 // open loop: as many as there are requests under way
-	// idleFor is how long a caller keeps an idle connection: docs/API.md asks
-	// for less than half of the shortest address lifetime, since the entry may
-	// be another process by then.
-	idleFor = 500 * time.Millisecond
+	responseGrace     = 3 * time.Second // time after the deadline until a caller's request times out
+	addressTimeout    = time.Second
+	maxAddressQueries = 8    // entries asked for addresses in one query
+	maxConns          = 4096 // open loop: one connection per request in flight
+	// idleConnTimeout is how long a caller keeps an idle connection. docs/API.md
+	// asks for less than half of the shortest address lifetime, since another
+	// process may have the entry's address after that.
+	idleConnTimeout = 500 * time.Millisecond
 )
 
-// Caller is one customer's program: it asks which addresses to use, keeps the
-// answer for its lifetime, and calls them.
+// Caller is the client program of one customer: it asks the entries which addresses to
+// use, caches the answer for its lifetime, and calls those addresses.
 type Caller struct {
 	Key     string
 	Hall    string
-	Entries []string // IP:port of some entries, to ask first
-
-	http   *fasthttp.Client
-	mu     sync.Mutex
-	answer api.AddressAnswer
-	until  time.Time
-	number atomic.Uint64
-	turn   atomic.Uint64
+	Entries []string // IP:port of some entries, to ask for addresses
+
+	http        *fasthttp.Client
+	mu          sync.Mutex
+	addresses   api.AddressAnswer
+	expires     time.Time
+	lastTicket  atomic.Uint64
+	lastAddress atomic.Uint64
 }
 
-// NewCaller returns a caller that has asked nobody yet.
+// NewCaller returns a caller without addresses; it asks for them when it needs them.
 func NewCaller(key, hall string, known []string) *Caller {
 	c := &Caller{Key: key, Hall: hall, Entries: known, http: web.NewClient()}
 	c.http.MaxConnsPerHost = maxConns
-	c.http.MaxIdleConnDuration = idleFor
+	c.http.MaxIdleConnDuration = idleConnTimeout
 	return c
 }
 
-var errNoAddresses = errors.New("no entry answers with addresses")
+var errNoAddresses = errors.New("no entry returned addresses")
 
-// Addresses returns the kept answer, or asks anew when it has run out.
+// Addresses returns the cached answer, or a new one when it has expired.
 func (c *Caller) Addresses() (api.AddressAnswer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.until) {
-		return c.answer, nil
+	if time.Now().Before(c.expires) {
+		return c.addresses, nil
 	}
-	ask := make([]string, 0, len(c.Entries)+len(c.answer.Addresses))
-	for _, a := range c.answer.Addresses {
-		ask = append(ask, a.Address)
+	candidates := make([]string, 0, len(c.Entries)+len(c.addresses.Addresses))
+	for _, a := range c.addresses.Addresses {
+		candidates = append(candidates, a.Address)
 	}
-	for i, addr := range append(ask, c.Entries...) {
-		if i >= mostAsked {
+	for i, addr := range append(candidates, c.Entries...) {
+		if i >= maxAddressQueries {
 			break
 		}
-		began := time.Now()
+		start := time.Now()
 		var got api.AddressAnswer
-		if c.get(addr, &got) == nil && len(got.Addresses) > 0 {
-			c.answer = got
-			c.until = began.Add(time.Duration(got.LifetimeMS) * time.Millisecond)
+		if c.fetchAddresses(addr, &got) == nil && len(got.Addresses) > 0 {
+			c.addresses = got
+			c.expires = start.Add(time.Duration(got.LifetimeMS) * time.Millisecond)
 			return got, nil
 		}
 	}
-	return c.answer, errNoAddresses
+	return c.addresses, errNoAddresses
 }
 
-// Forget makes the next call ask anew.
+// ExpireAddresses makes the next request ask for addresses again.
 func (c *Caller) ExpireAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expires = time.Time{}
 }
 
-func (c *Caller) get(addr string, out any) error {
+func (c *Caller) fetchAddresses(addr string, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr + "/v1/addresses")
 	req.Header.Set(api.HeaderKey, "Bearer "+c.Key)
 	req.Header.Set(api.HeaderHall, c.Hall)
-	if err := c.http.DoTimeout(req, resp, askTimeout); err != nil {
+	if err := c.http.DoTimeout(req, resp, addressTimeout); err != nil {
 		return err
 	}
 	if resp.StatusCode() != 200 {
@@ -107,20 +107,20 @@
 	return json.Unmarshal(resp.Body(), out)
 }
 
-// Request is one run to ask for.
+// Request is one pipeline run to request.
 type Request struct {
 	Pipeline string
 	Input    string
 	Deadline time.Duration
 	Stream   bool
-	Ticketed bool   // under a ticket
-	Ticket   string // a retry's; "" takes the next number
-	Address  string // "" takes one of the answer's
-	Label    string // the caller's own id for it
+	Ticketed bool   // sent with a ticket
+	Ticket   string // the ticket to retry; "" uses the next number
+	Address  string // the entry to call; "" uses one of the address answer's
+	Label    string // the caller's own id of the request
 	Intended time.Time
 }
 
-// Do sends one request and returns what the caller was told.
+// Do sends one request and returns its response.
 func (c *Caller) Do(q Request) check.Response {
 	t := check.Response{Label: q.Label, Pipeline: q.Pipeline, Input: q.Input, Deadline: q.Deadline, Intended: q.Intended, Ticket: q.Ticket}
 	if t.Intended.IsZero() {
@@ -134,18 +134,18 @@
 			return t
 		}
 		if q.Ticketed && q.Ticket == "" {
-			t.Ticket = fmt.Sprintf("%s.%d", a.Ticket, c.number.Add(1))
+			t.Ticket = fmt.Sprintf("%s.%d", a.Ticket, c.lastTicket.Add(1))
 		}
 		switch {
 		case addr == "" && q.Ticketed:
-			addr = a.Home // any other would have to forward it there
+			addr = a.Home // any other entry would have to forward it there
 		case addr == "":
-			addr = a.Addresses[c.turn.Add(1)%uint64(len(a.Addresses))].Address
+			addr = a.Addresses[c.lastAddress.Add(1)%uint64(len(a.Addresses))].Address
 		}
 	}
 	err := c.post(addr, q, &t)
-	if notSent(err) && q.Address == "" {
-		err = c.elsewhere(addr, q, &t)
+	if isDialError(err) && q.Address == "" {
+		err = c.failOver(addr, q, &t)
 	}
 	if err != nil {
 		t.Code = err.Error()
@@ -154,24 +154,24 @@
 	return t
 }
 
-// notSent reports whether no connection was made: nothing can have run.
-func notSent(err error) bool {
+// isDialError reports whether no connection was made, so that nothing can have run.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// elsewhere tries the other addresses in turn, as a caller does whose entry is gone.
-func (c *Caller) elsewhere(gone string, q Request, t *check.Response) error {
+// failOver tries the other addresses one after the other, as callers do whose entry is down.
+func (c *Caller) failOver(failed string, q Request, t *check.Response) error {
 	c.ExpireAddresses()
 	a, err := c.Addresses()
 	if err != nil {
 		return err
 	}
 	for _, other := range a.Addresses {
-		if other.Address == gone {
+		if other.Address == failed {
 			continue
 		}
-		if err = c.post(other.Address, q, t); !notSent(err) {
+		if err = c.post(other.Address, q, t); !isDialError(err) {
 			return err
 		}
 	}
@@ -196,18 +196,18 @@
 		req.Header.Set(api.HeaderID, q.Label)
 	}
 	req.SetBody(body)
-	if err := c.http.DoTimeout(req, resp, q.Deadline+answerGrace); err != nil {
+	if err := c.http.DoTimeout(req, resp, q.Deadline+responseGrace); err != nil {
 		return err
 	}
 	t.Status = resp.StatusCode()
 	if strings.HasPrefix(string(resp.Header.ContentType()), "text/event-stream") {
-		return readStream(resp.Body(), t)
+		return parseStream(resp.Body(), t)
 	}
-	return readAnswer(resp.Body(), t)
+	return parseAnswer(resp.Body(), t)
 }
 
-// readAnswer fills t from a whole answer or an error; both have its fields.
-func readAnswer(body []byte, t *check.Response) error {
+// parseAnswer sets t's fields from the body of an answer or an error, which share field names.
+func parseAnswer(body []byte, t *check.Response) error {
 	var a struct {
 		api.RunAnswer
 		Code string `json:"code"`
@@ -220,10 +220,10 @@
 	return nil
 }
 
-// errCut is a stream without its end event.
-var errCut = errors.New("the stream was cut")
+// errStreamTruncated is the error of a stream without its end event.
+var errStreamTruncated = errors.New("stream ended without its end event")
 
-func readStream(body []byte, t *check.Response) error {
+func parseStream(body []byte, t *check.Response) error {
 	var output strings.Builder
 	sc := bufio.NewScanner(bytes.NewReader(body))
 	sc.Buffer(nil, len(body)+1)
@@ -235,7 +235,7 @@
 		case bytes.Equal(line, []byte("event: end")):
 			ended = true
 		case isData && ended:
-			err := readAnswer(data, t)
+			err := parseAnswer(data, t)
 			if t.Outcome == outcome.Done {
 				t.Output = output.String()
 			}
@@ -248,5 +248,5 @@
 			output.WriteString(tok.Text)
 		}
 	}
-	return errCut
+	return errStreamTruncated
 }
--- a/cmd/load/load.go
+++ b/cmd/load/load.go
@@ -15,25 +15,25 @@
 	"quinceroad/protocol/api"
 )
 
-// Mix is one kind of request in a load.
+// Mix is one kind of request in a load and its share of the arrivals.
 type Mix struct {
-	Customer string // its key is "key-" and this name, as in the examples
+	Customer string // the API key is "key-" and this name, as in the examples
 	Hall     string
 	Pipeline string
 	Share    float64
 	Deadline time.Duration
 	Stream   bool
 	Ticketed bool
-	Entries  []string // entries to use in turn, whatever the address answers say
+	Entries  []string // entries to use in rotation instead of those in the address answers
 }
 
-// Phase is a time with one rate.
+// Phase is a period with a constant arrival rate.
 type Phase struct {
 	Duration time.Duration
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second
 }
 
-// Options describe one load.
+// Options configure one load.
 type Options struct {
 	Entries []string // entries to ask for addresses
 	Mix     []Mix
@@ -41,14 +41,14 @@
 	Seed    uint64
 }
 
-// Result is what a load brought.
+// Result holds the responses to a load.
 type Result struct {
 	Responses []check.Response
 	Start     time.Time
 }
 
-// Run sends the load, open loop: each request goes out at its own time,
-// whatever became of those before it, and its latency counts from there.
+// Run sends the load, open loop: each request is sent at its intended time, whether or
+// not earlier ones were answered, and its latency is measured from that time.
 func Run(o Options) *Result {
 	rnd := rand.New(rand.NewPCG(o.Seed, o.Seed))
 	callers := make([]*Caller, len(o.Mix))
@@ -70,10 +70,10 @@
 				at = end
 				break
 			}
-			i := draw(o.Mix, rnd.Float64()*total)
+			i := drawMix(o.Mix, rnd.Float64()*total)
 			m := o.Mix[i]
 			q := Request{
-				Pipeline: m.Pipeline, Input: input(m, o.Seed, n, rnd), Deadline: m.Deadline,
+				Pipeline: m.Pipeline, Input: newInput(m, o.Seed, n, rnd), Deadline: m.Deadline,
 				Stream: m.Stream, Ticketed: m.Ticketed, Intended: at,
 				Label: fmt.Sprintf("s%d-%d", o.Seed, n),
 			}
@@ -94,7 +94,8 @@
 	return res
 }
 
-func draw(mix []Mix, x float64) int {
+// drawMix returns the index of the mix that x falls into, by shares.
+func drawMix(mix []Mix, x float64) int {
 	for i, m := range mix {
 		if x < m.Share {
 			return i
@@ -104,43 +105,43 @@
 	return len(mix) - 1
 }
 
-// input is a text of its own per request, behind a prefix that many share.
-func input(m Mix, seed uint64, n int, rnd *rand.Rand) string {
+// newInput returns a different text per request, behind a prefix that many requests share.
+func newInput(m Mix, seed uint64, n int, rnd *rand.Rand) string {
 	return fmt.Sprintf("manual %02d of %s, as asked by %s: question %d/%d", rnd.IntN(20), m.Pipeline, m.Customer, seed, n)
 }
 
-// Summary is a load's figures.
+// Summary holds a load's metrics.
 type Summary struct {
 	Sent       int
 	InTime     int // done within the deadline
 	Attainment float64
 	ByOutcome  map[outcome.Kind]int
-	P50, P99   time.Duration // of the whole ones, from the intended time
-	Cost       float64       // units spent on answers that came
-	StageTime  time.Duration // of the whole ones
+	P50, P99   time.Duration // latencies of requests done in time, from the intended time
+	Cost       float64       // cost units of all stages reported in answers
+	StageTime  time.Duration // total stage time of requests done in time
 	ByCustomer map[string]CustomerCounts
 }
 
-// Share is how many of a customer's requests were whole in time.
+// CustomerCounts counts a customer's requests and those done within their deadline.
 type CustomerCounts struct{ Sent, InTime int }
 
-// Attainment is the share as a number.
+// Attainment returns the fraction of requests done in time.
 func (s CustomerCounts) Attainment() float64 { return float64(s.InTime) / float64(max(s.Sent, 1)) }
 
-// Whole reports whether the request was answered whole within its deadline.
+// IsInTime reports whether the request was done within its deadline.
 func IsInTime(t *check.Response) bool {
 	return t.Outcome == outcome.Done && t.Answered.Sub(t.Intended) <= t.Deadline
 }
 
 const (
-	maxLatencyUS = 60_000_000
-	digits       = 3
+	maxLatencyUS      = 60_000_000
+	significantDigits = 3
 )
 
-// Summarize works out a load's figures.
+// Summarize computes a load's metrics.
 func (r *Result) Summarize() Summary {
 	s := Summary{Sent: len(r.Responses), ByOutcome: make(map[outcome.Kind]int), ByCustomer: make(map[string]CustomerCounts)}
-	h := hdr.New(1, maxLatencyUS, digits)
+	h := hdr.New(1, maxLatencyUS, significantDigits)
 	for i := range r.Responses {
 		t := &r.Responses[i]
 		kind := t.Outcome
@@ -161,7 +162,7 @@
 			continue
 		}
 		s.InTime++
-		_ = h.RecordValue(t.Answered.Sub(t.Intended).Microseconds()) // in range: a whole one is within its deadline
+		_ = h.RecordValue(t.Answered.Sub(t.Intended).Microseconds()) // can't fail: in time means within the deadline, which is in range
 		for _, st := range t.Stages {
 			s.StageTime += time.Duration(st.TimeMS * float64(time.Millisecond))
 		}
@@ -172,9 +173,9 @@
 	return s
 }
 
-// String returns the figures in one line.
+// String returns the metrics in one line.
 func (s Summary) String() string {
-	return fmt.Sprintf("sent %d, whole in time %d (%.3f), p50 %s, p99 %s, outcomes %v, cost %.1f",
+	return fmt.Sprintf("sent %d, done in time %d (%.3f), p50 %s, p99 %s, outcomes %v, cost %.1f",
 		s.Sent, s.InTime, s.Attainment, s.P50, s.P99, s.ByOutcome, s.Cost)
 }
 
--- a/cmd/quince-load/main.go
+++ b/cmd/quince-load/main.go
@@ -1,5 +1,5 @@
-// Command quince-load sends an open-loop load to a deployment and checks what
-// callers were told against what the upstreams journalled.
+// Command quince-load sends an open-loop load to a deployment and checks the responses
+// against the executions that the upstreams journalled.
 package main
 
 import (
@@ -20,12 +20,12 @@
 const usage = `usage: quince-load -fleet FILE -entries IP:PORT[,IP:PORT] [-rate N] [-for D]
 
 Sends every pipeline of the declaration in equal shares, customer by customer,
-and prints attainment, latency and the checker's verdict.
+and prints attainment, latency and violated guarantees.
 
 example:
   quince-load -fleet examples/kalahari/fleet.toml -entries 127.0.0.1:21010 -journal 127.0.0.1:21001 -rate 100 -for 10s
 
-exit codes: 0 no promise was broken, 1 one was or the load failed, 2 bad arguments
+exit codes: 0 no guarantee was violated, 1 one was or the load failed, 2 bad arguments
 
 `
 
@@ -41,13 +41,13 @@
 	flags := flag.NewFlagSet("quince-load", flag.ExitOnError)
 	flags.StringVar(&o.fleet, "fleet", "", "the declaration in force")
 	flags.StringVar(&o.entries, "entries", "", "entries to ask for addresses, comma-separated")
-	flags.StringVar(&o.journal, "journal", "", "control address of the stand-in upstreams; empty: no verdict")
+	flags.StringVar(&o.journal, "journal", "", "control address of the stand-in upstreams; empty: no check")
 	flags.StringVar(&o.pipeline, "pipeline", "", "only this pipeline")
-	flags.Float64Var(&o.rate, "rate", 50, "requests a second")
-	flags.DurationVar(&o.duration, "for", 10*time.Second, "how long at that rate")
-	flags.Float64Var(&o.burst, "burst", 0, "requests a second of a burst in the middle; 0: none")
-	flags.DurationVar(&o.burstFor, "burst-for", 10*time.Second, "how long the burst lasts")
-	flags.Uint64Var(&o.seed, "seed", 1, "of arrivals and inputs")
+	flags.Float64Var(&o.rate, "rate", 50, "requests per second")
+	flags.DurationVar(&o.duration, "for", 10*time.Second, "duration of the load at that rate")
+	flags.Float64Var(&o.burst, "burst", 0, "requests per second of a burst in the middle; 0: none")
+	flags.DurationVar(&o.burstFor, "burst-for", 10*time.Second, "duration of the burst")
+	flags.Uint64Var(&o.seed, "seed", 1, "seed of arrivals and inputs")
 	version := flags.Bool("version", false, "print the version and exit")
 	flags.Usage = func() { fmt.Fprint(flags.Output(), usage); flags.PrintDefaults() }
 	_ = flags.Parse(os.Args[1:]) // exits on error
@@ -70,23 +70,23 @@
 }
 
 func run(f *fleet.Fleet, o options) error {
-	lo := load.Options{Entries: strings.Split(o.entries, ","), Seed: o.seed, Phases: []load.Phase{{Duration: o.duration, Rate: o.rate}}}
+	opts := load.Options{Entries: strings.Split(o.entries, ","), Seed: o.seed, Phases: []load.Phase{{Duration: o.duration, Rate: o.rate}}}
 	if o.burst > 0 {
-		lo.Phases = append(lo.Phases, load.Phase{Duration: o.burstFor, Rate: o.burst}, load.Phase{Duration: o.duration, Rate: o.rate})
+		opts.Phases = append(opts.Phases, load.Phase{Duration: o.burstFor, Rate: o.burst}, load.Phase{Duration: o.duration, Rate: o.rate})
 	}
 	for i, p := range f.Pipelines {
 		if o.pipeline != "" && o.pipeline != p.Name {
 			continue
 		}
-		lo.Mix = append(lo.Mix, load.Mix{
+		opts.Mix = append(opts.Mix, load.Mix{
 			Customer: f.Customers[i%len(f.Customers)].Name, Hall: f.Halls[i%len(f.Halls)],
 			Pipeline: p.Name, Share: 1, Deadline: p.Deadline(), Ticketed: !p.Repeatable,
 		})
 	}
-	if len(lo.Mix) == 0 {
+	if len(opts.Mix) == 0 {
 		return fmt.Errorf("no pipeline is named %q", o.pipeline)
 	}
-	res := load.Run(lo)
+	res := load.Run(opts)
 	fmt.Println(res.Summarize())
 	if o.journal == "" {
 		return nil
@@ -95,13 +95,13 @@
 	if err != nil {
 		return err
 	}
-	found := check.All(f, res.Responses, journal)
-	for _, v := range found {
+	violations := check.All(f, res.Responses, journal)
+	for _, v := range violations {
 		fmt.Println("violation:", v)
 	}
-	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Responses), len(journal), len(found))
-	if len(found) > 0 {
-		return fmt.Errorf("%d violations", len(found))
+	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Responses), len(journal), len(violations))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d violations", len(violations))
 	}
 	return nil
 }
