--- a/cmd/entry/slots.go
+++ b/cmd/entry/slots.go
@@ -114,7 +114,7 @@
 	task.Deadline = c.local.Now() + left
 	c.pending.Put(task.ID, ch)
 	defer c.pending.Delete(task.ID)
-	if known, _ := c.local.Ask(service, task); !known {
+	if known, _ := c.local.Submit(service, task); !known {
 		return nil, scheduler.Action{Reason: scheduler.NoReplica}
 	}
 	t := time.NewTimer(left)
@@ -134,7 +134,7 @@
 	}
 	return &slot{replica: ans.Replica, release: func(took time.Duration, failed bool) {
 		if ans.owner == nil {
-			c.local.Done(service, ans.Permit, took, failed)
+			c.local.Release(service, ans.Permit, took, failed)
 			return
 		}
 		ans.owner.send(doneFrame(service, ans.Permit, took, failed))
