--- a/cmd/standin/upstream/replica.go
+++ b/cmd/standin/upstream/replica.go
@@ -25,16 +25,16 @@
 
 // Fault is what a replica does wrong; set by POST /fault.
 type Fault struct {
-	Replica string  `json:"replica"`
-	Slow    float64 `json:"slow"`        // times slower; 0 and 1 are none
-	Fail    bool    `json:"fail"`        // answer 500 after running
-	HangUp  bool    `json:"hang_up"`     // run, then close without answering
-	Cross   bool    `json:"cross"`       // answer under another request's name
-	CutAt   int     `json:"cut_at"`      // close a stream after so many tokens
-	Late    int     `json:"late_ms"`     // run, then answer so much later
-	Leaving bool    `json:"leaving"`     // say so in answers and in the list
-	Refuse  bool    `json:"refuse_work"` // answer 503 without running
-	Dead    bool    `json:"dead"`        // close every connection, run nothing
+	Replica        string  `json:"replica"`
+	SlowFactor     float64 `json:"slow"`        // times slower; 0 and 1 are none
+	Fail           bool    `json:"fail"`        // answer 500 after running
+	HangUp         bool    `json:"hang_up"`     // run, then close without answering
+	WrongRequest   bool    `json:"cross"`       // answer under another request's name
+	CutAfterTokens int     `json:"cut_at"`      // close a stream after so many tokens
+	LateMS         int     `json:"late_ms"`     // run, then answer so much later
+	Leaving        bool    `json:"leaving"`     // say so in answers and in the list
+	RefuseWork     bool    `json:"refuse_work"` // answer 503 without running
+	Dead           bool    `json:"dead"`        // close every connection, run nothing
 }
 
 // replica is one process of a service, as far as callers can tell.
@@ -139,7 +139,7 @@
 		h.Set(name, q.Header.Get(name))
 	}
 	r.identify(h, f)
-	if f.Refuse {
+	if f.RefuseWork {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -154,7 +154,7 @@
 	defer r.leave()
 	line := r.journal.start(r, q, input)
 	defer r.journal.free(line)
-	if f.Cross { // what is answered from here on is another request's
+	if f.WrongRequest { // what is answered from here on is another request's
 		h.Set(api.HeaderRequest, "another")
 		input = []byte("another")
 	}
@@ -180,7 +180,7 @@
 
 // answer writes a whole body, or does the replica's fault.
 func (r *replica) answer(w http.ResponseWriter, q *http.Request, f Fault, out []byte) {
-	process.Sleep(q.Context(), time.Duration(f.Late)*time.Millisecond)
+	process.Sleep(q.Context(), time.Duration(f.LateMS)*time.Millisecond)
 	switch {
 	case f.HangUp:
 		panic(http.ErrAbortHandler)
@@ -189,7 +189,7 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
-	if f.CutAt > 0 {
+	if f.CutAfterTokens > 0 {
 		_, _ = w.Write(out[:len(out)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -206,7 +206,7 @@
 		if !process.Sleep(q.Context(), gap) {
 			return
 		}
-		if f.CutAt > 0 && i >= f.CutAt {
+		if f.CutAfterTokens > 0 && i >= f.CutAfterTokens {
 			panic(http.ErrAbortHandler)
 		}
 		b, _ := json.Marshal(api.Token{Text: tokens[i]})
@@ -225,7 +225,7 @@
 // duration is how long a slot is held: the request's own time, longer in a
 // full batch or on a slow replica, shorter when the prefix is cached.
 func (r *replica) duration(q *http.Request, f Fault, input []byte) time.Duration {
-	d := work.Time(r.svc.mean(), r.svc.Sigma, q.Header.Get(api.HeaderRequest), q.Header.Get(api.HeaderStage))
+	d := work.ServiceTime(r.svc.mean(), r.svc.Sigma, q.Header.Get(api.HeaderRequest), q.Header.Get(api.HeaderStage))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.svc.Streams {
@@ -234,8 +234,8 @@
 			d -= time.Duration(float64(d) * cacheShare)
 		}
 	}
-	if f.Slow > 1 {
-		d = time.Duration(float64(d) * f.Slow)
+	if f.SlowFactor > 1 {
+		d = time.Duration(float64(d) * f.SlowFactor)
 	}
 	return d
 }
--- a/cmd/standin/work/work.go
+++ b/cmd/standin/work/work.go
@@ -50,7 +50,7 @@
 // Time returns how long an operation takes: mean times a lognormal factor of
 // mean 1 drawn from the label that the caller gave the request (the part of its
 // id before the dot), so that any policy meets the same service times.
-func Time(mean time.Duration, sigma float64, request, stage string) time.Duration {
+func ServiceTime(mean time.Duration, sigma float64, request, stage string) time.Duration {
 	if sigma == 0 {
 		return mean
 	}
--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -46,13 +46,13 @@
 func TestAnswersCrossedLateCut(t *testing.T) {
 	r := deploy(t, rig.Options{Example: kalahari})
 	faults := []upstream.Fault{
-		{Replica: "encoder-0", Cross: true},
-		{Replica: "encoder-1", Late: 700},
-		{Replica: "reranker-0", CutAt: 1},
+		{Replica: "encoder-0", WrongRequest: true},
+		{Replica: "encoder-1", LateMS: 700},
+		{Replica: "reranker-0", CutAfterTokens: 1},
 		{Replica: "reranker-1", HangUp: true},
-		{Replica: "scribe-pool-0", Cross: true},
-		{Replica: "scribe-pool-1", CutAt: 5},
-		{Replica: "ledger-archive-0", Late: 2500},
+		{Replica: "scribe-pool-0", WrongRequest: true},
+		{Replica: "scribe-pool-1", CutAfterTokens: 5},
+		{Replica: "ledger-archive-0", LateMS: 2500},
 	}
 	for _, f := range faults {
 		must(t, r.FaultUpstream(f))
@@ -70,7 +70,7 @@
 func TestStreamResumes(t *testing.T) {
 	r := deploy(t, rig.Options{Example: kalahari})
 	for i, id := range replicasOf("scribe-pool", 8) {
-		must(t, r.FaultUpstream(upstream.Fault{Replica: id, CutAt: 2 + i%4}))
+		must(t, r.FaultUpstream(upstream.Fault{Replica: id, CutAfterTokens: 2 + i%4}))
 	}
 	c := caller(r, 0)
 	var told []check.Told
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -182,7 +182,7 @@
 	slices.SortFunc(told, func(a, b check.Told) int { return a.Intended.Compare(b.Intended) })
 	took := make([]time.Duration, len(told))
 	for i, t := range told {
-		took[i] = work.Time(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
+		took[i] = work.ServiceTime(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
 	}
 	most := len(told)
 	const windows = 8
--- a/proctest/experiment/scenario.go
+++ b/proctest/experiment/scenario.go
@@ -48,7 +48,7 @@
 		{name: "burst 3x on 60%", example: kalahari, phases: []step{warm(0.6), {10, 1.8}, {2, 0.6}}, mix: answers},
 		{name: "one replica 10x slow, 80%", example: kalahari, phases: steady(0.8), mix: answers,
 			fault: func(r *rig.Rig) error {
-				return r.FaultUpstream(upstream.Fault{Replica: "scribe-pool-3", Slow: 10})
+				return r.FaultUpstream(upstream.Fault{Replica: "scribe-pool-3", SlowFactor: 10})
 			}},
 		{name: "one replica dead, 80%", example: kalahari, phases: steady(0.8), mix: answers,
 			fault: func(r *rig.Rig) error {
