--- a/cmd/ctl/builds.go
+++ b/cmd/ctl/builds.go
@@ -10,24 +10,24 @@
 	"quinceroad/cmd/process"
 )
 
-// nodeBuild is what a node's dump of state holds of builds. Nodes that were built
-// before levels hold none of it.
+// nodeBuild is the part of a node's state dump that describes builds and compatibility
+// levels. Builds older than the levels leave all of it but the names empty.
 type nodeBuild struct {
 	Name       string
 	Build      string
 	Level      uint32
 	FleetLevel uint32
-	Waiting    []string // what needs a higher level of all
+	Waiting    []string // features that need a higher fleet level
 	Instances  []struct {
 		Name  string
 		Level uint32
 	}
 }
 
-// builds prints which build nodes run, what all instances understand, and who is
-// behind.
+// builds prints the build and level of each node, the level that all instances
+// support, and the instances with a lower level than the node.
 func (c *client) builds(addresses []string) (int, error) {
-	all, err := nodeStates[nodeBuild](addresses)
+	all, err := fetchNodeStates[nodeBuild](addresses)
 	if err != nil {
 		return process.ExitFailure, err
 	}
--- a/cmd/ctl/ctl.go
+++ b/cmd/ctl/ctl.go
@@ -1,4 +1,5 @@
-// Package ctl is the operators' command line over the intent API.
+// Package ctl implements quincectl, the operators' command line: a client of the coords'
+// intent API and of the nodes' admin listeners, and a reader of node logs.
 package ctl
 
 import (
@@ -23,24 +24,24 @@
 const usage = `usage: quincectl [-operators IP:PORT] [-token TOKEN] [-o text|json] COMMAND
 
 commands:
-  check -f FILE      check a declaration here, without asking anybody
-  plan -f FILE       state an intent; answers with a plan, changes nothing
+  check -f FILE      validate a declaration locally
+  plan -f FILE       submit a declaration and print its plan; changes nothing
   show PLAN          print a plan
-  confirm PLAN       put a plan into force, and wait until it is so at every instance
-  diff -f FILE       what a declaration would change, without keeping a plan
+  confirm PLAN       put a plan into force and wait until every instance has applied it
+  diff -f FILE       print what a declaration would change
   status             instances, replicas, and the revision in force at each
-  drain INSTANCE     take an instance out of address answers until it is started again
+  drain INSTANCE     take an instance out of address answers until it restarts
   history            accepted revisions, newest first
   dump               the coord's state
-  explain ID FILE... what the logs of any nodes say of a request, in order
-  rollouts ADDR...   what nodes know of the roll-outs that are ordered, by their addresses for metrics
-  quarantine ADDR... what nodes hold of requests that replicas have ended under, by their addresses for metrics
-  acquit PRINT ADDR  let a condemned request be sent again; the node tells the others
-  customers ADDR...  what became of customers' requests, who asks for how much of the pools and who is held to its share
-  builds ADDR...     which build nodes run, what all understand, who is behind; by their addresses for metrics
-  losses FILE...     what logs say of requests not served in time, by cause and time
-  config -f FILE     check a configuration as it is written into the platform's store
-  rules              what such a configuration is held against
+  explain ID FILE... trace a request through node logs, in order of time
+  rollouts ADDR...   state of ordered roll-outs at nodes (addresses of their metrics)
+  quarantine ADDR... requests that nodes suspect or have quarantined because replicas ended (addresses of their metrics)
+  acquit PRINT ADDR  release a quarantined request by its fingerprint; the node informs the others
+  customers ADDR...  outcomes of requests by customer, demand on the pools, and customers throttled to their share
+  builds ADDR...     builds of nodes, the level that all support, instances with a lower one (addresses of their metrics)
+  losses FILE...     requests in node logs that were not served in time, by cause and time
+  config -f FILE     check a configuration in the format of the platform's store
+  rules              list the rules that config checks
 
 examples:
   quincectl check -f examples/kalahari/fleet.toml
@@ -49,33 +50,33 @@
 
 The address and the token may come from QUINCE_OPERATORS and QUINCE_TOKEN.
 exit codes: 0 done, 1 refused or failed, 2 bad arguments or declaration,
-3 conflict: plan again, 4 undetermined: ask again
+3 conflict: plan again, 4 undetermined: confirm again
 
 `
 
-// The exit codes beside those of package process.
+// Exit codes in addition to those of package process.
 const (
 	exitConflict     = 3
 	exitUndetermined = 4
 )
 
 const (
-	callTimeout = 10 * time.Second
-	followFor   = 15 * time.Second
-	followEvery = 300 * time.Millisecond
-	jsonOut     = "json"
+	callTimeout    = 10 * time.Second
+	followTimeout  = 15 * time.Second
+	followInterval = 300 * time.Millisecond
+	formatJSON     = "json"
 )
 
-// client is one invocation.
+// client holds the options and output streams of one invocation.
 type client struct {
 	addr, token, format, file string
 	out, errOut               io.Writer
 }
 
-// errUsage is a wrong command line.
+// errUsage is returned for an unknown command or wrong arguments.
 var errUsage = errors.New("bad arguments; see quincectl -h")
 
-// Main runs the command line and returns an exit code.
+// Main runs quincectl with the given arguments and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	c := &client{out: out, errOut: errOut}
 	flags := flag.NewFlagSet("quincectl", flag.ContinueOnError)
@@ -107,7 +108,7 @@
 	}
 	name, rest := args[0], args[1:]
 	if slices.ContainsFunc(rest, isHelp) {
-		fmt.Fprintln(c.out, callOf(name))
+		fmt.Fprintln(c.out, commandUsage(name))
 		return process.ExitOK, nil
 	}
 	if len(rest) == 2 && rest[0] == "-f" {
@@ -150,11 +151,11 @@
 	case name == "dump" && len(rest) == 0:
 		return c.dump()
 	}
-	return process.ExitUsage, usageOf(name)
+	return process.ExitUsage, usageError(name)
 }
 
-// calls tells how each command that takes arguments is called, with an example.
-var calls = map[string][2]string{
+// commandSyntax has the arguments and an example of each command that takes arguments.
+var commandSyntax = map[string][2]string{
 	"check":      {"-f FILE", "quincectl check -f examples/kalahari/fleet.toml"},
 	"plan":       {"-f FILE", "quincectl -operators 127.0.0.1:21014 -token demo-operator plan -f examples/kalahari/fleet.toml"},
 	"diff":       {"-f FILE", "quincectl -operators 127.0.0.1:21014 -token demo-operator diff -f examples/kalahari/fleet.toml"},
@@ -171,24 +172,24 @@
 	"config":     {"-f FILE", "quincectl config -f configuration.json"},
 }
 
-// usageOf is the error of a command that was called wrongly.
-func usageOf(name string) error {
-	if _, ok := calls[name]; !ok {
+// usageError returns errUsage, with the command's usage where it is known.
+func usageError(name string) error {
+	if _, ok := commandSyntax[name]; !ok {
 		return errUsage
 	}
-	return fmt.Errorf("%w\n%s", errUsage, callOf(name))
+	return fmt.Errorf("%w\n%s", errUsage, commandUsage(name))
 }
 
-// callOf tells how a command is called.
-func callOf(name string) string {
-	call, ok := calls[name]
+// commandUsage returns a command's usage line and example.
+func commandUsage(name string) string {
+	syntax, ok := commandSyntax[name]
 	if !ok {
 		return "usage: quincectl " + name
 	}
-	return fmt.Sprintf("usage: quincectl %s %s\nexample: %s", name, call[0], call[1])
+	return fmt.Sprintf("usage: quincectl %s %s\nexample: %s", name, syntax[0], syntax[1])
 }
 
-// isHelp reports whether an argument asks how a command is called.
+// isHelp reports whether an argument is a help flag.
 func isHelp(arg string) bool { return arg == "-h" || arg == "-help" || arg == "--help" }
 
 func (c *client) check() (int, error) {
@@ -199,10 +200,11 @@
 	return process.ExitOK, nil
 }
 
-// call makes one call and returns its status; out gets a body of status 2xx or 409.
+// call sends a request to the coord and returns its status. It decodes the body of a
+// 2xx or 409 response into out and returns that of any other as an error.
 func (c *client) call(method, path string, body []byte, out any) (int, error) {
 	if c.addr == "" || c.token == "" {
-		return 0, errors.New("-operators and -token are missing")
+		return 0, errors.New("-operators and -token are required")
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -217,7 +219,7 @@
 	status := resp.StatusCode()
 	switch {
 	case status == 422:
-		return status, c.findings(resp.Body())
+		return status, c.declarationError(resp.Body())
 	case status >= 300 && status != 409:
 		var e api.Error
 		if err := json.Unmarshal(resp.Body(), &e); err != nil {
@@ -228,19 +230,20 @@
 	return status, json.Unmarshal(resp.Body(), out)
 }
 
-// findings names the file that the operator has, not what the coord calls it.
-func (c *client) findings(body []byte) error {
-	var found settings.Findings
-	if err := json.Unmarshal(body, &found); err != nil {
+// declarationError returns the findings of a 422 response, under the name of the
+// operator's file instead of the coord's name for it.
+func (c *client) declarationError(body []byte) error {
+	var findings settings.Findings
+	if err := json.Unmarshal(body, &findings); err != nil {
 		return err
 	}
-	for i := range found {
-		found[i].File = c.file
+	for i := range findings {
+		findings[i].File = c.file
 	}
-	return errors.New("the declaration is not good:\n" + found.Error())
+	return errors.New("invalid declaration:\n" + findings.Error())
 }
 
-func (c *client) plan(only bool) (int, error) {
+func (c *client) plan(diffOnly bool) (int, error) {
 	text, err := os.ReadFile(c.file)
 	if err != nil {
 		return process.ExitUsage, err
@@ -253,7 +256,7 @@
 	if err != nil {
 		return process.ExitFailure, err
 	}
-	return c.print(p, func() { c.printPlan(&p, only) })
+	return c.print(p, func() { c.printPlan(&p, diffOnly) })
 }
 
 func (c *client) show(id string) (int, error) {
@@ -265,48 +268,48 @@
 }
 
 func (c *client) confirm(id string) (int, error) {
-	var done api.Confirmed
-	if _, err := c.call("POST", "/v1/plans/"+id+"/confirm", nil, &done); err != nil {
+	var confirmed api.Confirmed
+	if _, err := c.call("POST", "/v1/plans/"+id+"/confirm", nil, &confirmed); err != nil {
 		return process.ExitFailure, err
 	}
-	code, err := c.print(done, func() { c.printConfirmed(&done) })
+	code, err := c.print(confirmed, func() { c.printConfirmed(&confirmed) })
 	switch {
 	case err != nil:
 		return code, err
-	case done.State == "confirmed":
-		return c.follow(done.Revision)
-	case done.State == "conflict":
+	case confirmed.State == "confirmed":
+		return c.follow(confirmed.Revision)
+	case confirmed.State == "conflict":
 		return exitConflict, nil
-	case done.State == "undetermined":
+	case confirmed.State == "undetermined":
 		return exitUndetermined, nil
 	}
 	return code, nil
 }
 
-// follow shows how a revision comes into force, until it is so at every
-// instance that is not dead, or for a while.
+// follow prints at how many instances a revision is in force, until that is so at every
+// instance that is not dead or followTimeout has passed.
 func (c *client) follow(revision uint64) (int, error) {
-	for until := time.Now().Add(followFor); ; time.Sleep(followEvery) {
+	for deadline := time.Now().Add(followTimeout); ; time.Sleep(followInterval) {
 		var s api.Status
 		if _, err := c.call("GET", "/v1/status", nil, &s); err != nil {
 			return process.ExitFailure, err
 		}
-		there, all := 0, 0
+		applied, total := 0, 0
 		for _, i := range s.Instances {
 			if i.State == "dead" {
 				continue
 			}
-			all++
+			total++
 			if i.Revision >= revision {
-				there++
+				applied++
 			}
 		}
-		fmt.Fprintf(c.errOut, "revision %d is in force at %d of %d instances\n", revision, there, all)
-		if there == all {
+		fmt.Fprintf(c.errOut, "revision %d is in force at %d of %d instances\n", revision, applied, total)
+		if applied == total {
 			return process.ExitOK, nil
 		}
-		if time.Now().After(until) {
-			return process.ExitFailure, errors.New("not everywhere yet; see quincectl status")
+		if time.Now().After(deadline) {
+			return process.ExitFailure, errors.New("not in force at every instance yet; see quincectl status")
 		}
 	}
 }
@@ -317,7 +320,7 @@
 		return process.ExitFailure, err
 	}
 	return c.print(d, func() {
-		fmt.Fprintf(c.out, "%s takes no new callers; stop it once the address answers have run out\n", d.Instance)
+		fmt.Fprintf(c.out, "%s takes no new callers; stop it once the address answers have expired\n", d.Instance)
 	})
 }
 
@@ -346,13 +349,13 @@
 	if _, err := c.call("GET", "/v1/state", nil, &v); err != nil {
 		return process.ExitFailure, err
 	}
-	c.format = jsonOut
+	c.format = formatJSON
 	return c.print(v, nil)
 }
 
-// print writes v as JSON, or calls text.
+// print writes v as JSON if that is the output format; else it calls text.
 func (c *client) print(v any, text func()) (int, error) {
-	if c.format != jsonOut {
+	if c.format != formatJSON {
 		text()
 		return process.ExitOK, nil
 	}
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -11,42 +11,42 @@
 	"quinceroad/platform"
 )
 
-// explain reads logs and prints the story of one request: its own lines in
-// order, a verdict, and what was logged meanwhile of those that it met.
+// explain reads logs and prints the trace of one request: its log lines in order of
+// time, a verdict, and concurrent events of the replicas and instances involved.
 func (c *client) explain(id string, files []string) (int, error) {
-	s := newStory(id)
-	for _, take := range []func(*logLine){s.takeOwn, s.takeOthers} {
+	s := newRequestTrace(id)
+	for _, visit := range []func(*logLine){s.addRequestLine, s.addContextLine} {
 		for _, name := range files {
-			if err := readLog(name, take); err != nil {
+			if err := readLog(name, visit); err != nil {
 				return process.ExitUsage, err
 			}
 		}
 	}
-	if len(s.own) == 0 {
+	if len(s.requestLines) == 0 {
 		return process.ExitFailure, fmt.Errorf("no line of these logs names request %s; an instance that is killed logs no end of what it had taken", id)
 	}
-	c.printLines(s.own)
+	c.printLines(s.requestLines)
 	fmt.Fprintf(c.out, "\n%s\n", s.verdict())
-	if len(s.others) > 0 {
-		fmt.Fprintf(c.out, "\nBeside it, from %v before it:\n\n", before)
-		c.printLines(s.others)
+	if len(s.contextLines) > 0 {
+		fmt.Fprintf(c.out, "\nBeside it, from %v before it:\n\n", contextBefore)
+		c.printLines(s.contextLines)
 	}
 	return process.ExitOK, nil
 }
 
-// printLines prints lines of logs in the order of their times.
+// printLines prints log lines with their fields in order of their timestamps.
 func (c *client) printLines(lines []*logLine) {
-	slices.SortStableFunc(lines, func(a, b *logLine) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(lines, func(a, b *logLine) int { return cmp.Compare(a.timestamp, b.timestamp) })
 	for _, l := range lines {
-		fmt.Fprintf(c.out, "%s  %-18s %s\n", l.at, l.instance, l.what)
+		fmt.Fprintf(c.out, "%s  %-18s %s\n", l.timestamp, l.instance, l.eventName)
 		for _, f := range l.fields {
 			fmt.Fprintf(c.out, "    %-12s %s\n", f.name, f.value)
 		}
 	}
 }
 
-// checkConfiguration prints all faults of a configuration as the operator
-// writes it into the platform's store.
+// checkConfiguration prints all findings of a configuration file in the format of the
+// platform's store.
 func (c *client) checkConfiguration(name string) (int, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return process.ExitOK, nil
 }
 
-// rules prints what a configuration is held against.
+// rules prints the rules that a configuration is checked against.
 func (c *client) rules() (int, error) {
 	for _, r := range review.Rules() {
 		fmt.Fprintf(c.out, "%-16s %s\n", r.Name, r.Description)
--- a/cmd/ctl/explain_test.go
+++ b/cmd/ctl/explain_test.go
@@ -12,7 +12,7 @@
 	"quinceroad/protocol/event"
 )
 
-func TestExplainPutsARequestsLinesInOrder(t *testing.T) {
+func TestExplainOrdersLinesByTime(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log")
@@ -30,8 +30,8 @@
 	is.Equal(Main([]string{"explain", "r1", filepath.Join(dir, "none")}, &out, &errOut), 2)
 }
 
-// story of three requests: the lines are as nodes write them.
-const threeLogs = `2026-01-01T00:00:00.000Z [INFO]  node: replica left alone: instance=i2 event=3031 replica=d7 why=unreachable usual=0 by=i2
+// Logs of refused, failed and late requests, in the format that nodes write.
+const explainLogs = `2026-01-01T00:00:00.000Z [INFO]  node: replica left alone: instance=i2 event=3031 replica=d7 why=unreachable usual=0 by=i2
 2026-01-01T00:00:00.500Z [INFO]  node: node stopping: instance=i9 event=3002 in_flight=0
 2026-01-01T00:00:01.000Z [INFO]  node: job refused: instance=i2 event=3052 request=refused rank=1 again=false expected=4s wait=3s own=1s bound=read limit=3.1s objective=3.2s deadline=8s pools="read:9 waiting, through in 3s, 2 replicas"
 2026-01-01T00:00:01.001Z [INFO]  node: request: instance=i1 event=3050 request=refused why="stages refused, back in 1s" objective=3.6s owner=i2 took=2ms
@@ -44,10 +44,10 @@
 2026-01-01T00:00:06.000Z [INFO]  node: node stopping: instance=i2 event=3002 in_flight=3
 `
 
-func TestExplainTellsWhereTheWorthWent(t *testing.T) {
+func TestExplainVerdicts(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "all.log")
-	is.NoErr(os.WriteFile(name, []byte(threeLogs), 0o600))
+	is.NoErr(os.WriteFile(name, []byte(explainLogs), 0o600))
 	for id, want := range map[string][]string{
 		"refused": {"Refused by i2", "after 4s against 3.2s of its objective", "read:9 waiting", "1s by themselves and 3s of waiting, longest for read", "400ms of its objective were taken before, 398ms of it for its engine", "refused, pool read"},
 		"limited": {"Refused by i2", "state limits, 1.2 requests a second together", "after 4s, it could wait 3.5s"},
@@ -66,8 +66,9 @@
 	}
 }
 
-// A request's own lines come first, and of the configurations only the one that it was served by.
-func TestExplainBeginsWithTheRequest(t *testing.T) {
+// The request's own lines are printed first; of the configurations in force meanwhile,
+// only the one that served the request is printed.
+func TestExplainPrintsRequestBeforeContext(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "all.log")
 	is.NoErr(os.WriteFile(name, []byte(`2026-01-01T00:00:00.100Z [INFO]  node: configuration in force: instance=i1 event=3010 version=7 from=store routes=9
@@ -87,14 +88,15 @@
 	is.True(strings.Index(text, "Served in time") < strings.Index(text, "Beside it"))
 }
 
-// Every command tells how it is called; -h is nobody's file.
+// Each command prints its usage for -h and --help, and doesn't take the flag for a file
+// name.
 func TestEachCommandPrintsItsUsage(t *testing.T) {
 	is := is.New(t)
-	for name, call := range calls {
+	for name, syntax := range commandSyntax {
 		for _, help := range []string{"-h", "--help"} {
 			var out, errOut bytes.Buffer
 			is.Equal(Main([]string{name, help}, &out, &errOut), 0)
-			is.True(strings.Contains(out.String(), "usage: quincectl "+name+" "+call[0]))
+			is.True(strings.Contains(out.String(), "usage: quincectl "+name+" "+syntax[0]))
 		}
 	}
 	var out, errOut bytes.Buffer
@@ -102,7 +104,7 @@
 	is.True(strings.Contains(out.String(), "usage: quincectl status"))
 }
 
-func TestConfigPrintsAllFaults(t *testing.T) {
+func TestConfigPrintsAllParseErrors(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "c.json")
 	is.NoErr(os.WriteFile(name, []byte(`{"version":1,"routes":[{"name":"a"},{"name":"b","service":"s","stages":[{"service":"none"}]}]}`), 0o600))
@@ -112,7 +114,7 @@
 	is.True(strings.Contains(errOut.String(), "routes[1] b"))
 }
 
-func TestConfigPrintsFindingsWithTheirPlace(t *testing.T) {
+func TestConfigPrintsFindingsWithLocation(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "c.json")
 	is.NoErr(os.WriteFile(name, []byte(`{"version":3,"routes":[{"name":"a","host":"h","service":"none"}],"services":[{"name":"s"}]}`), 0o600))
@@ -126,9 +128,9 @@
 	is.True(strings.Contains(out.String(), "prefix-twice"))
 }
 
-// A condemned request's story holds what spoke against it at its caller's other
-// tries, at any instance.
-func TestExplainTellsWhatCondemnedARequest(t *testing.T) {
+// The trace of a quarantined request has the evidence against its fingerprint from the
+// client's other attempts, at any instance.
+func TestExplainReportsQuarantineEvidence(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "node.log")
 	is.NoErr(os.WriteFile(name, []byte(`2026-01-01T00:00:01.000Z [INFO]  node: attempt failed: instance=i2 event=3051 request=r1 fingerprint=ab replica=d7 why="the answer broke off" took=40ms kept=true
--- a/cmd/ctl/losses_test.go
+++ b/cmd/ctl/losses_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// What a day's logs say of requests that were served, refused by the pool that
-// bound, given up, late by their stages and by their engine, and lost.
-const dayLogs = `2026-01-01T00:00:00.100Z [INFO]  node: node started: instance=i1 event=3001 front=a link=b
+// Logs of requests that were served, refused because of a pool, given up, late because
+// of their stages or engine, and lost.
+const lossLogs = `2026-01-01T00:00:00.100Z [INFO]  node: node started: instance=i1 event=3001 front=a link=b
 2026-01-01T00:00:01.000Z [INFO]  node: job refused: instance=i2 event=3052 request=r1 expected=4s own=1s bound=rank limit=3s objective=3s pools="rank:9 waiting, through in 3s, 2 replicas"
 2026-01-01T00:00:01.001Z [INFO]  node: request: instance=i1 event=3050 request=r1 route=x why="stages refused, back in 1s" objective=3.6s took=2ms
 2026-01-01T00:00:01.100Z [INFO]  node: request: instance=i1 event=3050 request=r2 route=y why=served objective=1s took=900ms staged=500ms first=800ms expected=700ms
@@ -25,8 +25,8 @@
 2026-01-01T00:00:02.500Z [INFO]  node: request: instance=i1 event=3050 request=r7 route=z why=served objective=100ms took=300ms staged=0s first=0s
 `
 
-func TestLossesAreSummedByCauseAndTime(t *testing.T) {
-	wantLosses(t, dayLogs,
+func TestLossesByCauseAndTime(t *testing.T) {
+	wantLosses(t, lossLogs,
 		`7 attempts of clients ended, 6 of them not served in time; 1 starts of processes`,
 		`refused, pool rank +1  x 1 +r1`,
 		`given up, late +1  y 1 +r3`,
@@ -40,9 +40,10 @@
 	)
 }
 
-// Four refusals: all name the pools of their own stages, and each what bound
-// it. A pool that the request never uses, however long it takes, is none.
-const refusals = `2026-01-01T00:00:01.000Z [INFO]  node: job refused: instance=i2 event=3052 request=pool expected=2.6s wait=2s own=600ms bound=portal limit=2.4s objective=2.5s pools="portal:40 waiting, through in 2s, 2 replicas"
+// Five refusals, each with another cause: a pool, the engine, too little time left on
+// arrival, the duration of the stages alone, and none logged. A pool that the request
+// doesn't use is never the cause, however long its queue.
+const refusalLogs = `2026-01-01T00:00:01.000Z [INFO]  node: job refused: instance=i2 event=3052 request=pool expected=2.6s wait=2s own=600ms bound=portal limit=2.4s objective=2.5s pools="portal:40 waiting, through in 2s, 2 replicas"
 2026-01-01T00:00:01.001Z [INFO]  node: request: instance=i1 event=3050 request=pool route=x why="stages refused, back in 200ms" objective=3s took=2ms
 2026-01-01T00:00:01.100Z [INFO]  node: job refused: instance=i2 event=3052 request=engine expected=600ms wait=0s own=600ms bound="" limit=16ms objective=16ms pools="portal:0 waiting, through in 0s, 2 replicas"
 2026-01-01T00:00:01.101Z [INFO]  node: request: instance=i1 event=3050 request=engine route=x why="stages refused, back in 600ms" objective=1.2s took=2ms
@@ -54,15 +55,15 @@
 2026-01-01T00:00:01.401Z [INFO]  node: request: instance=i1 event=3050 request=none route=x why="stages refused, back in 1s" objective=1.2s took=2ms
 `
 
-// Its engines' limits are named as what bound a refused request.
-func TestLossesTellOfEnginesLimits(t *testing.T) {
+// A request refused because all engines are rate limited has that as its cause.
+func TestLossesReportEngineRateLimits(t *testing.T) {
 	wantLosses(t, `2026-01-01T00:00:05.600Z [INFO]  node: refused for its engines' limits: instance=i2 event=3206 request=limited rank=1 wait=4s may_wait=3.5s per_second=1.2
 2026-01-01T00:00:05.601Z [INFO]  node: request: instance=i1 event=3050 request=limited route=x why="stages refused, back in 500ms" objective=3.6s took=2ms
 `, `refused, limits of all its engines +1  x 1 +limited\n`)
 }
 
-func TestLossesTellWhatBoundARefusal(t *testing.T) {
-	wantLosses(t, refusals,
+func TestLossesReportRefusalBottleneck(t *testing.T) {
+	wantLosses(t, refusalLogs,
 		`refused, pool portal +1  x 1 +pool\n`,
 		`refused, engine +1  x 1 +engine\n`,
 		`refused, slack at arrival +1  x 1 +slack\n`,
@@ -71,10 +72,11 @@
 	)
 }
 
-// A request that its own region refuses may be asked of another: the client is
-// told what the first one said, and so is the operator. Its refusal of an
-// earlier attempt is not taken for it.
-const refusedTwice = `2026-01-01T00:00:09.500Z [INFO]  node: job refused: instance=i3 event=3052 request=r expected=2s own=600ms bound=far limit=1s objective=1s
+// A request that its own region refuses may spill over to another region, which may
+// refuse it too. The client receives the reason of the first refusal, and losses reports
+// the same. The refusal of an earlier attempt with the same request id is not taken for
+// that of the later one.
+const refusedTwiceLogs = `2026-01-01T00:00:09.500Z [INFO]  node: job refused: instance=i3 event=3052 request=r expected=2s own=600ms bound=far limit=1s objective=1s
 2026-01-01T00:00:09.400Z [INFO]  node: job refused: instance=i2 event=3052 request=r expected=2s own=600ms bound=near limit=1s objective=1s
 2026-01-01T00:00:05.000Z [INFO]  node: job refused: instance=i2 event=3052 request=r expected=2s own=600ms bound=earlier limit=1s objective=1s
 2026-01-01T00:00:09.501Z [INFO]  node: request: instance=i1 event=3050 request=r route=x why="stages refused, back in 1s" objective=3s took=120ms
@@ -83,38 +85,37 @@
 2026-01-01T00:00:07.001Z [INFO]  node: request: instance=i1 event=3050 request=known route=x why="stages refused, back in 1s" objective=1s took=2ms
 `
 
-func TestARefusalIsThatOfItsAttempt(t *testing.T) {
-	wantLosses(t, refusedTwice,
+func TestRefusalMatchesItsAttempt(t *testing.T) {
+	wantLosses(t, refusedTwiceLogs,
 		`refused, pool near +1 `,
 		`refused, pool earlier +1 `,
-		`refused, slack at arrival +1  x 1 +known\n`, // the engine needed 40 ms of the 950 that were gone
+		`refused, slack at arrival +1  x 1 +known\n`, // the engine needed 40 ms of the 950 ms spent before the stages
 	)
 }
 
-// Twenty requests of a route, the two with the longest prompts refused, and ten
-// of a more urgent one: the account shows them by the tenth of their size, and
-// by rank.
-func TestLossesAreSummedBySizeAndRank(t *testing.T) {
+// Twenty requests of each of two routes; of the more urgent route, the two with the
+// longest prompts are refused. Losses are shown by decile of prompt size and by rank.
+func TestLossesBySizeAndRank(t *testing.T) {
 	var logs strings.Builder
 	line := func(id string, route string, rank, tokens int, why string) {
 		fmt.Fprintf(&logs, "2026-01-01T00:00:01.000Z [INFO]  node: request: instance=i1 event=3050 request=%s route=%s rank=%d why=%q objective=1s took=2ms tokens=%d\n", id, route, rank, why, tokens)
 	}
 	for n := range 20 {
-		why := whyServed
+		why := reasonServed
 		if n >= 18 {
 			why = "no replica was reached"
 		}
-		line(fmt.Sprint("l", n), "long", 2, 5000-n, whyServed)
+		line(fmt.Sprint("l", n), "long", 2, 5000-n, reasonServed)
 		line(fmt.Sprint("u", n), "urgent", 0, 100*n, why)
 	}
-	line("p", "post", 1, 0, whyServed) // no prompt: it has a rank and no size
+	line("p", "post", 1, 0, reasonServed) // without a prompt: counted by rank, not by size
 	out := wantLosses(t, logs.String(),
 		`urgent +0 +20 +2  +0/2 0/2 0/2 0/2 0/2 0/2 0/2 0/2 0/2 2/2  no replica was reached 2\n`,
 		`long +2 +20 +0  +0/2 0/2 0/2 0/2 0/2 0/2 0/2 0/2 0/2 0/2 *\n`,
 		`rank +asked +lost +causes\n0 +20 +2  no replica was reached 2\n1 +1 +0  \n2 +20 +0`,
 	)
 	if strings.Contains(out, "post") {
-		t.Errorf("a route without prompts is parted by size:\n%s", out)
+		t.Errorf("a route without prompts is grouped by size:\n%s", out)
 	}
 }
 
@@ -136,7 +137,7 @@
 	return out.String()
 }
 
-func TestLossesOfNoRequestAreAnError(t *testing.T) {
+func TestLossesWithoutRequestsFail(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "empty.log")
 	is.NoErr(os.WriteFile(name, nil, 0o600))
@@ -145,8 +146,8 @@
 	is.Equal(Main([]string{"losses", name + ".none"}, &out, &errOut), 2)
 }
 
-// A command without its arguments tells how it is called.
-func TestAWrongCallShowsTheCommandsOwnUsage(t *testing.T) {
+// A command called without its arguments prints its usage and an example.
+func TestWrongArgumentsPrintCommandUsage(t *testing.T) {
 	is := is.New(t)
 	for _, command := range []string{"explain", "losses", "plan", "confirm", "config"} {
 		var out, errOut bytes.Buffer
--- a/cmd/ctl/print.go
+++ b/cmd/ctl/print.go
@@ -12,7 +12,7 @@
 
 func (c *client) table() *tabwriter.Writer { return tabwriter.NewWriter(c.out, 0, 0, padding, ' ', 0) }
 
-func (c *client) printPlan(p *api.Plan, only bool) {
+func (c *client) printPlan(p *api.Plan, diffOnly bool) {
 	if p.State == "unchanged" {
 		fmt.Fprintf(c.out, "unchanged: revision %d is this declaration\n", p.Base)
 		return
@@ -23,7 +23,7 @@
 	for _, w := range p.Warnings {
 		fmt.Fprintln(c.out, "warning:", w)
 	}
-	if only {
+	if diffOnly {
 		return
 	}
 	t := c.table()
@@ -40,22 +40,22 @@
 		fmt.Fprintf(t, "%s\t%.3f\t%.4f\n", o.Pipeline, o.Attainment, o.Cost)
 	}
 	_ = t.Flush()
-	fmt.Fprintf(c.out, "\nplan %s on revision %d, seen %d instances and %d replicas; nothing has changed yet\nnext: quincectl confirm %s\n", p.ID, p.Base, p.Inputs.Instances, p.Inputs.Replicas, p.ID)
+	fmt.Fprintf(c.out, "\nplan %s on revision %d, made with %d instances and %d replicas; nothing has changed yet\nnext: quincectl confirm %s\n", p.ID, p.Base, p.Inputs.Instances, p.Inputs.Replicas, p.ID)
 }
 
 func (c *client) printConfirmed(d *api.Confirmed) {
 	switch d.State {
 	case "conflict":
-		fmt.Fprintf(c.out, "conflict: revision %d came in between; plan again\n", d.Revision)
+		fmt.Fprintf(c.out, "conflict: revision %d came into force meanwhile; plan again\n", d.Revision)
 	case "undetermined":
-		fmt.Fprintf(c.out, "undetermined: the platform did not say; ask again: quincectl confirm %s\n", d.Plan)
+		fmt.Fprintf(c.out, "undetermined: the platform did not report the outcome; run again: quincectl confirm %s\n", d.Plan)
 	default:
 		fmt.Fprintf(c.out, "confirmed: revision %d\n", d.Revision)
 	}
 }
 
 func (c *client) printStatus(s *api.Status) {
-	fmt.Fprintf(c.out, "as %s sees it: revision %d, plan %s\n\n", s.Instance, s.Revision, s.Plan)
+	fmt.Fprintf(c.out, "as seen by %s: revision %d, plan %s\n\n", s.Instance, s.Revision, s.Plan)
 	t := c.table()
 	fmt.Fprintln(t, "INSTANCE\tHALL\tSTATE\tLEAVING\tREVISION\tINCARNATION\tENTRY")
 	for _, i := range s.Instances {
--- a/cmd/ctl/quarantine.go
+++ b/cmd/ctl/quarantine.go
@@ -13,8 +13,8 @@
 	"quinceroad/transport/web"
 )
 
-// nodeQuarantine is what a node's dump of state holds of requests that replicas
-// have ended under.
+// nodeQuarantine is the part of a node's state dump that describes suspected and
+// quarantined requests, those that replicas have ended while executing.
 type nodeQuarantine struct {
 	Name       string
 	Quarantine []struct {
@@ -23,9 +23,9 @@
 	}
 }
 
-// quarantine prints what nodes hold of requests that replicas have ended under.
+// quarantine prints the suspected and quarantined requests of nodes.
 func (c *client) quarantine(addresses []string) (int, error) {
-	all, err := nodeStates[nodeQuarantine](addresses)
+	all, err := fetchNodeStates[nodeQuarantine](addresses)
 	if err != nil {
 		return process.ExitFailure, err
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// acquit lets a request be sent again; the node that is asked tells the others.
+// acquit releases a quarantined request; the node at address informs the others.
 func (c *client) acquit(fingerprint, address string) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/cmd/ctl/refusal.go
+++ b/cmd/ctl/refusal.go
@@ -8,70 +8,71 @@
 	"quinceroad/protocol/event"
 )
 
-// refusal is what an owner said as it refused a request's stages.
+// refusal is an owner's log line of a request whose stages it refused.
 type refusal struct {
-	at        time.Time     // by its owner's clock
-	expected  time.Duration // that the stages would take
-	own       time.Duration // of it, where nothing waits
-	bound     string        // service whose pool they would wait for longest
-	limit     time.Duration // that expected was held against
-	objective time.Duration // that was left for the stages
-	engine    time.Duration // that its engine was expected to take after them; 0: not told
-	limits    bool          // for what all engines state that they take
+	at            time.Time     // by its owner's clock
+	expected      time.Duration // duration of the stages, with queueing
+	serviceTime   time.Duration // part of expected without queueing
+	bottleneck    string        // service of the pool with the longest expected wait
+	limit         time.Duration // maximum of expected for admission
+	objectiveLeft time.Duration // part of the objective left for the stages
+	engineTime    time.Duration // expected duration of the engine after the stages; 0: not logged
+	rateLimited   bool          // refused because all engines are rate limited
 }
 
-func refusalOf(l *logLine) *refusal {
+func parseRefusal(l *logLine) *refusal {
 	return &refusal{
-		at:        l.time(),
-		expected:  l.duration("expected"),
-		own:       l.duration("own"),
-		bound:     l.field("bound"),
-		limit:     l.duration("limit"),
-		objective: l.duration("objective"),
-		engine:    l.duration("engine_expected"),
-		limits:    l.event == event.NodeTurnRefused.Number,
+		at:            l.time(),
+		expected:      l.duration("expected"),
+		serviceTime:   l.duration("own"),
+		bottleneck:    l.field("bound"),
+		limit:         l.duration("limit"),
+		objectiveLeft: l.duration("objective"),
+		engineTime:    l.duration("engine_expected"),
+		rateLimited:   l.event == event.NodeTurnRefused.Number,
 	}
 }
 
-// takeRefusal notes what a refused request's owner said.
-func (a *account) takeRefusal(l *logLine) {
+// addRefusal records the line if an owner refused a request with it.
+func (a *lossAggregate) addRefusal(l *logLine) {
 	if l.event == event.NodeJobRefused.Number || l.event == event.NodeTurnRefused.Number {
-		a.refusals[l.request] = append(a.refusals[l.request], refusalOf(l))
+		a.refusals[l.request] = append(a.refusals[l.request], parseRefusal(l))
 	}
 }
 
-// clocksApart is how much the clocks of two instances may differ, for lines of
-// one request: clients come back after a second and more.
-const clocksApart = 300 * time.Millisecond
+// maxClockSkew is the assumed maximum difference between the clocks of two instances.
+// It must be shorter than the clients' retry delay of at least a second, so that
+// refusals of successive attempts are told apart.
+const maxClockSkew = 300 * time.Millisecond
 
-// refusalOf returns what the client of an attempt was told: the first refusal
-// since it came. A region that lends may refuse after the own one. It is nil
-// when no log tells of any.
-func (a *account) refusalOf(end *logLine) *refusal {
+// findRefusal returns the refusal that the client of an attempt received: the first one
+// since the attempt arrived. A region that the request spilled over to may have refused
+// it later. It returns nil if no refusal of the request was logged.
+func (a *lossAggregate) findRefusal(end *logLine) *refusal {
 	all := a.refusals[end.request]
 	slices.SortStableFunc(all, func(x, y *refusal) int { return x.at.Compare(y.at) })
-	came := end.time().Add(-end.duration("took") - clocksApart)
+	arrived := end.time().Add(-end.duration("took") - maxClockSkew)
 	for _, r := range all {
-		if r.at.After(came) {
+		if r.at.After(arrived) {
 			return r
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return all[len(all)-1] // its owner's clock is further off
+	return all[len(all)-1] // the owner's clock differs by more than maxClockSkew
 }
 
-// cause names what bound a refused request; end is the line of its end.
+// cause returns why a request was refused; end is the log line of its end.
 func (r *refusal) cause(end *logLine) string {
 	const refused = "refused, "
-	spent, engine := r.before(end)
+	spent, engine := r.spentBeforeStages(end)
 	switch {
-	case r.limits:
+	case r.rateLimited:
 		return refused + "limits of all its engines"
-	case r.own == 0 || r.own <= r.limit:
-		return refused + "pool " + cmp.Or(r.bound, "not known")
-	case r.own > end.duration("objective"):
+	case r.serviceTime == 0 || r.serviceTime <= r.limit:
+		return refused + "pool " + cmp.Or(r.bottleneck, "not known")
+	case r.serviceTime > end.duration("objective"):
 		return refused + "stages alone"
 	case engine >= spent:
 		return refused + "engine"
@@ -79,15 +80,15 @@
 	return refused + "slack at arrival"
 }
 
-// before returns what was taken off the request's objective before its stages:
-// the time from its arrival until the owner was asked, and what was kept for
-// its engine. Where the latter is not told, the former is nearly all that a
-// refused request took.
-func (r *refusal) before(end *logLine) (spent, engine time.Duration) {
-	gone := max(end.duration("objective")-r.objective, 0)
-	if r.engine > 0 {
-		return max(gone-r.engine, 0), r.engine
+// spentBeforeStages returns the parts of the request's objective that were not left for
+// its stages: the time from its arrival until the owner received it, and the time
+// reserved for its engine. Where the latter is not logged, the former is nearly the
+// whole duration of a refused request.
+func (r *refusal) spentBeforeStages(end *logLine) (spent, engine time.Duration) {
+	deducted := max(end.duration("objective")-r.objectiveLeft, 0)
+	if r.engineTime > 0 {
+		return max(deducted-r.engineTime, 0), r.engineTime
 	}
 	spent = end.duration("took")
-	return spent, max(gone-spent, 0)
+	return spent, max(deducted-spent, 0)
 }
--- a/cmd/ctl/rollouts.go
+++ b/cmd/ctl/rollouts.go
@@ -12,8 +12,8 @@
 	"quinceroad/transport/web"
 )
 
-// nodeRollouts is what a node's dump of state holds of roll-outs; the rest is
-// passed over.
+// nodeRollouts is the part of a node's state dump that describes roll-outs; other
+// fields are ignored.
 type nodeRollouts struct {
 	Name     string
 	Rollouts []struct {
@@ -22,40 +22,40 @@
 		Sent, Rank                                      int
 		Judgement                                       struct {
 			Verdict int
-			Routes  []routeSeen
+			Routes  []routeFinding
 		}
 	}
 }
 
-// routeSeen is what was seen of a version on a route.
-type routeSeen struct {
+// routeFinding has the counts and scores of a new and the old version on a route.
+type routeFinding struct {
 	Route                                  string
 	New, NewBad, Old, OldBad               int
 	Against, Accepted, GrantedRate, Median float64
 }
 
-// rollouts prints what nodes know of the roll-outs.
+// rollouts prints the state of roll-outs at nodes.
 func (c *client) rollouts(addresses []string) (int, error) {
-	all, err := nodeStates[nodeRollouts](addresses)
+	all, err := fetchNodeStates[nodeRollouts](addresses)
 	if err != nil {
 		return process.ExitFailure, err
 	}
 	return c.print(all, func() { printRollouts(c.out, all) })
 }
 
-// nodeStates reads what the dumps of state of some nodes hold into values of a type.
-func nodeStates[T any](addresses []string) ([]T, error) {
+// fetchNodeStates fetches the state dumps of nodes and decodes each into a T.
+func fetchNodeStates[T any](addresses []string) ([]T, error) {
 	all := make([]T, len(addresses))
 	for i, address := range addresses {
-		if err := nodeState(address, &all[i]); err != nil {
+		if err := fetchNodeState(address, &all[i]); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-// nodeState reads what a node's dump of state holds into v.
-func nodeState(address string, v any) error {
+// fetchNodeState fetches a node's state dump and decodes it into v.
+func fetchNodeState(address string, v any) error {
 	status, body, err := web.NewClient().GetTimeout(nil, "http://"+address+"/debug/state", callTimeout)
 	if err == nil && status != fasthttp.StatusOK {
 		err = fmt.Errorf("status %d", status)
@@ -72,7 +72,7 @@
 func printRollouts(out io.Writer, all []nodeRollouts) {
 	t := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 	defer func() { _ = t.Flush() }()
-	fmt.Fprintln(t, "NODE\tSERVICE\tVERSION\tWORD\tSTATUS\tAGE\tOF\tSHARE\tSENT\tJUDGES\tWAITS FOR")
+	fmt.Fprintln(t, "NODE\tSERVICE\tVERSION\tPHASE\tSTATUS\tAGE\tOF\tSHARE\tSENT\tJUDGES\tWAITS FOR")
 	for _, n := range all {
 		for _, r := range n.Rollouts {
 			judges := "no"
