--- a/cmd/quince-node/main.go
+++ b/cmd/quince-node/main.go
@@ -1,4 +1,4 @@
-// Command quince-node is an instance's one process on the users' platform.
+// Command quince-node runs a whole instance on the users' platform in one process.
 package main
 
 import (
--- a/cmd/quince-standin/main.go
+++ b/cmd/quince-standin/main.go
@@ -1,5 +1,5 @@
-// Command quince-standin takes the place of outside systems in tests and
-// demonstrations: the platform's service, upstreams, and a faulty network.
+// Command quince-standin simulates external systems in tests and demonstrations: the
+// platform's service, upstreams, and a network with faults.
 package main
 
 import (
@@ -33,7 +33,7 @@
 		flags.Usage()
 		os.Exit(process.ExitUsage)
 	}
-	_ = flags.Parse(os.Args[2:]) // exits on error
+	_ = flags.Parse(os.Args[2:]) // ExitOnError: Parse returns no error
 	p, err := build(os.Args[1], *listen, *config)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -62,7 +62,7 @@
 	return nil, fmt.Errorf("quince-standin: unknown kind %q\n%s", kind, usage)
 }
 
-// platformProcess listens for the platform's stand-in.
+// platformProcess serves the stand-in for the platform's service.
 type platformProcess struct {
 	addr string
 	http *web.Server
--- a/cmd/quincectl/main.go
+++ b/cmd/quincectl/main.go
@@ -1,4 +1,4 @@
-// Command quincectl is the operators' command line.
+// Command quincectl is the operators' command line; see package ctl.
 package main
 
 import (
--- a/cmd/standin/platform/platform.go
+++ b/cmd/standin/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in of the platform's service: a key-value
-// store with compare-and-swap, leases and watches, a lagging list of upstream
-// replicas, and its faults on command. It counts every call, a waiting watch
-// as one.
+// Package platform is a small stand-in for the platform's service: a key-value store
+// with compare-and-swap, leases and watches, and a list of upstream replicas that may
+// lag. It injects faults on command and counts every call, a watch as one.
 package platform
 
 import (
@@ -17,18 +16,18 @@
 	"quinceroad/transport/web"
 )
 
-const maxValue = 1 << 20
+const maxValueBytes = 1 << 20
 
-// Faults are what the stand-in does wrong; set by POST /fault.
+// Faults are the faults that the stand-in injects, set by POST /fault.
 type Faults struct {
-	Down        bool `json:"down"`         // close every call unanswered, do nothing
+	Down        bool `json:"down"`         // close the connection of every call without executing it
 	SlowMS      int  `json:"slow_ms"`      // delay every call
-	LoseAnswers int  `json:"lose_answers"` // do the next writes, close without answering
-	Stale       bool `json:"stale"`        // answer reads with each key's previous value
+	LoseAnswers int  `json:"lose_answers"` // execute this many next writes, but close the connection without a response
+	Stale       bool `json:"stale"`        // reads return each key's previous value
 	ListLagMS   int  `json:"list_lag_ms"`  // age of the list of replicas
 }
 
-// Stats are the calls so far; GET /stats.
+// Stats counts the calls so far, and the watches that wait now; served by GET /stats.
 type Stats struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -36,37 +35,37 @@
 	Waiting int `json:"waiting"`
 }
 
-type row struct {
-	value, before []byte
-	version       uint64
-	lapses        time.Time // zero: never
+type entry struct {
+	value, previous []byte
+	version         uint64
+	expires         time.Time // zero: without a lease
 }
 
-type listing struct {
-	at  time.Time
-	all map[string]api.Listed
+type replicaList struct {
+	created  time.Time
+	replicas map[string]api.Listed
 }
 
-// Platform is the stand-in's state.
+// Platform is the stand-in's state; its zero value is not usable.
 type Platform struct {
 	mu      sync.Mutex
 	changed *sync.Cond
-	rows    map[string]*row
+	entries map[string]*entry
 	version uint64
 	faults  Faults
 	stats   Stats
-	lists   []listing // by time; the first is the newest one old enough to be shown
+	lists   []replicaList // by time; the first is the newest one that is older than the list's lag
 }
 
-// New returns an empty platform.
+// New returns a platform without keys, replicas and faults.
 func New() *Platform {
-	p := &Platform{rows: make(map[string]*row)}
+	p := &Platform{entries: make(map[string]*entry)}
 	p.changed = sync.NewCond(&p.mu)
-	p.lists = []listing{{all: map[string]api.Listed{}}}
+	p.lists = []replicaList{{replicas: map[string]api.Listed{}}}
 	return p
 }
 
-// Handler serves the platform's protocol and the control calls.
+// Handler serves the platform's protocol and the control calls of tests.
 func (p *Platform) Handler(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch path {
@@ -82,7 +81,7 @@
 		p.register(ctx)
 		return
 	}
-	f := p.now()
+	f := p.currentFaults()
 	if f.Down {
 		hangUp(ctx)
 		return
@@ -97,7 +96,7 @@
 	case strings.HasPrefix(key, "watch/"):
 		p.watch(ctx, key[len("watch/"):])
 	case key == "instances":
-		p.instances(ctx)
+		p.listReplicas(ctx)
 	default:
 		ctx.SetStatusCode(404)
 	}
@@ -108,7 +107,7 @@
 	_ = ctx.Conn().Close()
 }
 
-func (p *Platform) now() Faults {
+func (p *Platform) currentFaults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
@@ -127,10 +126,10 @@
 	web.JSON(ctx, 200, f)
 }
 
-// live returns the key's row unless its lease has lapsed; p.mu is held.
-func (p *Platform) live(key string) (*row, bool) {
-	r, ok := p.rows[key]
-	if ok && !r.lapses.IsZero() && time.Now().After(r.lapses) {
+// live returns the key's entry unless its lease has expired; p.mu must be held.
+func (p *Platform) live(key string) (*entry, bool) {
+	r, ok := p.entries[key]
+	if ok && !r.expires.IsZero() && time.Now().After(r.expires) {
 		return nil, false
 	}
 	return r, ok
@@ -143,21 +142,21 @@
 	web.JSON(ctx, 200, p.read(key))
 }
 
-// read returns what a reader sees of the key; p.mu is held.
+// read returns the key's value as readers get it, with faults; p.mu must be held.
 func (p *Platform) read(key string) api.KV {
 	r, ok := p.live(key)
 	if !ok {
 		return api.KV{}
 	}
-	if p.faults.Stale && r.before != nil {
-		return api.KV{Value: r.before, Version: r.version - 1}
+	if p.faults.Stale && r.previous != nil {
+		return api.KV{Value: r.previous, Version: r.version - 1}
 	}
 	return api.KV{Value: r.value, Version: r.version}
 }
 
 func (p *Platform) put(ctx *fasthttp.RequestCtx, key string) {
 	var put api.KVPut
-	if err := json.Unmarshal(ctx.PostBody(), &put); err != nil || len(put.Value) > maxValue {
+	if err := json.Unmarshal(ctx.PostBody(), &put); err != nil || len(put.Value) > maxValueBytes {
 		ctx.Error("bad put", 400)
 		return
 	}
@@ -165,23 +164,23 @@
 	defer p.mu.Unlock()
 	p.stats.Writes++
 	r, ok := p.live(key)
-	have := uint64(0)
+	currentVersion := uint64(0)
 	if ok {
-		have = r.version
+		currentVersion = r.version
 	}
-	if have != put.IfVersion {
-		web.JSON(ctx, 409, api.KV{Version: have})
+	if currentVersion != put.IfVersion {
+		web.JSON(ctx, 409, api.KV{Version: currentVersion})
 		return
 	}
-	p.version += 2 // odd versions are stale reads'
-	next := &row{value: put.Value, version: p.version}
+	p.version += 2 // odd versions are left for stale reads
+	next := &entry{value: put.Value, version: p.version}
 	if ok {
-		next.before = r.value
+		next.previous = r.value
 	}
 	if put.LeaseMS > 0 {
-		next.lapses = time.Now().Add(time.Duration(put.LeaseMS) * time.Millisecond)
+		next.expires = time.Now().Add(time.Duration(put.LeaseMS) * time.Millisecond)
 	}
-	p.rows[key] = next
+	p.entries[key] = next
 	p.changed.Broadcast()
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
@@ -194,15 +193,15 @@
 func (p *Platform) watch(ctx *fasthttp.RequestCtx, key string) {
 	after := uint64(ctx.QueryArgs().GetUintOrZero("after"))
 	wait := time.Duration(ctx.QueryArgs().GetUintOrZero("wait_ms")) * time.Millisecond
-	until := time.Now().Add(wait)
-	wake := time.AfterFunc(wait, p.changed.Broadcast)
-	defer wake.Stop()
+	deadline := time.Now().Add(wait)
+	timer := time.AfterFunc(wait, p.changed.Broadcast)
+	defer timer.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Watches++
 	p.stats.Waiting++
 	defer func() { p.stats.Waiting-- }()
-	for p.read(key).Version <= after && time.Now().Before(until) && !p.faults.Down {
+	for p.read(key).Version <= after && time.Now().Before(deadline) && !p.faults.Down {
 		p.changed.Wait()
 	}
 	if p.faults.Down {
@@ -212,36 +211,36 @@
 	web.JSON(ctx, 200, p.read(key))
 }
 
-// register puts one replica into the list: what the platform knows of it itself.
+// register adds replicas to the list, or replaces those listed under the same id.
 func (p *Platform) register(ctx *fasthttp.RequestCtx) {
-	var in []api.Listed
-	if err := json.Unmarshal(ctx.PostBody(), &in); err != nil {
+	var registered []api.Listed
+	if err := json.Unmarshal(ctx.PostBody(), &registered); err != nil {
 		ctx.Error(err.Error(), 400)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := listing{at: time.Now(), all: make(map[string]api.Listed)}
-	for id, l := range p.lists[len(p.lists)-1].all {
-		next.all[id] = l
+	next := replicaList{created: time.Now(), replicas: make(map[string]api.Listed)}
+	for id, l := range p.lists[len(p.lists)-1].replicas {
+		next.replicas[id] = l
 	}
-	for _, l := range in {
-		next.all[l.ID] = l
+	for _, l := range registered {
+		next.replicas[l.ID] = l
 	}
 	p.lists = append(p.lists, next)
-	web.JSON(ctx, 200, len(next.all))
+	web.JSON(ctx, 200, len(next.replicas))
 }
 
-func (p *Platform) instances(ctx *fasthttp.RequestCtx) {
+func (p *Platform) listReplicas(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Reads++
-	shown := time.Now().Add(-time.Duration(p.faults.ListLagMS) * time.Millisecond)
-	for len(p.lists) > 1 && !p.lists[1].at.After(shown) {
+	cutoff := time.Now().Add(-time.Duration(p.faults.ListLagMS) * time.Millisecond)
+	for len(p.lists) > 1 && !p.lists[1].created.After(cutoff) {
 		p.lists = p.lists[1:]
 	}
-	out := make([]api.Listed, 0, len(p.lists[0].all))
-	for _, l := range p.lists[0].all {
+	out := make([]api.Listed, 0, len(p.lists[0].replicas))
+	for _, l := range p.lists[0].replicas {
 		out = append(out, l)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/cmd/standin/proxy/proxy.go
+++ b/cmd/standin/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is a TCP proxy that does wrong on command: it cuts, cuts one
-// way, delays, freezes, and loses answers.
+// Package proxy is a TCP proxy that injects network faults on command: connections cut in
+// both directions, data dropped in one, delays and stalls.
 package proxy
 
 import (
@@ -19,24 +19,24 @@
 	Routes  []Route `toml:"route"`
 }
 
-// Route is one proxied address.
+// Route is an address that the proxy listens on and the target that it forwards to.
 type Route struct {
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
 	Target string `toml:"target"`
 }
 
-// Fault is what happens to a route; set by POST /fault.
+// Fault is the fault injected into a route, set by POST /fault.
 type Fault struct {
 	Route   string `json:"route"`
 	Cut     bool   `json:"cut"`      // close all connections, refuse new ones
-	DropIn  bool   `json:"drop_in"`  // swallow bytes towards the target
-	DropOut bool   `json:"drop_out"` // swallow bytes from the target: answers are lost
-	DelayMS int    `json:"delay_ms"` // each way
-	Freeze  bool   `json:"freeze"`   // hold all bytes until it is over
+	DropIn  bool   `json:"drop_in"`  // discard data to the target
+	DropOut bool   `json:"drop_out"` // discard data from the target, so that responses are lost
+	DelayMS int    `json:"delay_ms"` // in each direction
+	Freeze  bool   `json:"freeze"`   // hold all data back until the fault is cleared
 }
 
-const freezePoll = 5 * time.Millisecond
+const freezePollInterval = 5 * time.Millisecond
 
 // Load reads and checks a settings file.
 func Load(file string, data []byte) (*Config, error) {
@@ -52,14 +52,14 @@
 	conns map[net.Conn]struct{}
 }
 
-// Proxy is all routes of one process.
+// Proxy forwards connections on all configured routes.
 type Proxy struct {
-	config *Config
-	routes map[string]*route
-	ln     []net.Listener
+	config    *Config
+	routes    map[string]*route
+	listeners []net.Listener
 }
 
-// New returns the proxy of a settings file.
+// New returns a proxy for the settings; Start starts it.
 func New(c *Config) *Proxy {
 	p := &Proxy{config: c, routes: make(map[string]*route)}
 	for _, r := range c.Routes {
@@ -68,30 +68,30 @@
 	return p
 }
 
-// Start listens on all routes and for control calls.
+// Start listens on all routes and on the control address.
 func (p *Proxy) Start() error {
 	for _, r := range p.routes {
 		ln, err := net.Listen("tcp", r.Listen)
 		if err != nil {
 			return fmt.Errorf("route %s: %w", r.Name, err)
 		}
-		p.ln = append(p.ln, ln)
+		p.listeners = append(p.listeners, ln)
 		go r.accept(ln)
 	}
 	ln, err := net.Listen("tcp", p.config.Control)
 	if err != nil {
 		return err
 	}
-	p.ln = append(p.ln, ln)
+	p.listeners = append(p.listeners, ln)
 	mux := http.NewServeMux()
 	mux.HandleFunc("/fault", p.serveFault)
 	go func() { _ = http.Serve(ln, mux) }()
 	return nil
 }
 
-// Stop closes the listeners.
+// Stop closes the listeners; open connections stay.
 func (p *Proxy) Stop() error {
-	for _, ln := range p.ln {
+	for _, ln := range p.listeners {
 		_ = ln.Close()
 	}
 	return nil
@@ -108,10 +108,10 @@
 		http.Error(w, "no such route", http.StatusNotFound)
 		return
 	}
-	r.set(f)
+	r.setFault(f)
 }
 
-func (r *route) set(f Fault) {
+func (r *route) setFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
@@ -124,7 +124,7 @@
 	}
 }
 
-func (r *route) now() Fault {
+func (r *route) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -132,38 +132,38 @@
 
 func (r *route) accept(ln net.Listener) {
 	for {
-		in, err := ln.Accept()
+		client, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(in)
+		go r.serve(client)
 	}
 }
 
-func (r *route) serve(in net.Conn) {
-	defer in.Close()
-	if r.now().Cut {
+func (r *route) serve(client net.Conn) {
+	defer client.Close()
+	if r.currentFault().Cut {
 		return
 	}
-	out, err := net.Dial("tcp", r.Target)
+	target, err := net.Dial("tcp", r.Target)
 	if err != nil {
 		return
 	}
-	defer out.Close()
+	defer target.Close()
 	r.mu.Lock()
-	r.conns[in], r.conns[out] = struct{}{}, struct{}{}
+	r.conns[client], r.conns[target] = struct{}{}, struct{}{}
 	r.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go r.copy(out, in, true, done)
-	go r.copy(in, out, false, done)
+	go r.forward(target, client, true, done)
+	go r.forward(client, target, false, done)
 	<-done
 	r.mu.Lock()
-	delete(r.conns, in)
-	delete(r.conns, out)
+	delete(r.conns, client)
+	delete(r.conns, target)
 	r.mu.Unlock()
 }
 
-func (r *route) copy(dst, src net.Conn, inward bool, done chan<- struct{}) {
+func (r *route) forward(dst, src net.Conn, toTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	b := make([]byte, 32<<10)
 	for {
@@ -171,12 +171,12 @@
 		if err != nil {
 			return
 		}
-		f := r.now()
+		f := r.currentFault()
 		for f.Freeze {
-			time.Sleep(freezePoll)
-			f = r.now()
+			time.Sleep(freezePollInterval)
+			f = r.currentFault()
 		}
-		if (inward && f.DropIn) || (!inward && f.DropOut) {
+		if (toTarget && f.DropIn) || (!toTarget && f.DropOut) {
 			continue
 		}
 		time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
--- a/cmd/standin/upstream/cache.go
+++ b/cmd/standin/upstream/cache.go
@@ -7,69 +7,70 @@
 )
 
 const (
-	cacheMost   = 64 // prefixes a replica keeps
-	prefixBytes = 64
-	eventsMost  = 1024
-	eventLag    = 500 * time.Millisecond // events are told so late
-	eventGap    = 7                      // each so many-th event is never told
+	maxCachedPrefixes = 64 // prefixes that a replica caches
+	prefixBytes       = 64
+	maxCacheEvents    = 1024
+	eventDelay        = 500 * time.Millisecond // age at which events are reported
+	eventGapInterval  = 7                      // every seventh event is never reported
 )
 
-// cache is a replica's prefix cache in limited memory. Its events are told late
-// and with gaps, as engines do; a gap shows in the numbers.
-type cache struct {
-	mu     sync.Mutex
-	rows   map[string]*list.Element
-	recent list.List
-	events []cacheEvent
-	seq    int
+// prefixCache is a replica's LRU cache of prompt prefixes. Like those of real engines, its
+// events are reported late and with gaps; a gap shows in the sequence numbers.
+type prefixCache struct {
+	mu      sync.Mutex
+	entries map[string]*list.Element
+	lru     list.List
+	events  []cacheEvent
+	seq     int
 }
 
-// cacheEvent is one prefix stored or dropped.
+// cacheEvent reports that a prefix was stored or evicted.
 type cacheEvent struct {
-	Seq    int    `json:"seq"`
-	Prefix string `json:"prefix"`
-	Stored bool   `json:"stored"`
-	at     time.Time
+	Seq      int    `json:"seq"`
+	Prefix   string `json:"prefix"`
+	Stored   bool   `json:"stored"`
+	recorded time.Time
 }
 
-func newCache() *cache { return &cache{rows: make(map[string]*list.Element)} }
+func newPrefixCache() *prefixCache { return &prefixCache{entries: make(map[string]*list.Element)} }
 
-// use looks a prefix up and keeps it, dropping the one longest unused.
-func (c *cache) use(prefix string, now time.Time) bool {
+// lookupOrStore reports whether a prefix is cached, and stores it if not, evicting the
+// least recently used one when the cache is full.
+func (c *prefixCache) lookupOrStore(prefix string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e, ok := c.rows[prefix]; ok {
-		c.recent.MoveToFront(e)
+	if e, ok := c.entries[prefix]; ok {
+		c.lru.MoveToFront(e)
 		return true
 	}
-	c.rows[prefix] = c.recent.PushFront(prefix)
-	c.note(prefix, true, now)
-	if c.recent.Len() > cacheMost {
-		last := c.recent.Remove(c.recent.Back()).(string)
-		delete(c.rows, last)
-		c.note(last, false, now)
+	c.entries[prefix] = c.lru.PushFront(prefix)
+	c.recordEvent(prefix, true, now)
+	if c.lru.Len() > maxCachedPrefixes {
+		last := c.lru.Remove(c.lru.Back()).(string)
+		delete(c.entries, last)
+		c.recordEvent(last, false, now)
 	}
 	return false
 }
 
-func (c *cache) note(prefix string, stored bool, now time.Time) {
+func (c *prefixCache) recordEvent(prefix string, stored bool, now time.Time) {
 	c.seq++
-	if c.seq%eventGap == 0 {
+	if c.seq%eventGapInterval == 0 {
 		return
 	}
-	c.events = append(c.events, cacheEvent{Seq: c.seq, Prefix: prefix, Stored: stored, at: now})
-	if len(c.events) > eventsMost {
-		c.events = c.events[len(c.events)-eventsMost:]
+	c.events = append(c.events, cacheEvent{Seq: c.seq, Prefix: prefix, Stored: stored, recorded: now})
+	if len(c.events) > maxCacheEvents {
+		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
-// since returns the events after a number that are old enough to be told.
-func (c *cache) since(after int, now time.Time) []cacheEvent {
+// eventsAfter returns the events after a sequence number that are at least eventDelay old.
+func (c *prefixCache) eventsAfter(after int, now time.Time) []cacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []cacheEvent{}
 	for _, e := range c.events {
-		if e.Seq > after && now.Sub(e.at) >= eventLag {
+		if e.Seq > after && now.Sub(e.recorded) >= eventDelay {
 			out = append(out, e)
 		}
 	}
--- a/cmd/standin/upstream/cache_test.go
+++ b/cmd/standin/upstream/cache_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-func TestCacheEventsLateWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedWithGaps(t *testing.T) {
 	is := is.New(t)
-	c := newCache()
+	c := newPrefixCache()
 	now := time.Now()
-	for i := range cacheMost + 1 {
-		is.True(!c.use(fmt.Sprint(i), now))
+	for i := range maxCachedPrefixes + 1 {
+		is.True(!c.lookupOrStore(fmt.Sprint(i), now))
 	}
-	is.True(c.use("5", now))  // kept
-	is.True(!c.use("0", now)) // dropped for lack of memory, stored anew
-	is.Equal(len(c.since(0, now)), 0)
-	events := c.since(0, now.Add(eventLag))
-	told := map[int]bool{}
+	is.True(c.lookupOrStore("5", now))  // still cached
+	is.True(!c.lookupOrStore("0", now)) // evicted because the cache was full, stored again
+	is.Equal(len(c.eventsAfter(0, now)), 0)
+	events := c.eventsAfter(0, now.Add(eventDelay))
+	reported := map[int]bool{}
 	for _, e := range events {
-		told[e.Seq] = true
+		reported[e.Seq] = true
 	}
-	is.True(told[1] && !told[eventGap] && told[eventGap+1]) // the gap shows
-	is.Equal(len(c.since(events[len(events)-1].Seq, now.Add(time.Hour))), 0)
+	is.True(reported[1] && !reported[eventGapInterval] && reported[eventGapInterval+1]) // the gap is visible in the sequence numbers
+	is.Equal(len(c.eventsAfter(events[len(events)-1].Seq, now.Add(time.Hour))), 0)
 }
--- a/cmd/standin/upstream/config.go
+++ b/cmd/standin/upstream/config.go
@@ -1,7 +1,7 @@
-// Package upstream is a small stand-in of services' replicas: model engines
-// that batch, cache prefixes and stream, pools, and plain services. It
-// journals every execution, so that a checker need not trust the system, and
-// does wrong on command.
+// Package upstream is a small stand-in for replicas of services: model engines that
+// batch, cache prefixes and stream, pools, and plain services. It injects faults on command
+// and records every execution in a journal, from which a checker can verify the system
+// independently of what the system itself reports.
 package upstream
 
 import (
@@ -13,18 +13,18 @@
 
 // Config is the stand-in's settings file.
 type Config struct {
-	Platform string    `toml:"platform"` // IP:port, where the replicas are registered
-	Control  string    `toml:"control"`  // IP:port of the journal and the faults
+	Platform string    `toml:"platform"` // IP:port of the platform, where the replicas are registered
+	Control  string    `toml:"control"`  // IP:port of the calls for the journal, orders and faults
 	Host     string    `toml:"host"`     // IP of the replicas
 	Services []Service `toml:"service"`
 }
 
-// Service is one service's replicas.
+// Service describes the replicas of a service.
 type Service struct {
 	Name      string  `toml:"name"`
 	Slots     int     `toml:"slots"`
-	MeanMS    float64 `toml:"mean_ms"` // of the time in a slot
-	Sigma     float64 `toml:"sigma"`   // of its lognormal factor
+	MeanMS    float64 `toml:"mean_ms"` // mean time that a request holds a slot
+	Sigma     float64 `toml:"sigma"`   // of the lognormal distribution of that time
 	FirstPort int     `toml:"first_port"`
 	Halls     []Hall  `toml:"hall"`
 	Streams   bool    `toml:"streams"`
@@ -32,13 +32,13 @@
 	LoadLagMS int     `toml:"load_lag_ms"`
 }
 
-// Hall says how many replicas stand in a hall.
+// Hall is the number of a service's replicas in a hall.
 type Hall struct {
 	Name     string `toml:"name"`
 	Replicas int    `toml:"replicas"`
 }
 
-func (s *Service) mean() time.Duration {
+func (s *Service) meanTime() time.Duration {
 	return time.Duration(s.MeanMS * float64(time.Millisecond))
 }
 
--- a/cmd/standin/upstream/replica.go
+++ b/cmd/standin/upstream/replica.go
@@ -18,26 +18,27 @@
 )
 
 const (
-	batchSlope = 0.15                  // a full batch makes each request this much slower
-	cacheShare = 0.25                  // of the time saved when the prefix is cached
-	loadTime   = 60 * time.Millisecond // to load a model
+	fullBatchSlowdown = 0.15                  // relative slowdown of each request in a full batch
+	cacheHitSaving    = 0.25                  // share of the time saved when the prefix is cached
+	modelLoadTime     = 60 * time.Millisecond // time to load a model
 )
 
-// Fault is what a replica does wrong; set by POST /fault.
+// Fault is the fault injected into a replica, set by POST /fault.
 type Fault struct {
 	Replica        string  `json:"replica"`
-	SlowFactor     float64 `json:"slow"`        // times slower; 0 and 1 are none
-	Fail           bool    `json:"fail"`        // answer 500 after running
-	HangUp         bool    `json:"hang_up"`     // run, then close without answering
-	WrongRequest   bool    `json:"cross"`       // answer under another request's name
-	CutAfterTokens int     `json:"cut_at"`      // close a stream after so many tokens
-	LateMS         int     `json:"late_ms"`     // run, then answer so much later
-	Leaving        bool    `json:"leaving"`     // say so in answers and in the list
-	RefuseWork     bool    `json:"refuse_work"` // answer 503 without running
-	Dead           bool    `json:"dead"`        // close every connection, run nothing
+	SlowFactor     float64 `json:"slow"`        // factor on the time in a slot; 0 and 1 have no effect
+	Fail           bool    `json:"fail"`        // respond 500 after executing
+	HangUp         bool    `json:"hang_up"`     // execute, then close the connection without a response
+	WrongRequest   bool    `json:"cross"`       // respond with another request's id and output
+	CutAfterTokens int     `json:"cut_at"`      // close a stream after this many tokens; if above 0, other responses are cut by half
+	LateMS         int     `json:"late_ms"`     // delay of a whole response after executing
+	Leaving        bool    `json:"leaving"`     // announce a drain in responses and in the platform's list
+	RefuseWork     bool    `json:"refuse_work"` // respond 503 without executing
+	Dead           bool    `json:"dead"`        // close the connection of every execute call without executing
 }
 
-// replica is one process of a service, as far as callers can tell.
+// replica is a simulated replica with an address of its own; callers can't tell it from a
+// separate process.
 type replica struct {
 	id          string
 	hall        string
@@ -46,22 +47,22 @@
 	svc         *Service
 	journal     *journal
 
-	mu      sync.Mutex
-	fault   Fault
-	running int
-	waiting waitHeap
-	cache   *cache
-	fence   uint64
-	model   string
-	reports []report // by time, the first is the one shown
+	mu          sync.Mutex
+	fault       Fault
+	running     int
+	waiting     waitHeap
+	cache       *prefixCache
+	fence       uint64
+	model       string
+	loadSamples []loadSample // by time; the first is the one reported, LoadLagMS old
 }
 
-type report struct {
-	at time.Time
+type loadSample struct {
+	taken time.Time
 	api.LoadReport
 }
 
-func (r *replica) listed() api.Listed {
+func (r *replica) registration() api.Listed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return api.Listed{
@@ -70,33 +71,34 @@
 	}
 }
 
-func (r *replica) faults() Fault {
+func (r *replica) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
 }
 
-// ServeHTTP implements the protocol of upstreams.
+// ServeHTTP serves the upstream protocol.
 func (r *replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case "/v1/execute":
 		r.execute(w, q)
 	case "/v1/load":
-		r.identify(w.Header(), r.faults())
-		_ = json.NewEncoder(w).Encode(r.load())
+		r.setReplicaHeaders(w.Header(), r.currentFault())
+		_ = json.NewEncoder(w).Encode(r.loadReport())
 	case "/v1/orders":
-		r.order(w, q)
+		r.handleOrder(w, q)
 	case "/v1/cache/events":
 		after, _ := strconv.Atoi(q.URL.Query().Get("after"))
-		_ = json.NewEncoder(w).Encode(r.cache.since(after, time.Now()))
+		_ = json.NewEncoder(w).Encode(r.cache.eventsAfter(after, time.Now()))
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// order obeys a fenced order unless a newer holder has given one; to load the
-// model takes a while.
-func (r *replica) order(w http.ResponseWriter, q *http.Request) {
+// handleOrder executes an order to load a model. A service that checks fences rejects it
+// if an order with a higher fencing token was accepted before; else
+// loading takes modelLoadTime.
+func (r *replica) handleOrder(w http.ResponseWriter, q *http.Request) {
 	fence, _ := strconv.ParseUint(q.Header.Get(api.HeaderFence), 10, 64)
 	var o api.Order
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil {
@@ -104,33 +106,33 @@
 		return
 	}
 	r.mu.Lock()
-	obey := !r.svc.Fences || fence >= r.fence
-	if obey {
+	accepted := !r.svc.Fences || fence >= r.fence
+	if accepted {
 		r.fence, r.model = fence, o.Model
 	}
 	r.mu.Unlock()
-	r.journal.order(api.Ordered{Replica: r.id, Fence: fence, Model: o.Model, Obeyed: obey, AtUS: time.Now().UnixMicro()})
-	if !obey {
+	r.journal.recordOrder(api.Ordered{Replica: r.id, Fence: fence, Model: o.Model, Obeyed: accepted, AtUS: time.Now().UnixMicro()})
+	if !accepted {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
-	time.Sleep(loadTime)
+	time.Sleep(modelLoadTime)
 }
 
-func (r *replica) load() api.LoadReport {
+func (r *replica) loadReport() api.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.reports = append(r.reports, report{now, api.LoadReport{ID: r.id, Running: r.running, Queued: r.waiting.Len()}})
-	shown := now.Add(-time.Duration(r.svc.LoadLagMS) * time.Millisecond)
-	for len(r.reports) > 1 && !r.reports[1].at.After(shown) {
-		r.reports = r.reports[1:]
+	r.loadSamples = append(r.loadSamples, loadSample{now, api.LoadReport{ID: r.id, Running: r.running, Queued: r.waiting.Len()}})
+	cutoff := now.Add(-time.Duration(r.svc.LoadLagMS) * time.Millisecond)
+	for len(r.loadSamples) > 1 && !r.loadSamples[1].taken.After(cutoff) {
+		r.loadSamples = r.loadSamples[1:]
 	}
-	return r.reports[0].LoadReport
+	return r.loadSamples[0].LoadReport
 }
 
 func (r *replica) execute(w http.ResponseWriter, q *http.Request) {
-	f := r.faults()
+	f := r.currentFault()
 	if f.Dead {
 		panic(http.ErrAbortHandler)
 	}
@@ -138,7 +140,7 @@
 	for _, name := range []string{api.HeaderRequest, api.HeaderStage, api.HeaderAttempt, api.HeaderDigest} {
 		h.Set(name, q.Header.Get(name))
 	}
-	r.identify(h, f)
+	r.setReplicaHeaders(h, f)
 	if f.RefuseWork {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -147,39 +149,40 @@
 	if err != nil {
 		return
 	}
-	class, _ := strconv.Atoi(q.Header.Get(api.HeaderClass))
-	if !r.enter(q.Context(), class) {
+	priorityClass, _ := strconv.Atoi(q.Header.Get(api.HeaderClass))
+	if !r.acquireSlot(q.Context(), priorityClass) {
 		return
 	}
-	defer r.leave()
-	line := r.journal.start(r, q, input)
-	defer r.journal.free(line)
-	if f.WrongRequest { // what is answered from here on is another request's
+	defer r.releaseSlot()
+	execution := r.journal.recordStart(r, q, input)
+	defer r.journal.recordSlotFree(execution)
+	if f.WrongRequest { // respond with the id and output of another request
 		h.Set(api.HeaderRequest, "another")
 		input = []byte("another")
 	}
 	if r.svc.Streams {
-		r.stream(w, q, f, input, line)
+		r.streamTokens(w, q, f, input, execution)
 		return
 	}
-	if !process.Sleep(q.Context(), r.duration(q, f, input)) {
+	if !process.Sleep(q.Context(), r.slotTime(q, f, input)) {
 		return
 	}
 	out := work.Output(q.Header.Get(api.HeaderOp), input)
-	r.journal.end(line, out)
-	r.answer(w, q, f, out)
+	r.journal.recordEnd(execution, out)
+	r.respond(w, q, f, out)
 }
 
-// identify puts the replica's incarnation and its leaving into an answer.
-func (r *replica) identify(h http.Header, f Fault) {
+// setReplicaHeaders sets the response headers with the replica's incarnation and its drain
+// advisory.
+func (r *replica) setReplicaHeaders(h http.Header, f Fault) {
 	h.Set(api.HeaderIncarnat, strconv.FormatUint(r.incarnation, 10))
 	if f.Leaving {
 		h.Set(api.HeaderLeaving, "1")
 	}
 }
 
-// answer writes a whole body, or does the replica's fault.
-func (r *replica) answer(w http.ResponseWriter, q *http.Request, f Fault, out []byte) {
+// respond writes a whole response, subject to the replica's fault.
+func (r *replica) respond(w http.ResponseWriter, q *http.Request, f Fault, out []byte) {
 	process.Sleep(q.Context(), time.Duration(f.LateMS)*time.Millisecond)
 	switch {
 	case f.HangUp:
@@ -196,14 +199,15 @@
 	_, _ = w.Write(out)
 }
 
-// stream sends the tokens from the asked offset on, evenly over the duration.
-func (r *replica) stream(w http.ResponseWriter, q *http.Request, f Fault, input []byte, line int) {
+// streamTokens sends the tokens from the requested offset on, one per interval of the slot
+// time divided by the number of all tokens.
+func (r *replica) streamTokens(w http.ResponseWriter, q *http.Request, f Fault, input []byte, execution int) {
 	tokens := work.Tokens(input)
 	offset, _ := strconv.Atoi(q.Header.Get(api.HeaderOffset))
-	gap := r.duration(q, f, input) / time.Duration(len(tokens))
-	flush := http.NewResponseController(w)
+	tokenInterval := r.slotTime(q, f, input) / time.Duration(len(tokens))
+	controller := http.NewResponseController(w)
 	for i := min(offset, len(tokens)); i < len(tokens); i++ {
-		if !process.Sleep(q.Context(), gap) {
+		if !process.Sleep(q.Context(), tokenInterval) {
 			return
 		}
 		if f.CutAfterTokens > 0 && i >= f.CutAfterTokens {
@@ -211,10 +215,10 @@
 		}
 		b, _ := json.Marshal(api.Token{Text: tokens[i]})
 		fmt.Fprintf(w, "data: %s\n\n", b)
-		_ = flush.Flush()
+		_ = controller.Flush()
 	}
 	out := work.Output(work.Generate, input)
-	r.journal.end(line, out)
+	r.journal.recordEnd(execution, out)
 	if f.HangUp {
 		panic(http.ErrAbortHandler)
 	}
@@ -222,16 +226,16 @@
 	fmt.Fprintf(w, "event: end\ndata: %s\n\n", b)
 }
 
-// duration is how long a slot is held: the request's own time, longer in a
-// full batch or on a slow replica, shorter when the prefix is cached.
-func (r *replica) duration(q *http.Request, f Fault, input []byte) time.Duration {
-	d := work.ServiceTime(r.svc.mean(), r.svc.Sigma, q.Header.Get(api.HeaderRequest), q.Header.Get(api.HeaderStage))
+// slotTime returns how long a request holds a slot: its service time, extended in a full
+// batch or on a slow replica and reduced when the prefix is cached.
+func (r *replica) slotTime(q *http.Request, f Fault, input []byte) time.Duration {
+	d := work.ServiceTime(r.svc.meanTime(), r.svc.Sigma, q.Header.Get(api.HeaderRequest), q.Header.Get(api.HeaderStage))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.svc.Streams {
-		d += time.Duration(float64(d) * batchSlope * float64(r.running) / float64(r.svc.Slots))
-		if r.cache.use(string(input[:min(len(input), prefixBytes)]), time.Now()) {
-			d -= time.Duration(float64(d) * cacheShare)
+		d += time.Duration(float64(d) * fullBatchSlowdown * float64(r.running) / float64(r.svc.Slots))
+		if r.cache.lookupOrStore(string(input[:min(len(input), prefixBytes)]), time.Now()) {
+			d -= time.Duration(float64(d) * cacheHitSaving)
 		}
 	}
 	if f.SlowFactor > 1 {
@@ -240,22 +244,23 @@
 	return d
 }
 
-// waiter is a request that waits for a slot.
+// waiter is a request waiting for a slot.
 type waiter struct {
-	class int
-	seq   int
-	ready chan struct{}
+	priorityClass int
+	seq           int
+	ready         chan struct{}
 }
 
-// enter waits for a slot by priority; false when the caller went away.
-func (r *replica) enter(ctx context.Context, class int) bool {
+// acquireSlot waits for a slot in order of priority; it returns false if the caller
+// cancels.
+func (r *replica) acquireSlot(ctx context.Context, priorityClass int) bool {
 	r.mu.Lock()
 	if r.running < r.svc.Slots {
 		r.running++
 		r.mu.Unlock()
 		return true
 	}
-	w := &waiter{class: class, ready: make(chan struct{})}
+	w := &waiter{priorityClass: priorityClass, ready: make(chan struct{})}
 	heap.Push(&r.waiting, w)
 	r.mu.Unlock()
 	select {
@@ -264,15 +269,15 @@
 	case <-ctx.Done():
 	}
 	r.mu.Lock()
-	gone := r.waiting.remove(w)
+	removed := r.waiting.remove(w)
 	r.mu.Unlock()
-	if !gone { // the slot was given meanwhile
-		r.leave()
+	if !removed { // the slot was granted meanwhile
+		r.releaseSlot()
 	}
 	return false
 }
 
-func (r *replica) leave() {
+func (r *replica) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.waiting.Len() == 0 {
@@ -290,7 +295,7 @@
 func (h *waitHeap) Len() int { return len(h.list) }
 func (h *waitHeap) Less(i, j int) bool {
 	a, b := h.list[i], h.list[j]
-	return a.class < b.class || (a.class == b.class && a.seq < b.seq)
+	return a.priorityClass < b.priorityClass || (a.priorityClass == b.priorityClass && a.seq < b.seq)
 }
 func (h *waitHeap) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
 
--- a/cmd/standin/upstream/upstream.go
+++ b/cmd/standin/upstream/upstream.go
@@ -17,47 +17,48 @@
 	"quinceroad/transport/upstream"
 )
 
-// journal is the list of executions, shared by all replicas of the process.
+// journal records the executions and orders of all replicas of the process.
 type journal struct {
-	mu     sync.Mutex
-	lines  []api.Execution
-	orders []api.Ordered
+	mu         sync.Mutex
+	executions []api.Execution
+	orders     []api.Ordered
 }
 
-func (j *journal) order(o api.Ordered) {
+func (j *journal) recordOrder(o api.Ordered) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.orders = append(j.orders, o)
 }
 
-func (j *journal) start(r *replica, q *http.Request, input []byte) int {
+func (j *journal) recordStart(r *replica, q *http.Request, input []byte) int {
 	attempt, _ := strconv.Atoi(q.Header.Get(api.HeaderAttempt))
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines = append(j.lines, api.Execution{
+	j.executions = append(j.executions, api.Execution{
 		Replica: r.id, Service: r.svc.Name,
 		Request: q.Header.Get(api.HeaderRequest), Stage: q.Header.Get(api.HeaderStage),
 		Attempt: attempt, Op: q.Header.Get(api.HeaderOp),
 		Digest: upstream.Digest(input), StartUS: time.Now().UnixMicro(),
 	})
-	return len(j.lines) - 1
+	return len(j.executions) - 1
 }
 
-func (j *journal) end(line int, out []byte) {
+func (j *journal) recordEnd(execution int, out []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines[line].EndUS = time.Now().UnixMicro()
-	j.lines[line].Output = upstream.Digest(out)
+	j.executions[execution].EndUS = time.Now().UnixMicro()
+	j.executions[execution].Output = upstream.Digest(out)
 }
 
-// free notes when a slot was free again, also of a cancelled execution.
-func (j *journal) free(line int) {
+// recordSlotFree records when an execution's slot was released, also if the execution was
+// cancelled.
+func (j *journal) recordSlotFree(execution int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines[line].FreeUS = time.Now().UnixMicro()
+	j.executions[execution].FreeUS = time.Now().UnixMicro()
 }
 
-// Standin is all replicas of one process.
+// Standin runs the replicas of all configured services in one process.
 type Standin struct {
 	config   *Config
 	replicas map[string]*replica
@@ -65,7 +66,7 @@
 	servers  []*http.Server
 }
 
-// New returns the stand-in of a settings file.
+// New returns a stand-in for the settings; Start starts it.
 func New(c *Config) *Standin {
 	s := &Standin{config: c, replicas: make(map[string]*replica), journal: &journal{}}
 	for i := range c.Services {
@@ -78,7 +79,7 @@
 					id: id, hall: h.Name, svc: svc, journal: s.journal,
 					addr:        net.JoinHostPort(c.Host, strconv.Itoa(svc.FirstPort+n)),
 					incarnation: uint64(time.Now().UnixNano()),
-					cache:       newCache(),
+					cache:       newPrefixCache(),
 				}
 				n++
 			}
@@ -87,7 +88,8 @@
 	return s
 }
 
-// Start listens for all replicas and registers them with the platform.
+// Start listens on the addresses of all replicas and on the control address, and registers
+// the replicas with the platform.
 func (s *Standin) Start() error {
 	for _, r := range s.replicas {
 		if err := s.listen(r.addr, r); err != nil {
@@ -103,7 +105,7 @@
 	}
 	all := make([]api.Listed, 0, len(s.replicas))
 	for _, r := range s.replicas {
-		all = append(all, r.listed())
+		all = append(all, r.registration())
 	}
 	return s.register(all)
 }
@@ -133,9 +135,9 @@
 
 func (s *Standin) serveJournal(w http.ResponseWriter, q *http.Request) {
 	s.journal.mu.Lock()
-	lines := append([]api.Execution(nil), s.journal.lines...)
+	executions := append([]api.Execution(nil), s.journal.executions...)
 	s.journal.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(lines)
+	_ = json.NewEncoder(w).Encode(executions)
 }
 
 func (s *Standin) serveOrders(w http.ResponseWriter, _ *http.Request) {
@@ -157,17 +159,17 @@
 		return
 	}
 	r.mu.Lock()
-	was := r.fault.Leaving
+	wasLeaving := r.fault.Leaving
 	r.fault = f
 	r.mu.Unlock()
-	if was != f.Leaving {
-		if err := s.register([]api.Listed{r.listed()}); err != nil {
+	if wasLeaving != f.Leaving {
+		if err := s.register([]api.Listed{r.registration()}); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 		}
 	}
 }
 
-// Stop ends all listeners.
+// Stop closes all listeners and connections.
 func (s *Standin) Stop() error {
 	var errs []error
 	for _, srv := range s.servers {
--- a/cmd/standin/work/work.go
+++ b/cmd/standin/work/work.go
@@ -1,6 +1,6 @@
-// Package work defines what the stand-in upstreams compute, so that a checker
-// can work out any answer without asking the system: the output of an
-// operation is a function of its name and input alone.
+// Package work defines the output and duration of the stand-in upstreams' operations. An
+// output is a function of the operation's name and input alone, so a checker can compute
+// the expected response without the system.
 package work
 
 import (
@@ -17,12 +17,12 @@
 const Generate = "generate"
 
 const (
-	minTokens  = 8
-	moreTokens = 24
-	passages   = 3
+	minTokens       = 8
+	tokenCountRange = 24
+	passages        = 3
 )
 
-// Output returns what op makes of input.
+// Output returns the output of operation op for input.
 func Output(op string, input []byte) []byte {
 	switch op {
 	case Generate:
@@ -40,16 +40,17 @@
 // Tokens returns the tokens generated for input.
 func Tokens(input []byte) []string {
 	h := xxhash.Sum64(input)
-	out := make([]string, minTokens+int(h%moreTokens))
+	out := make([]string, minTokens+int(h%tokenCountRange))
 	for i := range out {
 		out[i] = fmt.Sprintf("t%d-%04x ", i, uint16(h>>(i%48)))
 	}
 	return out
 }
 
-// Time returns how long an operation takes: mean times a lognormal factor of
-// mean 1 drawn from the label that the caller gave the request (the part of its
-// id before the dot), so that any policy meets the same service times.
+// ServiceTime returns how long an operation takes: mean times a lognormal factor of mean
+// 1. The factor is derived from the stage and from the label that the caller gave the
+// request (the part of its id before the dot), so that all policies are compared with the
+// same service times.
 func ServiceTime(mean time.Duration, sigma float64, request, stage string) time.Duration {
 	if sigma == 0 {
 		return mean
