--- a/cmd/ctl/builds.go
+++ b/cmd/ctl/builds.go
@@ -37,7 +37,7 @@
 func printBuilds(out io.Writer, all []nodeBuild) {
 	t := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 	defer func() { _ = t.Flush() }()
-	fmt.Fprintln(t, "NODE\tBUILD\tLEVEL\tOF ALL\tBEHIND\tWAITING FOR ALL")
+	fmt.Fprintln(t, "NODE\tBUILD\tLEVEL\tFLEET LEVEL\tBEHIND\tWAITING FOR FLEET LEVEL")
 	for _, n := range all {
 		var behind []string
 		for _, i := range n.Instances {
--- a/cmd/ctl/customers.go
+++ b/cmd/ctl/customers.go
@@ -60,7 +60,7 @@
 	})
 	t := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 	defer func() { _ = t.Flush() }()
-	fmt.Fprintln(t, "CUSTOMER\tSENT\tSERVED\tNOT SERVED\tBEYOND ITS SHARE\tASKS OF POOLS, REPLICAS' SECONDS A SECOND")
+	fmt.Fprintln(t, "CUSTOMER\tSENT\tSERVED\tNOT SERVED\tOVER ITS SHARE\tDEMAND ON POOLS, REPLICA SECONDS PER SECOND")
 	for _, name := range names {
 		n := totals[name]
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\n", cmp.Or(name, "(none)"), n.Sent, n.Served, n.NotServed, n.Beyond, strings.Join(demands[name], "; "))
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -14,22 +14,22 @@
 // explain reads logs and prints the trace of one request: its log lines in order of
 // time, a verdict, and concurrent events of the replicas and instances involved.
 func (c *client) explain(id string, files []string) (int, error) {
-	s := newRequestTrace(id)
-	for _, visit := range []func(*logLine){s.addRequestLine, s.addContextLine} {
+	trace := newRequestTrace(id)
+	for _, visit := range []func(*logLine){trace.addRequestLine, trace.addContextLine} {
 		for _, name := range files {
 			if err := readLog(name, visit); err != nil {
 				return process.ExitUsage, err
 			}
 		}
 	}
-	if len(s.requestLines) == 0 {
+	if len(trace.requestLines) == 0 {
 		return process.ExitFailure, fmt.Errorf("no line of these logs names request %s; an instance that is killed logs no end of what it had taken", id)
 	}
-	c.printLines(s.requestLines)
-	fmt.Fprintf(c.out, "\n%s\n", s.verdict())
-	if len(s.contextLines) > 0 {
+	c.printLines(trace.requestLines)
+	fmt.Fprintf(c.out, "\n%s\n", trace.verdict())
+	if len(trace.contextLines) > 0 {
 		fmt.Fprintf(c.out, "\nBeside it, from %v before it:\n\n", contextBefore)
-		c.printLines(s.contextLines)
+		c.printLines(trace.contextLines)
 	}
 	return process.ExitOK, nil
 }
--- a/cmd/ctl/trace.go
+++ b/cmd/ctl/trace.go
@@ -30,31 +30,31 @@
 }
 
 // addRequestLine adds a line with the request's id.
-func (s *requestTrace) addRequestLine(l *logLine) {
-	if !l.isAbout(s.id) {
+func (t *requestTrace) addRequestLine(l *logLine) {
+	if !l.isAbout(t.id) {
 		return
 	}
-	s.requestLines = append(s.requestLines, l)
+	t.requestLines = append(t.requestLines, l)
 	if f := l.field("fingerprint"); f != "" {
-		s.fingerprint = f
+		t.fingerprint = f
 	}
-	s.instances[l.instance] = true
+	t.instances[l.instance] = true
 	if owner := l.field("owner"); owner != "" {
-		s.instances[owner] = true
+		t.instances[owner] = true
 	}
 	if replica := l.field("replica"); replica != "" {
-		s.replicas[replica] = true
+		t.replicas[replica] = true
 	}
 	if version := l.field("version"); version != "" {
-		s.versions[version] = true
+		t.versions[version] = true
 	}
 	at := l.time()
 	start := at.Add(-l.duration("took")).Add(-contextBefore)
-	if s.from.IsZero() || start.Before(s.from) {
-		s.from = start
+	if t.from.IsZero() || start.Before(t.from) {
+		t.from = start
 	}
-	if at.After(s.to) {
-		s.to = at
+	if at.After(t.to) {
+		t.to = at
 	}
 }
 
@@ -72,29 +72,29 @@
 
 // addContextLine adds a line about a replica, instance, configuration or fingerprint of
 // the request, if it is within the time span.
-func (s *requestTrace) addContextLine(l *logLine) {
+func (t *requestTrace) addContextLine(l *logLine) {
 	at := l.time()
-	if l.isAbout(s.id) || at.Before(s.from) || at.After(s.to) {
+	if l.isAbout(t.id) || at.Before(t.from) || at.After(t.to) {
 		return
 	}
 	is := func(e *event.Event) bool { return e.Number == l.event }
 	switch {
-	case l.field("why") == "hearsay" && !s.instances[l.instance]:
+	case l.field("why") == "hearsay" && !t.instances[l.instance]:
 		return // the same evidence, repeated by an instance not involved in the request
-	case s.fingerprint != "" && l.field("fingerprint") == s.fingerprint: // includes the client's other attempts
-	case slices.ContainsFunc(replicaEvents, is) && s.replicas[l.field("replica")]:
-	case slices.ContainsFunc(instanceEvents, is) && (s.instances[l.field("name")] || s.instances[l.field("owner")]):
-	case slices.ContainsFunc(localEvents, is) && s.instances[l.instance]:
-	case is(event.NodeConfigAdopted) && s.instances[l.instance] && s.versions[l.field("version")]:
+	case t.fingerprint != "" && l.field("fingerprint") == t.fingerprint: // includes the client's other attempts
+	case slices.ContainsFunc(replicaEvents, is) && t.replicas[l.field("replica")]:
+	case slices.ContainsFunc(instanceEvents, is) && (t.instances[l.field("name")] || t.instances[l.field("owner")]):
+	case slices.ContainsFunc(localEvents, is) && t.instances[l.instance]:
+	case is(event.NodeConfigAdopted) && t.instances[l.instance] && t.versions[l.field("version")]:
 	default:
 		return
 	}
-	s.contextLines = append(s.contextLines, l)
+	t.contextLines = append(t.contextLines, l)
 }
 
 // last returns the request's last line of an event, nil if there is none.
-func (s *requestTrace) last(e *event.Event) *logLine {
-	for _, l := range slices.Backward(s.requestLines) {
+func (t *requestTrace) last(e *event.Event) *logLine {
+	for _, l := range slices.Backward(t.requestLines) {
 		if l.event == e.Number {
 			return l
 		}
@@ -103,13 +103,13 @@
 }
 
 // verdict describes in a sentence or two how the request ended and why.
-func (s *requestTrace) verdict() string {
-	return s.outcome() + s.spillover()
+func (t *requestTrace) verdict() string {
+	return t.outcome() + t.spillover()
 }
 
 // spillover describes the request's spillover to another region, if any.
-func (s *requestTrace) spillover() string {
-	remote := s.last(event.NodeRegionAsked)
+func (t *requestTrace) spillover() string {
+	remote := t.last(event.NodeRegionAsked)
 	if remote == nil {
 		return ""
 	}
@@ -119,13 +119,13 @@
 	return fmt.Sprintf(" Its own region did not take it; region %s was asked.", remote.field("region"))
 }
 
-func (s *requestTrace) outcome() string {
-	end := s.last(event.NodeRequest)
+func (t *requestTrace) outcome() string {
+	end := t.last(event.NodeRequest)
 	if end == nil {
 		return "No instance logged the request's end: who had taken it was killed, or is still at work on it."
 	}
-	noGrant := s.last(event.NodeTurnRefused)
-	refused, failed, attempt := s.last(event.NodeJobRefused), s.last(event.NodeJobFailed), s.last(event.NodeAttempt)
+	noGrant := t.last(event.NodeTurnRefused)
+	refused, failed, attempt := t.last(event.NodeJobRefused), t.last(event.NodeJobFailed), t.last(event.NodeAttempt)
 	switch reason := end.field("why"); {
 	case reason == reasonServed:
 		return describeServed(end)
@@ -138,7 +138,7 @@
 	case strings.HasPrefix(reason, "stages failed") && failed != nil:
 		return fmt.Sprintf("Admitted, then given up by %s after %s: %s.", failed.instance, failed.field("after"), failed.field("why"))
 	case reason == event.WhyCondemned:
-		return fmt.Sprintf("Not sent by %s: replicas have ended under this request before (fingerprint %s); see the lines beside it.", end.instance, s.fingerprint)
+		return fmt.Sprintf("Not sent by %s: replicas have ended under this request before (fingerprint %s); see the lines beside it.", end.instance, t.fingerprint)
 	case attempt != nil:
 		return fmt.Sprintf("Lost at replica %s after %s: %s; %s attempts in all, on a connection used before: %s.",
 			attempt.field("replica"), attempt.field("took"), attempt.field("why"), end.field("attempts"), attempt.field("kept"))
