--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -44,7 +44,7 @@
 // P1: replicas that answer under another request's name, late, or half, never
 // get their answers handed to a caller.
 func TestAnswersCrossedLateCut(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	faults := []upstream.Fault{
 		{Replica: "encoder-0", Cross: true},
 		{Replica: "encoder-1", Late: 700},
@@ -55,7 +55,7 @@
 		{Replica: "ledger-archive-0", Late: 2500},
 	}
 	for _, f := range faults {
-		must(t, r.FaultUpstream(f))
+		must(t, r.InjectUpstreamFault(f))
 	}
 	res := runLoad(r, 150, 4*time.Second)
 	t.Log(res.Summarize())
@@ -68,9 +68,9 @@
 // P2: a stream that is cut in the middle goes on at another replica from the
 // token where it stopped, and the caller gets the whole.
 func TestStreamResumes(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	for i, id := range replicasOf("scribe-pool", 8) {
-		must(t, r.FaultUpstream(upstream.Fault{Replica: id, CutAt: 2 + i%4}))
+		must(t, r.InjectUpstreamFault(upstream.Fault{Replica: id, CutAt: 2 + i%4}))
 	}
 	c := caller(r, 0)
 	var told []check.Told
@@ -93,7 +93,7 @@
 // P3, P8: under overload with an entry killed in it, whatever was told not_run
 // was not run, and no refusal waits for the deadline.
 func TestNotRunUnderOverload(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: func(c *upstream.Config) {
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
 			c.Services[i].MeanMS *= 6
 		}
@@ -113,7 +113,7 @@
 // deadline does. The bound is half the deadline, far above what a busy machine
 // needs and far below a refusal that was held back.
 func TestRefusalAtOnce(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: func(c *upstream.Config) {
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
 			c.Services[i].MeanMS *= 6
 		}
@@ -148,7 +148,7 @@
 
 // Bad input: a status, a code, a sentence and not_run, and the entry goes on.
 func TestBadInput(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	entry := "http://" + r.Entries()[0]
 	good := `{"input":"x"}`
 	cases := []struct {
@@ -184,7 +184,7 @@
 
 // A caller that goes away in the first stage costs no later one.
 func TestCallerGoesAway(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: func(c *upstream.Config) {
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
 			if c.Services[i].Name == "encoder" {
 				c.Services[i].MeanMS, c.Services[i].Sigma = 300, 0
@@ -198,7 +198,7 @@
 	must(t, err)
 	waitExecutions(t, r, "encode", 1)
 	must(t, conn.Close())
-	must(t, r.Until("nothing in flight", func() bool {
+	must(t, r.WaitUntil("nothing in flight", func() bool {
 		s, err := r.EntryState(r.Instances[0])
 		return err == nil && s.InFlight == 0
 	}))
--- a/proctest/capacity/main.go
+++ b/proctest/capacity/main.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	o.Dir, o.Example = dir, example
+	o.OutputDir, o.ExampleDir = dir, example
 	r, err := rig.Start(o)
 	if err != nil {
 		return nil, nil, err
@@ -114,7 +114,7 @@
 		r.Close()
 		_ = os.RemoveAll(dir)
 	}
-	if o.Many > 0 {
+	if o.CoordCount > 0 {
 		return r, end, nil
 	}
 	if _, err := r.Confirm(text(r)); err != nil {
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -22,14 +22,14 @@
 // none leaves the ports of replicas to many coords.
 func none(c *upstream.Config) { c.Services = nil }
 
-func asIs(r *rig.Rig) string { return r.Text }
+func asIs(r *rig.Rig) string { return r.Declaration }
 
 // instances: membership and platform calls of coords that have nothing to do.
 func instances(bin string) error {
 	s := &series{title: "instances: x = log2(n), n = 6, 12, 24, 48 coords, idle",
 		columns: []string{"n", "cpu %", "worst cpu %", "RSS MB", "link in KB/s", "link out KB/s", "platform calls/s, all"}}
 	for _, n := range []int{6, 12, 24, 48} {
-		r, end, err := start(rig.Options{Bin: bin, Many: n, Standin: none}, asIs)
+		r, end, err := start(rig.Options{BinDir: bin, CoordCount: n, EditStandins: none}, asIs)
 		if err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 	s := &series{title: "replicas: x = replicas in the platform's list, 6 instances, idle",
 		columns: []string{"coord cpu %", "worst %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s"}}
 	for _, n := range []int{47, 150, 300, 600} {
-		r, end, err := start(rig.Options{Bin: bin}, asIs)
+		r, end, err := start(rig.Options{BinDir: bin}, asIs)
 		if err != nil {
 			return err
 		}
@@ -166,11 +166,11 @@
 func declared(bin, title string, sizes []int, text func(string, int) string) error {
 	s := &series{title: title, columns: []string{"declaration KB", "in force everywhere ms", "coord cpu %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s"}}
 	for _, n := range sizes {
-		r, end, err := start(rig.Options{Bin: bin}, func(r *rig.Rig) string { return text(r.Text, n) })
+		r, end, err := start(rig.Options{BinDir: bin}, func(r *rig.Rig) string { return text(r.Declaration, n) })
 		if err != nil {
 			return err
 		}
-		err = revise(s, r, float64(n), text(r.Text, n))
+		err = revise(s, r, float64(n), text(r.Declaration, n))
 		end()
 		if err != nil {
 			return err
@@ -216,7 +216,7 @@
 	s := &series{title: "requests: x = four-stage requests a second over 6 instances, stages of a few ms",
 		columns: []string{"coord cpu %", "worst %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s", "p50 added ms", "p99 added ms", "whole"}}
 	for _, rate := range []float64{50, 500, 2000} {
-		r, end, err := start(rig.Options{Bin: bin, Standin: quick}, asIs)
+		r, end, err := start(rig.Options{BinDir: bin, EditStandins: quick}, asIs)
 		if err != nil {
 			return err
 		}
--- a/proctest/ctl_test.go
+++ b/proctest/ctl_test.go
@@ -22,13 +22,13 @@
 
 // The operators' way from a declaration to a drained instance, as in docs/OPERATIONS.md.
 func TestCommandLine(t *testing.T) {
-	r := start(t, rig.Options{Example: kalahari})
+	r := start(t, rig.Options{ExampleDir: kalahari})
 	in, other := r.Instances[0], r.Instances[3]
 	dir := t.TempDir()
 	file := filepath.Join(dir, "fleet.toml")
-	must(t, os.WriteFile(file, []byte(r.Text), 0o600))
+	must(t, os.WriteFile(file, []byte(r.Declaration), 0o600))
 	broken := filepath.Join(dir, "broken.toml")
-	must(t, os.WriteFile(broken, []byte(strings.Replace(r.Text, "shed = 2.0", "shedd = 2.0", 1)), 0o600))
+	must(t, os.WriteFile(broken, []byte(strings.Replace(r.Declaration, "shed = 2.0", "shedd = 2.0", 1)), 0o600))
 
 	run := func(in *rig.Instance, wantCode int, want string, args ...string) string {
 		t.Helper()
@@ -54,7 +54,7 @@
 	run(in, 0, `"slots"`, "dump")
 	run(in, 1, "no_such_instance", "drain", "nobody")
 	run(in, 0, "takes no new callers", "drain", other.Name)
-	must(t, r.Until("the drained instance is in no answer", func() bool {
+	must(t, r.WaitUntil("the drained instance is in no answer", func() bool {
 		a, err := caller(r, 0).Addresses()
 		must(t, err)
 		for _, x := range a.Addresses {
--- a/proctest/demo/main.go
+++ b/proctest/demo/main.go
@@ -37,13 +37,13 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r, err := rig.Start(rig.Options{Example: example, Bin: bin, Dir: dir, AsIs: true})
+	r, err := rig.Start(rig.Options{ExampleDir: example, BinDir: bin, OutputDir: dir, UseExamplePorts: true})
 	if err != nil {
 		return err
 	}
 	defer r.Close()
 	fmt.Printf("%d instances, each an entry and a coord, and %d services are up\n", len(r.Instances), len(r.Fleet.Services))
-	done, err := r.Confirm(r.Text)
+	done, err := r.Confirm(r.Declaration)
 	if err != nil {
 		return err
 	}
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -34,7 +34,7 @@
 	}
 	defer os.RemoveAll(dir)
 	var standins *upstream.Config
-	r, err := rig.Start(rig.Options{Example: s.example, Bin: bin, Dir: dir, Standin: func(c *upstream.Config) {
+	r, err := rig.Start(rig.Options{ExampleDir: s.example, BinDir: bin, OutputDir: dir, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
 			c.Services[i].MeanMS *= stretch
 			c.Services[i].Streams = false // so that the times are known beforehand
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	defer r.Close()
-	if _, err := r.Confirm(p.edit(r.Text)); err != nil {
+	if _, err := r.Confirm(p.edit(r.Declaration)); err != nil {
 		return nil, err
 	}
 	if s.before != nil {
--- a/proctest/experiment/scenario.go
+++ b/proctest/experiment/scenario.go
@@ -48,18 +48,18 @@
 		{name: "burst 3x on 60%", example: kalahari, phases: []step{warm(0.6), {10, 1.8}, {2, 0.6}}, mix: answers},
 		{name: "one replica 10x slow, 80%", example: kalahari, phases: steady(0.8), mix: answers,
 			fault: func(r *rig.Rig) error {
-				return r.FaultUpstream(upstream.Fault{Replica: "scribe-pool-3", Slow: 10})
+				return r.InjectUpstreamFault(upstream.Fault{Replica: "scribe-pool-3", Slow: 10})
 			}},
 		{name: "one replica dead, 80%", example: kalahari, phases: steady(0.8), mix: answers,
 			fault: func(r *rig.Rig) error {
-				return r.FaultUpstream(upstream.Fault{Replica: "scribe-pool-3", Dead: true})
+				return r.InjectUpstreamFault(upstream.Fault{Replica: "scribe-pool-3", Dead: true})
 			}},
 		{name: "greedy customer, 150%", example: kalahari, phases: steady(1.5), mix: greedy},
 		{name: "cancellations 3x on 60%", example: midlands, phases: []step{warm(0.6), {8, 1.8}}, mix: cancellations},
 		{name: "a hall lost, 50%", example: kalahari, phases: steady(0.5), mix: answers, fault: loseHall},
 		{name: "owner killed, 60%", example: kalahari, phases: steady(0.6), mix: answers, fault: killOwner},
 		{name: "platform down, 60%", example: kalahari, phases: steady(0.6), mix: answers,
-			before: func(r *rig.Rig) error { return r.FaultPlatform(platform.Faults{Down: true}) }},
+			before: func(r *rig.Rig) error { return r.InjectPlatformFault(platform.Faults{Down: true}) }},
 	}
 }
 
@@ -113,14 +113,14 @@
 		}
 	}
 	var s api.Status
-	if err := r.Operate(r.Instances[0], "GET", "/v1/status", "", &s); err != nil {
+	if err := r.CallOperatorAPI(r.Instances[0], "GET", "/v1/status", "", &s); err != nil {
 		return err
 	}
 	for _, x := range s.Replicas {
 		if x.Hall != hall {
 			continue
 		}
-		if err := r.FaultUpstream(upstream.Fault{Replica: x.ID, Dead: true}); err != nil {
+		if err := r.InjectUpstreamFault(upstream.Fault{Replica: x.ID, Dead: true}); err != nil {
 			return err
 		}
 	}
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -33,11 +33,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := deploy(t, rig.Options{Example: kalahari})
-			must(t, r.FaultPlatform(c.fault))
+			r := deploy(t, rig.Options{ExampleDir: kalahari})
+			must(t, r.InjectPlatformFault(c.fault))
 			left := make(chan time.Time, 1)
 			time.AfterFunc(time.Second, func() {
-				if err := r.FaultUpstream(upstream.Fault{Replica: "encoder-1", Leaving: true}); err != nil {
+				if err := r.InjectUpstreamFault(upstream.Fault{Replica: "encoder-1", Leaving: true}); err != nil {
 					t.Error(err)
 				}
 				left <- time.Now()
@@ -66,14 +66,14 @@
 // P5: the same with every coord cut off from the others: each entry learns from
 // the replica's own answers.
 func TestLeavingReplicaCoordsCut(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Proxy: true})
-	must(t, r.FaultPlatform(platform.Faults{ListLagMS: 10_000}))
+	r := deploy(t, rig.Options{ExampleDir: kalahari, Proxy: true})
+	must(t, r.InjectPlatformFault(platform.Faults{ListLagMS: 10_000}))
 	for _, in := range r.Instances {
-		must(t, r.FaultLink(proxy.Fault{Route: in.Name + "/coord", Cut: true}))
+		must(t, r.InjectLinkFault(proxy.Fault{Route: in.Name + "/coord", Cut: true}))
 	}
 	left := make(chan time.Time, 1)
 	time.AfterFunc(time.Second, func() {
-		if err := r.FaultUpstream(upstream.Fault{Replica: "encoder-1", Leaving: true}); err != nil {
+		if err := r.InjectUpstreamFault(upstream.Fault{Replica: "encoder-1", Leaving: true}); err != nil {
 			t.Error(err)
 		}
 		left <- time.Now()
@@ -90,13 +90,13 @@
 // shortLives makes callers ask for addresses every second, so that planned
 // stops are short.
 func shortLives(r *rig.Rig) string {
-	return strings.Replace(r.Text, "address_lifetime_seconds = 3", "address_lifetime_seconds = 1", 1)
+	return strings.Replace(r.Declaration, "address_lifetime_seconds = 3", "address_lifetime_seconds = 1", 1)
 }
 
 // P6: a rolling restart of all instances under load cuts off no request and
 // refuses none to a caller that keeps to its address answer.
 func TestRollingRestart(t *testing.T) {
-	r := start(t, rig.Options{Example: kalahari})
+	r := start(t, rig.Options{ExampleDir: kalahari})
 	_, err := r.Confirm(shortLives(r))
 	must(t, err)
 	var res *load.Result
@@ -125,26 +125,26 @@
 
 // changed returns the declaration with another rate, so that it is a change.
 func changed(r *rig.Rig, n int) string {
-	return strings.Replace(r.Text, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+n), 1)
+	return strings.Replace(r.Declaration, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+n), 1)
 }
 
 // plan states an intent through an instance.
 func plan(t *testing.T, r *rig.Rig, in *rig.Instance, text string) api.Plan {
 	t.Helper()
 	var p api.Plan
-	must(t, r.Operate(in, "POST", "/v1/plans", text, &p))
+	must(t, r.CallOperatorAPI(in, "POST", "/v1/plans", text, &p))
 	return p
 }
 
 func confirm(r *rig.Rig, in *rig.Instance, id string) (api.Confirmation, error) {
 	var d api.Confirmation
-	return d, r.Operate(in, "POST", "/v1/plans/"+id+"/confirm", "", &d)
+	return d, r.CallOperatorAPI(in, "POST", "/v1/plans/"+id+"/confirm", "", &d)
 }
 
 // P7: of operators who race from one base, one wins and the others are told of
 // the conflict; the winner's is in force everywhere within seconds.
 func TestOperatorsRace(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	var plans []api.Plan
 	for i, in := range r.Instances {
 		plans = append(plans, plan(t, r, in, changed(r, i)))
@@ -173,9 +173,9 @@
 // P7: a compare-and-swap whose answer is lost is read back, not guessed, and
 // asking again tells the same.
 func TestConfirmAnswerLost(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	p := plan(t, r, r.Instances[0], changed(r, 1))
-	must(t, r.FaultPlatform(platform.Faults{LoseAnswers: 1}))
+	must(t, r.InjectPlatformFault(platform.Faults{LoseAnswers: 1}))
 	for range 2 {
 		d, err := confirm(r, r.Instances[0], p.ID)
 		must(t, err)
@@ -189,17 +189,17 @@
 // P7: an acceptor killed once its swap took effect: the revision reaches the
 // others without it, and the operator learns by asking again elsewhere.
 func TestAcceptorKilledAfterSwap(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	acceptor, other := r.Instances[3], r.Instances[0]
 	p := plan(t, r, acceptor, changed(r, 1))
-	must(t, r.FaultPlatform(platform.Faults{LoseAnswers: 1}))
+	must(t, r.InjectPlatformFault(platform.Faults{LoseAnswers: 1}))
 	writes := platformStats(t, r).Writes
 	told := make(chan error, 1)
 	go func() {
 		_, err := confirm(r, acceptor, p.ID)
 		told <- err
 	}()
-	must(t, r.Until("the swap", func() bool { return platformStats(t, r).Writes > writes }))
+	must(t, r.WaitUntil("the swap", func() bool { return platformStats(t, r).Writes > writes }))
 	acceptor.Coord.Kill()
 	<-told // an error, or the answer if it was faster
 	d, err := confirm(r, other, p.ID)
@@ -207,7 +207,7 @@
 	if d.State != "confirmed" || d.Revision != 2 {
 		t.Errorf("%+v, want revision 2 confirmed", d)
 	}
-	must(t, r.Until("revision 2 at all others", func() bool {
+	must(t, r.WaitUntil("revision 2 at all others", func() bool {
 		for _, in := range r.Instances {
 			s, err := r.EntryState(in)
 			if in != acceptor && (err != nil || s.Revision != 2) {
@@ -222,12 +222,12 @@
 // reaches everyone, a process started during the outage takes it from its
 // peers, and no entry ever goes back.
 func TestConfigThroughOutage(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	stop := watchRevisions(t, r)
 	p := plan(t, r, r.Instances[0], changed(r, 1))
 	d, err := confirm(r, r.Instances[0], p.ID)
 	must(t, err)
-	must(t, r.FaultPlatform(platform.Faults{Down: true}))
+	must(t, r.InjectPlatformFault(platform.Faults{Down: true}))
 	must(t, r.WaitRevision(d.Revision))
 	in := r.Instances[5]
 	in.Coord.Kill()
@@ -250,13 +250,13 @@
 // does not take anyone back, nor a process that starts meanwhile; and operators
 // can go on from what is in force.
 func TestConfigStalePlatform(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	p := plan(t, r, r.Instances[0], changed(r, 1))
 	d, err := confirm(r, r.Instances[0], p.ID)
 	must(t, err)
 	must(t, r.WaitRevision(d.Revision))
 	stop := watchRevisions(t, r)
-	must(t, r.FaultPlatform(platform.Faults{Stale: true}))
+	must(t, r.InjectPlatformFault(platform.Faults{Stale: true}))
 	for _, in := range r.Instances[:3] {
 		in.Entry.Kill()
 		in.Coord.Kill()
@@ -264,7 +264,7 @@
 		must(t, r.StartEntry(in))
 	}
 	must(t, r.WaitRevision(d.Revision))
-	must(t, r.FaultPlatform(platform.Faults{}))
+	must(t, r.InjectPlatformFault(platform.Faults{}))
 	loseNewest(t, r)
 	res := runLoad(r, 60, 3*time.Second)
 	verdict(t, r, res.Told)
@@ -287,7 +287,7 @@
 	c := client.New(r.Platform)
 	kv, err := c.Get(key)
 	must(t, err)
-	packed, err := pack.Compress(r.Text)
+	packed, err := pack.Compress(r.Declaration)
 	must(t, err)
 	b, err := json.Marshal(api.StoredConfig{Revision: 1, PlanID: "older", Declaration: packed})
 	must(t, err)
@@ -332,14 +332,14 @@
 // each goes on serving alone; what was confirmed at the one reaches the others
 // once the cut is over, and the views agree again.
 func TestPartitionHeals(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Proxy: true})
+	r := deploy(t, rig.Options{ExampleDir: kalahari, Proxy: true})
 	confirmer := r.Instances[0]
 	cut := func(on bool) {
 		for _, in := range r.Instances {
-			must(t, r.FaultLink(proxy.Fault{Route: in.Name + "/coord", Cut: on}))
-			must(t, r.FaultLink(proxy.Fault{Route: in.Name + "/entry", Cut: on}))
+			must(t, r.InjectLinkFault(proxy.Fault{Route: in.Name + "/coord", Cut: on}))
+			must(t, r.InjectLinkFault(proxy.Fault{Route: in.Name + "/entry", Cut: on}))
 			if in != confirmer {
-				must(t, r.FaultLink(proxy.Fault{Route: in.Name + "/platform", Cut: on}))
+				must(t, r.InjectLinkFault(proxy.Fault{Route: in.Name + "/platform", Cut: on}))
 			}
 		}
 	}
@@ -358,7 +358,7 @@
 	}
 	cut(false)
 	must(t, r.WaitRevision(d.Revision))
-	must(t, r.Until("equal views", func() bool { return allAlive(t, r) }))
+	must(t, r.WaitUntil("equal views", func() bool { return allAlive(t, r) }))
 }
 
 // allAlive reports whether every coord sees every instance alive.
@@ -366,7 +366,7 @@
 	t.Helper()
 	for _, in := range r.Instances {
 		var s api.Status
-		must(t, r.Operate(in, "GET", "/v1/status", "", &s))
+		must(t, r.CallOperatorAPI(in, "GET", "/v1/status", "", &s))
 		for _, m := range s.Instances {
 			if m.State != "alive" {
 				return false
--- a/proctest/limits_test.go
+++ b/proctest/limits_test.go
@@ -14,9 +14,9 @@
 // gets little more.
 func TestLimitFollowsCustomer(t *testing.T) {
 	const rate, seconds = 60, 5
-	r := start(t, rig.Options{Example: kalahari})
-	text := strings.Replace(r.Text, "rate = 400.0\nburst = 800.0", "rate = 60.0\nburst = 12.0", 1)
-	if text == r.Text {
+	r := start(t, rig.Options{ExampleDir: kalahari})
+	text := strings.Replace(r.Declaration, "rate = 400.0\nburst = 800.0", "rate = 60.0\nburst = 12.0", 1)
+	if text == r.Declaration {
 		t.Fatal("the example's declaration has changed")
 	}
 	_, err := r.Confirm(text)
--- a/proctest/main_test.go
+++ b/proctest/main_test.go
@@ -54,7 +54,7 @@
 func deploy(t testing.TB, o rig.Options) *rig.Rig {
 	t.Helper()
 	r := start(t, o)
-	if _, err := r.Confirm(r.Text); err != nil {
+	if _, err := r.Confirm(r.Declaration); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -67,14 +67,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Bin, o.Dir = bin, dir
+	o.BinDir, o.OutputDir = bin, dir
 	r, err := rig.Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		r.Close()
-		crashes, err := r.Crashes()
+		crashes, err := r.CrashLines()
 		if err != nil {
 			t.Error(err)
 		}
@@ -132,7 +132,7 @@
 // waitExecutions waits until that many of an operation have begun.
 func waitExecutions(t testing.TB, r *rig.Rig, op string, n int) {
 	t.Helper()
-	must(t, r.Until(fmt.Sprintf("%d executions of %s", n, op), func() bool { return executions(t, r, op) >= n }))
+	must(t, r.WaitUntil(fmt.Sprintf("%d executions of %s", n, op), func() bool { return executions(t, r, op) >= n }))
 }
 
 func caller(r *rig.Rig, customer int) *load.Caller {
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -67,7 +67,7 @@
 
 // P4: the same number at every entry at once runs once, and all get its answer.
 func TestOnceRetriesAtAllEntries(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: slowStore})
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore})
 	c := caller(r, 0)
 	a, err := c.Addresses()
 	must(t, err)
@@ -102,7 +102,7 @@
 // P4: a home frozen past every timeout, then woken, does not run a number that
 // callers meanwhile retried elsewhere.
 func TestOnceHomeFrozen(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: slowStore})
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	a, err := c.Addresses()
@@ -136,7 +136,7 @@
 // P4: a home killed after it dispatched leaves unknown, never a second run,
 // also when it comes back as a new incarnation.
 func TestOnceHomeKilled(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: slowStore})
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	a, err := c.Addresses()
@@ -168,11 +168,11 @@
 
 // P4: entries cut off from the home answer unknown; healed, they join.
 func TestOnceEntriesCut(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari, Standin: slowStore, Proxy: true})
+	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore, Proxy: true})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	route := home.Name + "/entry"
-	must(t, r.FaultLink(proxy.Fault{Route: route, Cut: true}))
+	must(t, r.InjectLinkFault(proxy.Fault{Route: route, Cut: true}))
 	a, err := c.Addresses()
 	must(t, err)
 	first := check.Told{Input: "cut", Ticket: a.Ticket + ".1"}
@@ -185,10 +185,10 @@
 		told = append(told, x)
 	}
 	// One way only: the home runs it, its answers are lost.
-	must(t, r.FaultLink(proxy.Fault{Route: route, DropOut: true}))
+	must(t, r.InjectLinkFault(proxy.Fault{Route: route, DropOut: true}))
 	told = append(told, again(c, first, others(r, home)[0]))
-	must(t, r.FaultLink(proxy.Fault{Route: route}))
-	must(t, r.Until("a join after the cut", func() bool {
+	must(t, r.InjectLinkFault(proxy.Fault{Route: route}))
+	must(t, r.WaitUntil("a join after the cut", func() bool {
 		x := again(c, first, others(r, home)[1])
 		told = append(told, x)
 		return x.Outcome == outcome.Done
@@ -202,9 +202,9 @@
 // P4: an upstream that runs the request and hangs up without an answer is not
 // asked again, neither by the entry nor under a retried ticket.
 func TestOnceUpstreamHangsUp(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	for i := range 6 {
-		must(t, r.FaultUpstream(upstream.Fault{Replica: fmt.Sprintf("field-sync-%d", i), HangUp: true}))
+		must(t, r.InjectUpstreamFault(upstream.Fault{Replica: fmt.Sprintf("field-sync-%d", i), HangUp: true}))
 	}
 	c := caller(r, 0)
 	var told []check.Told
@@ -225,7 +225,7 @@
 // P4: after a planned stop the heir answers the home's numbers from its ledger
 // and runs the new ones; nothing runs twice.
 func TestOnceHeir(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	a, err := c.Addresses()
@@ -263,13 +263,13 @@
 // P3, P4: a number that ran is not called not_run because its pipeline is no
 // longer declared: its caller would send it again under another number.
 func TestOnceAfterPipelineIsGone(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	c := caller(r, 0)
 	first := c.Do(fieldReport("before"))
 	if first.Outcome != outcome.Done {
 		t.Fatalf("%s %s", first.Outcome, first.Code)
 	}
-	_, err := r.Confirm(strings.Replace(r.Text, `name = "field-report"`, `name = "field-note"`, 1))
+	_, err := r.Confirm(strings.Replace(r.Declaration, `name = "field-report"`, `name = "field-note"`, 1))
 	must(t, err)
 	told := []check.Told{first}
 	for _, in := range r.Instances {
@@ -286,7 +286,7 @@
 // entries, are all done: by the home until it seals its ledger, by the heir
 // from then on; also under a ticket that the home gave out while it stopped.
 func TestOnceThroughPlannedStop(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	a, err := c.Addresses()
@@ -294,7 +294,7 @@
 	home.Entry.Stop()
 	stopped := make(chan int, 1)
 	go func() { stopped <- home.Entry.Wait() }()
-	must(t, r.Until("the home leaves", func() bool {
+	must(t, r.WaitUntil("the home leaves", func() bool {
 		late := load.NewCaller(c.Key, "", []string{home.Settings.Entry.HTTP})
 		got, err := late.Addresses()
 		if err == nil && got.Home != home.Settings.Entry.HTTP {
--- a/proctest/orders_test.go
+++ b/proctest/orders_test.go
@@ -16,12 +16,12 @@
 
 // withModel declares what the generating service's engines serve.
 func withModel(r *rig.Rig, model string) string {
-	return strings.Replace(r.Text, "name = \"scribe-pool\"", "name = \"scribe-pool\"\nmodel = \""+model+"\"", 1)
+	return strings.Replace(r.Declaration, "name = \"scribe-pool\"", "name = \"scribe-pool\"\nmodel = \""+model+"\"", 1)
 }
 
 func ordersOf(t *testing.T, r *rig.Rig) []api.OrderRecord {
 	t.Helper()
-	resp, err := http.Get("http://" + r.Control + "/orders")
+	resp, err := http.Get("http://" + r.StandinControl + "/orders")
 	must(t, err)
 	defer resp.Body.Close()
 	var out []api.OrderRecord
@@ -67,19 +67,19 @@
 // P9: a holder frozen among its orders past its lease, then woken, gives none
 // that an engine obeys: what the next holder ordered stays.
 func TestFencedOrders(t *testing.T) {
-	r := start(t, rig.Options{Example: kalahari})
+	r := start(t, rig.Options{ExampleDir: kalahari})
 	_, err := r.Confirm(withModel(r, "leaf-7b@1"))
 	must(t, err)
-	must(t, r.Until("some orders", func() bool { return len(ordersOf(t, r)) >= 3 }))
+	must(t, r.WaitUntil("some orders", func() bool { return len(ordersOf(t, r)) >= 3 }))
 	old := holder(t, r)
 	old.Coord.Freeze()
-	must(t, r.Until("another holder", func() bool { h := holder(t, r); return h != nil && h != old }))
+	must(t, r.WaitUntil("another holder", func() bool { h := holder(t, r); return h != nil && h != old }))
 	others := others(r, old)
 	p := plan(t, r, others[0], withModel(r, "leaf-7b@2"))
 	if d, err := confirm(r, others[0], p.ID); err != nil || d.State != "confirmed" {
 		t.Fatal(d, err)
 	}
-	must(t, r.Until("all engines ordered", func() bool { return allServe(ordersOf(t, r), "leaf-7b@2") }))
+	must(t, r.WaitUntil("all engines ordered", func() bool { return allServe(ordersOf(t, r), "leaf-7b@2") }))
 	old.Coord.Thaw()
 	must(t, r.WaitRevision(2))
 	orders := ordersOf(t, r)
--- a/proctest/outage_test.go
+++ b/proctest/outage_test.go
@@ -32,15 +32,15 @@
 // After an outage the platform is not overrun: what it gets follows the halls,
 // not the instances, and the readers return at times of their own.
 func TestReturnAfterOutage(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
-	must(t, r.FaultPlatform(platform.Faults{Down: true}))
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
+	must(t, r.InjectPlatformFault(platform.Faults{Down: true}))
 	res := runLoad(r, 60, 4*time.Second)
 	verdict(t, r, res.Told)
 	for _, v := range check.Unended(res.Told) {
 		t.Error("during the outage:", v)
 	}
 	before := platformStats(t, r)
-	must(t, r.FaultPlatform(platform.Faults{}))
+	must(t, r.InjectPlatformFault(platform.Faults{}))
 	const seconds = 10
 	runLoad(r, 60, seconds*time.Second)
 	after := platformStats(t, r)
@@ -59,14 +59,14 @@
 // P4: a home that stops while the platform is down can't hand its ledger on;
 // its numbers are unknown afterwards and none runs twice.
 func TestStopDuringOutage(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	c := caller(r, 0)
 	home := homeOf(t, r, c)
 	first := c.Do(fieldReport("before"))
 	if first.Outcome != outcome.Done {
 		t.Fatalf("before the stop: %s %s", first.Outcome, first.Code)
 	}
-	must(t, r.FaultPlatform(platform.Faults{Down: true}))
+	must(t, r.InjectPlatformFault(platform.Faults{Down: true}))
 	home.Entry.Stop()
 	if code := home.Entry.Wait(); code != 0 {
 		t.Errorf("planned stop: exit code %d", code)
@@ -85,7 +85,7 @@
 // The same rolling restart as P6's with one entry killed and one frozen for a
 // while in it: no promise is broken, though the killed one's requests end.
 func TestRollingRestartWithCrash(t *testing.T) {
-	r := start(t, rig.Options{Example: kalahari})
+	r := start(t, rig.Options{ExampleDir: kalahari})
 	_, err := r.Confirm(shortLives(r))
 	must(t, err)
 	var res *load.Result
@@ -120,7 +120,7 @@
 
 // P2: a caller that reads its stream slowly gets all of it.
 func TestSlowCaller(t *testing.T) {
-	r := deploy(t, rig.Options{Example: kalahari})
+	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	p, _ := r.Fleet.Pipeline("safety-summary")
 	body := `{"input":"slowly","stream":true}`
 	req, err := http.NewRequest("POST", fmt.Sprintf("http://%s/v1/pipelines/%s/runs", r.Entries()[0], p.Name), strings.NewReader(body))
--- a/proctest/rig/operate.go
+++ b/proctest/rig/operate.go
@@ -17,11 +17,11 @@
 // waits until it is in force at every entry.
 func (r *Rig) Confirm(text string) (*api.Confirmation, error) {
 	var plan api.Plan
-	if err := r.Operate(r.Instances[0], "POST", "/v1/plans", text, &plan); err != nil {
+	if err := r.CallOperatorAPI(r.Instances[0], "POST", "/v1/plans", text, &plan); err != nil {
 		return nil, err
 	}
 	var done api.Confirmation
-	if err := r.Operate(r.Instances[0], "POST", "/v1/plans/"+plan.ID+"/confirm", "", &done); err != nil {
+	if err := r.CallOperatorAPI(r.Instances[0], "POST", "/v1/plans/"+plan.ID+"/confirm", "", &done); err != nil {
 		return nil, err
 	}
 	return &done, r.WaitRevision(done.Revision)
@@ -30,7 +30,7 @@
 // WaitRevision waits until every live entry has the revision in force, sees all
 // instances and the replicas.
 func (r *Rig) WaitRevision(rev uint64) error {
-	return r.Until(fmt.Sprintf("revision %d everywhere", rev), func() bool {
+	return r.WaitUntil(fmt.Sprintf("revision %d everywhere", rev), func() bool {
 		for _, in := range r.Instances {
 			s, err := r.EntryState(in)
 			if err != nil || s.Revision < rev || s.Replicas == 0 || s.Members < len(r.Instances) {
@@ -62,7 +62,7 @@
 }
 
 // Operate makes one call of the intent API.
-func (r *Rig) Operate(in *Instance, method, path, body string, out any) error {
+func (r *Rig) CallOperatorAPI(in *Instance, method, path, body string, out any) error {
 	req, err := http.NewRequest(method, "http://"+in.Settings.Coord.Operators+path, bytes.NewBufferString(body))
 	if err != nil {
 		return err
@@ -93,16 +93,16 @@
 }
 
 // Journal returns what the upstreams executed.
-func (r *Rig) Journal() ([]api.Execution, error) { return load.Journal(r.Control) }
+func (r *Rig) Journal() ([]api.Execution, error) { return load.Journal(r.StandinControl) }
 
 // FaultUpstream makes a replica do wrong.
-func (r *Rig) FaultUpstream(f upstream.Fault) error { return post(r.Control, f) }
+func (r *Rig) InjectUpstreamFault(f upstream.Fault) error { return post(r.StandinControl, f) }
 
 // FaultPlatform makes the platform do wrong, by the fields of platform.Faults.
-func (r *Rig) FaultPlatform(f any) error { return post(r.Platform, f) }
+func (r *Rig) InjectPlatformFault(f any) error { return post(r.Platform, f) }
 
 // FaultLink makes a proxied route do wrong: NAME/coord, NAME/entry or NAME/platform.
-func (r *Rig) FaultLink(f proxy.Fault) error { return post(r.proxy, f) }
+func (r *Rig) InjectLinkFault(f proxy.Fault) error { return post(r.proxy, f) }
 
 func post(addr string, v any) error {
 	b, err := json.Marshal(v)
--- a/proctest/rig/proc.go
+++ b/proctest/rig/proc.go
@@ -22,12 +22,12 @@
 
 // exec starts a process; its output goes to a log of its name.
 func (r *Rig) exec(name, binary string, args ...string) (*Proc, error) {
-	log, err := os.OpenFile(filepath.Join(r.opts.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(r.opts.OutputDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	p := &Proc{Name: name, log: log, done: make(chan struct{})}
-	p.cmd = exec.Command(filepath.Join(r.opts.Bin, binary), args...)
+	p.cmd = exec.Command(filepath.Join(r.opts.BinDir, binary), args...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives a test that dies
 	if err := p.cmd.Start(); err != nil {
@@ -82,8 +82,8 @@
 var crashMarks = []string{"DATA RACE", "panic", "fatal error"}
 
 // Crashes returns the log lines that show a panic or a data race.
-func (r *Rig) Crashes() ([]string, error) {
-	logs, err := filepath.Glob(filepath.Join(r.opts.Dir, "*.log"))
+func (r *Rig) CrashLines() ([]string, error) {
+	logs, err := filepath.Glob(filepath.Join(r.opts.OutputDir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
--- a/proctest/rig/rig.go
+++ b/proctest/rig/rig.go
@@ -33,23 +33,23 @@
 
 // Options choose what a rig starts.
 type Options struct {
-	Example string                   // folder
-	Bin     string                   // folder of the binaries
-	Dir     string                   // for generated settings and logs
-	AsIs    bool                     // use the example's own ports
-	Proxy   bool                     // put the fault proxy before links and platform
-	Many    int                      // so many coords instead of the example's instances, and no entries
-	Edit    func(*settings.Instance) // changes an instance's settings
-	Standin func(*upstream.Config)   // changes the stand-ins' settings
+	ExampleDir      string                   // folder
+	BinDir          string                   // folder of the binaries
+	OutputDir       string                   // for generated settings and logs
+	UseExamplePorts bool                     // use the example's own ports
+	Proxy           bool                     // put the fault proxy before links and platform
+	CoordCount      int                      // so many coords instead of the example's instances, and no entries
+	EditInstance    func(*settings.Instance) // changes an instance's settings
+	EditStandins    func(*upstream.Config)   // changes the stand-ins' settings
 }
 
 // Rig is a running deployment.
 type Rig struct {
-	Instances []*Instance
-	Platform  string // IP:port, not proxied
-	Control   string // of the upstreams' stand-in
-	Fleet     *fleet.Fleet
-	Text      string // the declaration
+	Instances      []*Instance
+	Platform       string // IP:port, not proxied
+	StandinControl string // of the upstreams' stand-in
+	Fleet          *fleet.Fleet
+	Declaration    string // the declaration
 
 	opts   Options
 	shift  int
@@ -87,7 +87,7 @@
 // reserve finds a range of ports that no other rig uses.
 func (r *Rig) reserve() error {
 	for i := range portSteps {
-		if r.opts.AsIs && i > 0 {
+		if r.opts.UseExamplePorts && i > 0 {
 			break
 		}
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", FirstPort+i*portStep+guardPort))
@@ -106,7 +106,7 @@
 
 // read returns an example's file with its ports moved to the rig's range.
 func (r *Rig) read(name string) ([]byte, error) {
-	b, err := os.ReadFile(filepath.Join(r.opts.Example, name))
+	b, err := os.ReadFile(filepath.Join(r.opts.ExampleDir, name))
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 }
 
 func (r *Rig) start() error {
-	if err := os.MkdirAll(r.opts.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(r.opts.OutputDir, 0o755); err != nil {
 		return err
 	}
 	if err := r.loadFleet(); err != nil {
@@ -141,7 +141,7 @@
 		if err := r.StartCoord(in); err != nil {
 			return err
 		}
-		if r.opts.Many > 0 {
+		if r.opts.CoordCount > 0 {
 			continue
 		}
 		if err := r.StartEntry(in); err != nil {
@@ -153,11 +153,11 @@
 
 // addInstances takes the example's instances, or makes many like its first.
 func (r *Rig) addInstances() error {
-	files, err := filepath.Glob(filepath.Join(r.opts.Example, "instances", "*.toml"))
+	files, err := filepath.Glob(filepath.Join(r.opts.ExampleDir, "instances", "*.toml"))
 	if err != nil {
 		return err
 	}
-	if r.opts.Many > 0 {
+	if r.opts.CoordCount > 0 {
 		files = files[:1]
 	}
 	for _, f := range files {
@@ -165,7 +165,7 @@
 			return err
 		}
 	}
-	for i := 1; i < r.opts.Many; i++ {
+	for i := 1; i < r.opts.CoordCount; i++ {
 		s := *r.Instances[0].Settings
 		s.Name = fmt.Sprintf("many-%02d", i)
 		s.Hall = r.Fleet.Halls[i%len(r.Fleet.Halls)]
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	r.Text = string(b)
+	r.Declaration = string(b)
 	r.Fleet, err = settings.LoadFleet("fleet.toml", b)
 	return err
 }
@@ -199,10 +199,10 @@
 	if err != nil {
 		return err
 	}
-	if r.opts.Standin != nil {
-		r.opts.Standin(c)
+	if r.opts.EditStandins != nil {
+		r.opts.EditStandins(c)
 	}
-	r.Platform, r.Control = c.Platform, c.Control
+	r.Platform, r.StandinControl = c.Platform, c.Control
 	if _, err := r.run(c.Platform, "platform", "quince-standin", "platform", "-listen", c.Platform); err != nil {
 		return err
 	}
@@ -229,8 +229,8 @@
 		s.Entry.AdvertisedLink = r.proxied(s.Name+"/entry", s.Entry.Link, len(r.routes))
 		s.Seeds = nil
 	}
-	if r.opts.Edit != nil {
-		r.opts.Edit(s)
+	if r.opts.EditInstance != nil {
+		r.opts.EditInstance(s)
 	}
 	r.Instances = append(r.Instances, &Instance{Name: s.Name, Settings: s})
 	return nil
@@ -268,7 +268,7 @@
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(r.opts.Dir, name)
+	file := filepath.Join(r.opts.OutputDir, name)
 	return file, os.WriteFile(file, b, 0o600)
 }
 
@@ -298,7 +298,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = r.Until(name+" listening on "+addr, func() bool {
+	err = r.WaitUntil(name+" listening on "+addr, func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = c.Close()
@@ -306,13 +306,13 @@
 		return err == nil || p.ended()
 	})
 	if p.ended() {
-		return nil, fmt.Errorf("rig: %s ended; see its log in %s", name, r.opts.Dir)
+		return nil, fmt.Errorf("rig: %s ended; see its log in %s", name, r.opts.OutputDir)
 	}
 	return p, err
 }
 
 // Until polls cond for as long as a deployment may take to settle.
-func (r *Rig) Until(what string, cond func() bool) error {
+func (r *Rig) WaitUntil(what string, cond func() bool) error {
 	for until := time.Now().Add(readyLimit); time.Now().Before(until); time.Sleep(readyPoll) {
 		if cond() {
 			return nil
