--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -15,7 +15,7 @@
 	"quinceroad/proctest/rig"
 )
 
-// mixOf returns a load in which every pipeline of the deployment has an equal
+// evenMix returns a load in which every pipeline of the deployment has an equal
 // share. Requests of the first pipeline are streamed.
 func evenMix(r *rig.Rig) []load.Mix {
 	var mix []load.Mix
--- a/proctest/ctl_test.go
+++ b/proctest/ctl_test.go
@@ -12,7 +12,7 @@
 	"quinceroad/proctest/rig"
 )
 
-// ctlAt runs quincectl against an instance and returns its exit code and output.
+// runCtl runs quincectl against an instance and returns its exit code and output.
 func runCtl(in *rig.Instance, args ...string) (int, string) {
 	var out bytes.Buffer
 	all := append([]string{"-operators", in.Settings.Coord.Operators, "-token", "demo-operator"}, args...)
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// shortLives returns the declaration with a lifetime of one second for
+// shortAddressLifetime returns the declaration with a lifetime of one second for
 // address answers. A planned stop waits for their expiry, so it is short.
 func shortAddressLifetime(r *rig.Rig) string {
 	return strings.Replace(r.Declaration, "address_lifetime_seconds = 3", "address_lifetime_seconds = 1", 1)
@@ -123,13 +123,13 @@
 	}
 }
 
-// changed returns the declaration with another rate for each n, so that
+// changedDeclaration returns the declaration with another rate for each n, so that
 // it differs from the current one.
 func changedDeclaration(r *rig.Rig, n int) string {
 	return strings.Replace(r.Declaration, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+n), 1)
 }
 
-// plan sends a declaration to an instance and returns the plan for it.
+// createPlan sends a declaration to an instance and returns the plan for it.
 func createPlan(t *testing.T, r *rig.Rig, in *rig.Instance, text string) api.Plan {
 	t.Helper()
 	var p api.Plan
@@ -282,7 +282,7 @@
 	must(t, r.WaitRevision(3))
 }
 
-// loseNewest replaces the newest configuration in the store by an older
+// restoreOlderConfig replaces the newest configuration in the store by an older
 // one, as happens when a store is restored from a backup.
 func restoreOlderConfig(t *testing.T, r *rig.Rig) {
 	t.Helper()
@@ -365,7 +365,7 @@
 	must(t, r.WaitUntil("all instances alive at every coord", func() bool { return allInstancesAlive(t, r) }))
 }
 
-// allAlive reports whether every coord sees every instance alive.
+// allInstancesAlive reports whether every coord sees every instance alive.
 func allInstancesAlive(t *testing.T, r *rig.Rig) bool {
 	t.Helper()
 	for _, in := range r.Instances {
--- a/proctest/main_test.go
+++ b/proctest/main_test.go
@@ -91,7 +91,7 @@
 	return r
 }
 
-// verdict reports a test error for every broken promise.
+// checkPromises reports a test error for every broken promise.
 func checkPromises(t testing.TB, r *rig.Rig, answers []check.Told) {
 	t.Helper()
 	journal, err := r.Journal()
@@ -117,7 +117,7 @@
 	}
 }
 
-// executions returns the number of executions of an operation in the journal.
+// countExecutions returns the number of executions of an operation in the journal.
 func countExecutions(t testing.TB, r *rig.Rig, op string) int {
 	t.Helper()
 	journal, err := r.Journal()
@@ -131,7 +131,7 @@
 	return n
 }
 
-// waitExecutions waits until at least n executions of an operation
+// waitForExecutions waits until at least n executions of an operation
 // have begun.
 func waitForExecutions(t testing.TB, r *rig.Rig, op string, n int) {
 	t.Helper()
@@ -142,7 +142,7 @@
 	return load.NewCaller("key-"+r.Fleet.Customers[customer].Name, r.Fleet.Halls[0], r.Entries())
 }
 
-// raw sends a request with the given body and returns the status and error
+// sendRaw sends a request with the given body and returns the status and error
 // of its response.
 func sendRaw(t *testing.T, method, url, key, body string, ticket bool) (int, api.Error) {
 	t.Helper()
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// others returns all instances except home.
+// otherInstances returns all instances except home.
 func otherInstances(r *rig.Rig, home *rig.Instance) []*rig.Instance {
 	var out []*rig.Instance
 	for _, in := range r.Instances {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// again sends a numbered request again, under the same ticket, to an instance.
+// retryAt sends a numbered request again, under the same ticket, to an instance.
 func retryAt(c *load.Caller, first check.Told, in *rig.Instance) check.Told {
 	q := fieldReport(first.Input)
 	q.Ticket, q.Address = first.Ticket, in.Settings.Entry.HTTP
--- a/proctest/orders_test.go
+++ b/proctest/orders_test.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// serving returns the model of the last order that each replica obeyed.
+// servedModels returns the model of the last order that each replica obeyed.
 func servedModels(orders []api.OrderRecord) map[string]string {
 	out := make(map[string]string)
 	for _, o := range orders {
@@ -51,7 +51,7 @@
 	return n == engineCount
 }
 
-// holder returns the instance whose coord holds the lease for orders, or nil.
+// leaseHolder returns the instance whose coord holds the lease for orders, or nil.
 func leaseHolder(t *testing.T, r *rig.Rig) *rig.Instance {
 	t.Helper()
 	kv, err := client.New(r.Platform).Get("orders/lease")
