--- a/proctest/rig/operate.go
+++ b/proctest/rig/operate.go
@@ -13,8 +13,8 @@
 	"quinceroad/protocol/api"
 )
 
-// Confirm plans and confirms a declaration through the first instance and
-// waits until it is in force at every entry.
+// Confirm creates and confirms a plan for a declaration at the first instance
+// and waits until its revision is in force at every entry.
 func (r *Rig) Confirm(text string) (*api.Confirmation, error) {
 	var plan api.Plan
 	if err := r.CallOperatorAPI(r.Instances[0], "POST", "/v1/plans", text, &plan); err != nil {
@@ -27,8 +27,8 @@
 	return &done, r.WaitRevision(done.Revision)
 }
 
-// WaitRevision waits until every live entry has the revision in force, sees all
-// instances and the replicas.
+// WaitRevision waits until every entry has applied the revision or a newer one,
+// knows all instances, and knows some replicas.
 func (r *Rig) WaitRevision(rev uint64) error {
 	return r.WaitUntil(fmt.Sprintf("revision %d everywhere", rev), func() bool {
 		for _, in := range r.Instances {
@@ -41,7 +41,7 @@
 	})
 }
 
-// EntryState is what a rig reads of an entry's dump.
+// EntryState holds the fields of an entry's JSON dump that tests use.
 type EntryState struct {
 	Revision uint64 `json:"revision"`
 	Members  int    `json:"members"`
@@ -50,7 +50,7 @@
 	InFlight int    `json:"in_flight"`
 }
 
-// EntryState reads an entry's dump.
+// EntryState fetches the dump of an instance's entry.
 func (r *Rig) EntryState(in *Instance) (EntryState, error) {
 	var s EntryState
 	resp, err := http.Get("http://" + in.Settings.Entry.Admin + "/debug/state")
@@ -61,13 +61,14 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// Operate makes one call of the intent API.
+// CallOperatorAPI makes one call of the operators' API at an instance's coord and
+// decodes the response into out. The status 409 (conflict) is not an error.
 func (r *Rig) CallOperatorAPI(in *Instance, method, path, body string, out any) error {
 	req, err := http.NewRequest(method, "http://"+in.Settings.Coord.Operators+path, bytes.NewBufferString(body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set(api.HeaderAuthorization, "Bearer "+token)
+	req.Header.Set(api.HeaderAuthorization, "Bearer "+operatorToken)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
@@ -83,7 +84,7 @@
 	return json.Unmarshal(b, out)
 }
 
-// Entries returns the addresses callers use.
+// Entries returns the HTTP addresses of all entries.
 func (r *Rig) Entries() []string {
 	out := make([]string, len(r.Instances))
 	for i, in := range r.Instances {
@@ -92,19 +93,20 @@
 	return out
 }
 
-// Journal returns what the upstreams executed.
+// Journal returns the executions that the upstreams' stand-in recorded.
 func (r *Rig) Journal() ([]api.Execution, error) { return load.Journal(r.StandinControl) }
 
-// FaultUpstream makes a replica do wrong.
-func (r *Rig) InjectUpstreamFault(f upstream.Fault) error { return post(r.StandinControl, f) }
+// InjectUpstreamFault injects a fault into a replica.
+func (r *Rig) InjectUpstreamFault(f upstream.Fault) error { return injectFault(r.StandinControl, f) }
 
-// FaultPlatform makes the platform do wrong, by the fields of platform.Faults.
-func (r *Rig) InjectPlatformFault(f any) error { return post(r.Platform, f) }
+// InjectPlatformFault injects faults into the platform; f is a platform.Faults.
+func (r *Rig) InjectPlatformFault(f any) error { return injectFault(r.Platform, f) }
 
-// FaultLink makes a proxied route do wrong: NAME/coord, NAME/entry or NAME/platform.
-func (r *Rig) InjectLinkFault(f proxy.Fault) error { return post(r.proxy, f) }
+// InjectLinkFault injects a fault into a proxied route: NAME/coord, NAME/entry or
+// NAME/platform, where NAME is an instance.
+func (r *Rig) InjectLinkFault(f proxy.Fault) error { return injectFault(r.proxyControl, f) }
 
-func post(addr string, v any) error {
+func injectFault(addr string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/proctest/rig/proc.go
+++ b/proctest/rig/proc.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const killAfter = 40 * time.Second // a stop that takes longer has failed
+const stopTimeout = 40 * time.Second // a process that takes longer for a planned stop is killed
 
 // Proc is one process that the rig started.
 type Proc struct {
@@ -20,8 +20,8 @@
 	done chan struct{}
 }
 
-// exec starts a process; its output goes to a log of its name.
-func (r *Rig) exec(name, binary string, args ...string) (*Proc, error) {
+// startProcess starts a process whose output is appended to NAME.log.
+func (r *Rig) startProcess(name, binary string, args ...string) (*Proc, error) {
 	log, err := os.OpenFile(filepath.Join(r.opts.OutputDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	p := &Proc{Name: name, log: log, done: make(chan struct{})}
 	p.cmd = exec.Command(filepath.Join(r.opts.BinDir, binary), args...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives a test that dies
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives a test that is killed
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -41,11 +41,11 @@
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process id.
 func (p *Proc) PID() int { return p.cmd.Process.Pid }
 
-// ended reports whether the process has ended.
-func (p *Proc) ended() bool {
+// hasExited reports whether the process has exited.
+func (p *Proc) hasExited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -54,23 +54,24 @@
 	}
 }
 
-// Kill ends the process without warning.
+// Kill kills the process and waits for its end.
 func (p *Proc) Kill() { p.signal(syscall.SIGKILL); <-p.done }
 
-// Freeze stops the process from running until Thaw.
+// Freeze suspends the process until Thaw.
 func (p *Proc) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Proc) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Stop begins a planned stop; Wait waits for its end.
+// Stop begins a planned stop of the process. Wait waits for its end.
 func (p *Proc) Stop() { p.signal(syscall.SIGTERM) }
 
-// Wait waits for the process's end and returns its exit code.
+// Wait waits for the end of the process, kills it after stopTimeout, and returns
+// its exit code.
 func (p *Proc) Wait() int {
 	select {
 	case <-p.done:
-	case <-time.After(killAfter):
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 	return p.cmd.ProcessState.ExitCode()
@@ -78,10 +79,12 @@
 
 func (p *Proc) signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// crashMarks are what a log holds when a process failed by a fault of its own.
-var crashMarks = []string{"DATA RACE", "panic", "fatal error"}
+// crashMarkers are texts in a log that show that the process crashed or has a
+// data race.
+var crashMarkers = []string{"DATA RACE", "panic", "fatal error"}
 
-// Crashes returns the log lines that show a panic or a data race.
+// CrashLines returns the lines of all logs that show a panic, a fatal error or a
+// data race.
 func (r *Rig) CrashLines() ([]string, error) {
 	logs, err := filepath.Glob(filepath.Join(r.opts.OutputDir, "*.log"))
 	if err != nil {
@@ -94,7 +97,7 @@
 			return nil, err
 		}
 		for line := range strings.Lines(string(b)) {
-			marked := slices.ContainsFunc(crashMarks, func(m string) bool { return strings.Contains(line, m) })
+			marked := slices.ContainsFunc(crashMarkers, func(m string) bool { return strings.Contains(line, m) })
 			if marked {
 				out = append(out, filepath.Base(file)+": "+strings.TrimSpace(line))
 			}
@@ -103,13 +106,13 @@
 	return out, nil
 }
 
-// Close ends every process of the rig.
+// Close kills all processes of the rig and releases its port range.
 func (r *Rig) Close() {
 	for _, p := range r.procs {
 		p.Kill()
 		_ = p.log.Close()
 	}
-	if r.guard != nil {
-		_ = r.guard.Close()
+	if r.portGuard != nil {
+		_ = r.portGuard.Close()
 	}
 }
--- a/proctest/rig/rig.go
+++ b/proctest/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig starts a deployment as real processes: the stand-ins, and an
-// entry and a coord per instance, from an example's files. Tests, the
-// demonstration and the measurements share it.
+// Package rig starts a deployment as real processes, configured by the files of
+// an example: the stand-ins, and an entry and a coord for each instance. The
+// tests, the demo and the measurements use it.
 package rig
 
 import (
@@ -22,44 +22,44 @@
 )
 
 const (
-	portStep   = 1000
-	portSteps  = 11
-	guardPort  = 999 // within a step: held while a rig lives
-	proxyPort  = 500 // added to a port for its proxied form
-	readyLimit = 20 * time.Second
-	readyPoll  = 20 * time.Millisecond
-	token      = "demo-operator"
+	portRangeSize   = 1000
+	portRangeCount  = 11
+	guardPortOffset = 999 // within a range; the rig listens on it to reserve the range
+	proxyPortOffset = 500 // of the first proxied route within a range; the proxy's control port is one below
+	readyTimeout    = 20 * time.Second
+	pollInterval    = 20 * time.Millisecond
+	operatorToken   = "demo-operator"
 )
 
-// Options choose what a rig starts.
+// Options selects what a rig starts.
 type Options struct {
-	ExampleDir      string                   // folder
+	ExampleDir      string                   // folder of the example deployment
 	BinDir          string                   // folder of the binaries
-	OutputDir       string                   // for generated settings and logs
-	UseExamplePorts bool                     // use the example's own ports
-	Proxy           bool                     // put the fault proxy before links and platform
-	CoordCount      int                      // so many coords instead of the example's instances, and no entries
-	EditInstance    func(*settings.Instance) // changes an instance's settings
-	EditStandins    func(*upstream.Config)   // changes the stand-ins' settings
+	OutputDir       string                   // folder for generated settings and logs
+	UseExamplePorts bool                     // keep the ports of the example's files
+	Proxy           bool                     // route links and the platform through the fault proxy
+	CoordCount      int                      // if not 0, start this number of coords without entries, in place of the example's instances
+	EditInstance    func(*settings.Instance) // changes the settings of an instance
+	EditStandins    func(*upstream.Config)   // changes the settings of the stand-ins
 }
 
 // Rig is a running deployment.
 type Rig struct {
 	Instances      []*Instance
 	Platform       string // IP:port, not proxied
-	StandinControl string // of the upstreams' stand-in
+	StandinControl string // IP:port of the control API of the upstreams' stand-in
 	Fleet          *fleet.Fleet
-	Declaration    string // the declaration
+	Declaration    string // the declaration of the example, in TOML
 
-	opts   Options
-	shift  int
-	guard  net.Listener
-	proxy  string
-	routes []proxy.Route
-	procs  []*Proc
+	opts         Options
+	portOffset   int
+	portGuard    net.Listener
+	proxyControl string
+	routes       []proxy.Route
+	procs        []*Proc
 }
 
-// Instance is one instance's two processes.
+// Instance holds the settings and the two processes of an instance.
 type Instance struct {
 	Name     string
 	Settings *settings.Instance
@@ -67,10 +67,10 @@
 	Coord    *Proc
 }
 
-// Start starts everything and waits until each entry may be given work.
+// Start starts all processes and waits until each listens on its port.
 func Start(o Options) (*Rig, error) {
 	r := &Rig{opts: o}
-	if err := r.reserve(); err != nil {
+	if err := r.reservePorts(); err != nil {
 		return nil, err
 	}
 	if err := r.start(); err != nil {
@@ -80,19 +80,21 @@
 	return r, nil
 }
 
-// FirstPort is the first port of the examples and of the first rig; further
-// rigs take those above. Other tests that run beside keep below it.
+// FirstPort is the first port of the examples and of the first rig; concurrent
+// rigs use the port ranges above it. Other tests that run concurrently use ports
+// below it.
 const FirstPort = 21000
 
-// reserve finds a range of ports that no other rig uses.
-func (r *Rig) reserve() error {
-	for i := range portSteps {
+// reservePorts reserves a range of ports that no other rig uses, by listening on
+// the range's guard port.
+func (r *Rig) reservePorts() error {
+	for i := range portRangeCount {
 		if r.opts.UseExamplePorts && i > 0 {
 			break
 		}
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", FirstPort+i*portStep+guardPort))
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", FirstPort+i*portRangeSize+guardPortOffset))
 		if err == nil {
-			r.shift, r.guard = i*portStep, ln
+			r.portOffset, r.portGuard = i*portRangeSize, ln
 			return nil
 		}
 	}
@@ -104,8 +106,8 @@
 	portPattern = regexp.MustCompile(`first_port = (\d+)`)
 )
 
-// read returns an example's file with its ports moved to the rig's range.
-func (r *Rig) read(name string) ([]byte, error) {
+// readExample returns a file of the example with its ports moved to the rig's range.
+func (r *Rig) readExample(name string) ([]byte, error) {
 	b, err := os.ReadFile(filepath.Join(r.opts.ExampleDir, name))
 	if err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 		digits := regexp.MustCompile(`\d+$`)
 		return digits.ReplaceAllFunc(m, func(d []byte) []byte {
 			n, _ := strconv.Atoi(string(d))
-			return strconv.AppendInt(nil, int64(n+r.shift), 10)
+			return strconv.AppendInt(nil, int64(n+r.portOffset), 10)
 		})
 	}
 	b = addrPattern.ReplaceAllFunc(b, move)
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// addInstances takes the example's instances, or makes many like its first.
+// addInstances adds the example's instances, or CoordCount copies of the first.
 func (r *Rig) addInstances() error {
 	files, err := filepath.Glob(filepath.Join(r.opts.ExampleDir, "instances", "*.toml"))
 	if err != nil {
@@ -169,19 +171,20 @@
 		s := *r.Instances[0].Settings
 		s.Name = fmt.Sprintf("many-%02d", i)
 		s.Hall = r.Fleet.Halls[i%len(r.Fleet.Halls)]
-		s.Coord = settings.Coord{Link: r.manyAddr(i, 3), AdvertisedLink: r.manyAddr(i, 3), Operators: r.manyAddr(i, 4), Admin: r.manyAddr(i, 5)}
+		s.Coord = settings.Coord{Link: r.generatedAddr(i, 3), AdvertisedLink: r.generatedAddr(i, 3), Operators: r.generatedAddr(i, 4), Admin: r.generatedAddr(i, 5)}
 		r.Instances = append(r.Instances, &Instance{Name: s.Name, Settings: &s})
 	}
 	return nil
 }
 
-// manyAddr is a port of the i-th made instance, laid out as in the examples.
-func (r *Rig) manyAddr(i, port int) string {
-	return fmt.Sprintf("127.0.0.1:%d", FirstPort+r.shift+10+10*i+port)
+// generatedAddr returns an address of the i-th generated instance, with the port
+// layout of the examples.
+func (r *Rig) generatedAddr(i, port int) string {
+	return fmt.Sprintf("127.0.0.1:%d", FirstPort+r.portOffset+10+10*i+port)
 }
 
 func (r *Rig) loadFleet() error {
-	b, err := r.read("fleet.toml")
+	b, err := r.readExample("fleet.toml")
 	if err != nil {
 		return err
 	}
@@ -191,7 +194,7 @@
 }
 
 func (r *Rig) startStandins() error {
-	b, err := r.read("upstreams.toml")
+	b, err := r.readExample("upstreams.toml")
 	if err != nil {
 		return err
 	}
@@ -203,19 +206,19 @@
 		r.opts.EditStandins(c)
 	}
 	r.Platform, r.StandinControl = c.Platform, c.Control
-	if _, err := r.run(c.Platform, "platform", "quince-standin", "platform", "-listen", c.Platform); err != nil {
+	if _, err := r.startAndAwait(c.Platform, "platform", "quince-standin", "platform", "-listen", c.Platform); err != nil {
 		return err
 	}
-	file, err := r.write("upstreams.toml", c)
+	file, err := r.writeTOML("upstreams.toml", c)
 	if err != nil {
 		return err
 	}
-	_, err = r.run(c.Control, "upstreams", "quince-standin", "upstream", "-config", file)
+	_, err = r.startAndAwait(c.Control, "upstreams", "quince-standin", "upstream", "-config", file)
 	return err
 }
 
 func (r *Rig) addInstance(name string) error {
-	b, err := r.read(name)
+	b, err := r.readExample(name)
 	if err != nil {
 		return err
 	}
@@ -224,9 +227,9 @@
 		return err
 	}
 	if r.opts.Proxy {
-		s.Platform = r.proxied(s.Name+"/platform", s.Platform, len(r.routes))
-		s.Coord.AdvertisedLink = r.proxied(s.Name+"/coord", s.Coord.Link, len(r.routes))
-		s.Entry.AdvertisedLink = r.proxied(s.Name+"/entry", s.Entry.Link, len(r.routes))
+		s.Platform = r.addRoute(s.Name+"/platform", s.Platform, len(r.routes))
+		s.Coord.AdvertisedLink = r.addRoute(s.Name+"/coord", s.Coord.Link, len(r.routes))
+		s.Entry.AdvertisedLink = r.addRoute(s.Name+"/entry", s.Entry.Link, len(r.routes))
 		s.Seeds = nil
 	}
 	if r.opts.EditInstance != nil {
@@ -236,9 +239,10 @@
 	return nil
 }
 
-// proxied adds a route before target and returns where it listens.
-func (r *Rig) proxied(name, target string, n int) string {
-	listen := fmt.Sprintf("127.0.0.1:%d", FirstPort+r.shift+proxyPort+n)
+// addRoute adds a proxy route to target and returns the address where the route
+// listens.
+func (r *Rig) addRoute(name, target string, n int) string {
+	listen := fmt.Sprintf("127.0.0.1:%d", FirstPort+r.portOffset+proxyPortOffset+n)
 	r.routes = append(r.routes, proxy.Route{Name: name, Listen: listen, Target: target})
 	return listen
 }
@@ -254,16 +258,16 @@
 			}
 		}
 	}
-	r.proxy = fmt.Sprintf("127.0.0.1:%d", FirstPort+r.shift+proxyPort-1)
-	file, err := r.write("proxy.toml", proxy.Config{Control: r.proxy, Routes: r.routes})
+	r.proxyControl = fmt.Sprintf("127.0.0.1:%d", FirstPort+r.portOffset+proxyPortOffset-1)
+	file, err := r.writeTOML("proxy.toml", proxy.Config{Control: r.proxyControl, Routes: r.routes})
 	if err != nil {
 		return err
 	}
-	_, err = r.run(r.proxy, "proxy", "quince-standin", "proxy", "-config", file)
+	_, err = r.startAndAwait(r.proxyControl, "proxy", "quince-standin", "proxy", "-config", file)
 	return err
 }
 
-func (r *Rig) write(name string, v any) (string, error) {
+func (r *Rig) writeTOML(name string, v any) (string, error) {
 	b, err := toml.Marshal(v)
 	if err != nil {
 		return "", err
@@ -272,29 +276,29 @@
 	return file, os.WriteFile(file, b, 0o600)
 }
 
-// StartCoord starts, or starts again, an instance's coord.
+// StartCoord starts or restarts the coord of an instance.
 func (r *Rig) StartCoord(in *Instance) (err error) {
-	in.Coord, err = r.startProc(in, "quince-coord", "coord", in.Settings.Coord.Admin)
+	in.Coord, err = r.startInstanceProcess(in, "quince-coord", "coord", in.Settings.Coord.Admin)
 	return err
 }
 
-// StartEntry starts, or starts again, an instance's entry.
+// StartEntry starts or restarts the entry of an instance.
 func (r *Rig) StartEntry(in *Instance) (err error) {
-	in.Entry, err = r.startProc(in, "quince-entry", "entry", in.Settings.Entry.Admin)
+	in.Entry, err = r.startInstanceProcess(in, "quince-entry", "entry", in.Settings.Entry.Admin)
 	return err
 }
 
-func (r *Rig) startProc(in *Instance, binary, kind, admin string) (*Proc, error) {
-	file, err := r.write(in.Name+".toml", in.Settings)
+func (r *Rig) startInstanceProcess(in *Instance, binary, kind, admin string) (*Proc, error) {
+	file, err := r.writeTOML(in.Name+".toml", in.Settings)
 	if err != nil {
 		return nil, err
 	}
-	return r.run(admin, in.Name+"-"+kind, binary, "-config", file)
+	return r.startAndAwait(admin, in.Name+"-"+kind, binary, "-config", file)
 }
 
-// run starts a process and waits until it listens on addr.
-func (r *Rig) run(addr, name, binary string, args ...string) (*Proc, error) {
-	p, err := r.exec(name, binary, args...)
+// startAndAwait starts a process and waits until it listens on addr.
+func (r *Rig) startAndAwait(addr, name, binary string, args ...string) (*Proc, error) {
+	p, err := r.startProcess(name, binary, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -303,20 +307,21 @@
 		if err == nil {
 			_ = c.Close()
 		}
-		return err == nil || p.ended()
+		return err == nil || p.hasExited()
 	})
-	if p.ended() {
-		return nil, fmt.Errorf("rig: %s ended; see its log in %s", name, r.opts.OutputDir)
+	if p.hasExited() {
+		return nil, fmt.Errorf("rig: %s exited during startup; see its log in %s", name, r.opts.OutputDir)
 	}
 	return p, err
 }
 
-// Until polls cond for as long as a deployment may take to settle.
+// WaitUntil polls cond until it is true, and returns an error that names what was
+// awaited if it is not true within readyTimeout.
 func (r *Rig) WaitUntil(what string, cond func() bool) error {
-	for until := time.Now().Add(readyLimit); time.Now().Before(until); time.Sleep(readyPoll) {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
 		if cond() {
 			return nil
 		}
 	}
-	return fmt.Errorf("rig: not in %s: %s", readyLimit, what)
+	return fmt.Errorf("rig: timeout after %s waiting for: %s", readyTimeout, what)
 }
