--- a/proctest/capacity/added.go
+++ b/proctest/capacity/added.go
@@ -8,25 +8,25 @@
 	"quinceroad/protocol/api"
 )
 
-// added returns the median and the 99th percentile of what a request took over
-// the sum of its stages' times in their slots, as the upstreams journalled
-// them, in milliseconds.
-func added(res *load.Result, journal []api.Execution) (p50, p99 float64) {
-	inSlots := make(map[string]time.Duration)
+// addedLatency returns the median and the 99th percentile, in milliseconds, of the
+// latency that the path adds to a request: its total latency less the time its
+// stages spent in upstream slots according to the upstreams' journal.
+func addedLatency(res *load.Result, journal []api.Execution) (p50, p99 float64) {
+	slotTime := make(map[string]time.Duration)
 	for _, x := range journal {
-		inSlots[x.Request] += time.Duration(x.EndUS-x.StartUS) * time.Microsecond
+		slotTime[x.Request] += time.Duration(x.EndUS-x.StartUS) * time.Microsecond
 	}
-	var over []float64
+	var addedMS []float64
 	for i := range res.Told {
 		t := &res.Told[i]
 		if load.Whole(t) {
-			took := t.Answered.Sub(t.Intended) - inSlots[t.ID]
-			over = append(over, float64(took)/float64(time.Millisecond))
+			added := t.Answered.Sub(t.Intended) - slotTime[t.ID]
+			addedMS = append(addedMS, float64(added)/float64(time.Millisecond))
 		}
 	}
-	if len(over) == 0 {
+	if len(addedMS) == 0 {
 		return 0, 0
 	}
-	slices.Sort(over)
-	return over[len(over)/2], over[len(over)*99/100]
+	slices.Sort(addedMS)
+	return addedMS[len(addedMS)/2], addedMS[len(addedMS)*99/100]
 }
--- a/proctest/capacity/main.go
+++ b/proctest/capacity/main.go
@@ -1,6 +1,7 @@
-// Command capacity measures the slopes that docs/CAPACITY.md extrapolates:
-// what a process spends as instances, replicas, customers, pipelines, revisions
-// and requests grow. It prints one table per series with a straight-line fit.
+// Command capacity measures the slopes that docs/CAPACITY.md extrapolates: the
+// resource usage of a process as the number of instances, replicas, customers,
+// pipelines, revisions and requests grows. It prints one table per series with a
+// linear fit of each column.
 package main
 
 import (
@@ -14,9 +15,9 @@
 )
 
 const (
-	example = "examples/kalahari"
-	settle  = 4 * time.Second // after a start or a change, before the measuring
-	window  = 8 * time.Second
+	example       = "examples/kalahari"
+	settleTime    = 4 * time.Second // after a start or a change, before the measurement
+	measuringTime = 8 * time.Second
 )
 
 func main() {
@@ -27,11 +28,11 @@
 		name string
 		run  func(string) error
 	}{
-		{"instances", instances},
-		{"replicas", replicaSeries},
-		{"customers", customers},
-		{"pipelines", pipelines},
-		{"requests", requests},
+		{"instances", measureInstances},
+		{"replicas", measureReplicas},
+		{"customers", measureCustomers},
+		{"pipelines", measurePipelines},
+		{"requests", measureRequests},
 	}
 	for _, s := range all {
 		if *only != "" && *only != s.name {
@@ -44,7 +45,7 @@
 	}
 }
 
-// series collects points and prints them with their fits.
+// series holds the measured points of a table.
 type series struct {
 	title   string
 	columns []string
@@ -85,7 +86,7 @@
 	_ = t.Flush()
 }
 
-// fit returns the least-squares line a + b x.
+// fit returns the coefficients of the least-squares line a + b x.
 func fit(x, y []float64) (a, b float64) {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy float64
@@ -99,8 +100,9 @@
 	return (sy - b*sx) / n, b
 }
 
-// start starts a rig in a folder of its own and puts text into force.
-func start(o rig.Options, text func(*rig.Rig) string) (*rig.Rig, func(), error) {
+// startRig starts a rig in a temporary folder and applies the declaration that
+// text returns. With CoordCount there are no entries and no declaration is applied.
+func startRig(o rig.Options, text func(*rig.Rig) string) (*rig.Rig, func(), error) {
 	dir, err := os.MkdirTemp("", "quince-capacity-")
 	if err != nil {
 		return nil, nil, err
@@ -110,16 +112,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	end := func() {
+	stop := func() {
 		r.Close()
 		_ = os.RemoveAll(dir)
 	}
 	if o.CoordCount > 0 {
-		return r, end, nil
+		return r, stop, nil
 	}
 	if _, err := r.Confirm(text(r)); err != nil {
-		end()
+		stop()
 		return nil, nil, err
 	}
-	return r, end, nil
+	return r, stop, nil
 }
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -17,43 +17,45 @@
 	"quinceroad/transport/web"
 )
 
-func idle() {}
+func doNothing() {}
 
-// none leaves the ports of replicas to many coords.
-func none(c *upstream.Config) { c.Services = nil }
+// noServices starts no replicas: their ports would collide with those of the
+// generated coords.
+func noServices(c *upstream.Config) { c.Services = nil }
 
-func asIs(r *rig.Rig) string { return r.Declaration }
+func unchangedDeclaration(r *rig.Rig) string { return r.Declaration }
 
-// instances: membership and platform calls of coords that have nothing to do.
-func instances(bin string) error {
+// measureInstances measures the cost of membership and platform calls of idle
+// coords.
+func measureInstances(bin string) error {
 	s := &series{title: "instances: x = log2(n), n = 6, 12, 24, 48 coords, idle",
 		columns: []string{"n", "cpu %", "worst cpu %", "RSS MB", "link in KB/s", "link out KB/s", "platform calls/s, all"}}
 	for _, n := range []int{6, 12, 24, 48} {
-		r, end, err := start(rig.Options{BinDir: bin, CoordCount: n, EditStandins: none}, asIs)
+		r, stop, err := startRig(rig.Options{BinDir: bin, CoordCount: n, EditStandins: noServices}, unchangedDeclaration)
 		if err != nil {
 			return err
 		}
-		time.Sleep(settle)
-		before, err := calls(r)
+		time.Sleep(settleTime)
+		before, err := platformCalls(r)
 		if err != nil {
-			end()
+			stop()
 			return err
 		}
-		procs, admins := coords(r)
-		sp, err := watch(window, procs, admins, idle)
-		after, err2 := calls(r)
-		end()
+		procs, admins := coordProcesses(r)
+		mean, err := measureUsage(measuringTime, procs, admins, doNothing)
+		after, err2 := platformCalls(r)
+		stop()
 		if err != nil || err2 != nil {
 			return fmt.Errorf("%w, %w", err, err2)
 		}
-		s.add(math.Log2(float64(n)), float64(n), sp.cpu, sp.worst, sp.rssMB, sp.in, sp.out, (after-before)/window.Seconds())
+		s.add(math.Log2(float64(n)), float64(n), mean.cpu, mean.maxCPU, mean.rssMB, mean.inKBps, mean.outKBps, (after-before)/measuringTime.Seconds())
 	}
 	s.print()
 	return nil
 }
 
-// calls is how many calls the platform has had.
-func calls(r *rig.Rig) (float64, error) {
+// platformCalls returns the number of calls that the platform has received.
+func platformCalls(r *rig.Rig) (float64, error) {
 	resp, err := http.Get("http://" + r.Platform + "/stats")
 	if err != nil {
 		return 0, err
@@ -64,21 +66,21 @@
 	return float64(s.Reads + s.Writes + s.Watches), err
 }
 
-// replicaSeries: the list of replicas at coords and entries.
-func replicaSeries(bin string) error {
+// measureReplicas measures the cost of the list of replicas at coords and entries.
+func measureReplicas(bin string) error {
 	s := &series{title: "replicas: x = replicas in the platform's list, 6 instances, idle",
 		columns: []string{"coord cpu %", "worst %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s"}}
 	for _, n := range []int{47, 150, 300, 600} {
-		r, end, err := start(rig.Options{BinDir: bin}, asIs)
+		r, stop, err := startRig(rig.Options{BinDir: bin}, unchangedDeclaration)
 		if err != nil {
 			return err
 		}
 		err = listReplicas(r, n-47)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		if err == nil {
-			err = both(s, r, float64(n), idle)
+			err = measureBoth(s, r, float64(n), doNothing)
 		}
-		end()
+		stop()
 		if err != nil {
 			return err
 		}
@@ -87,34 +89,37 @@
 	return nil
 }
 
-// both adds a point for coords and entries.
-func both(s *series, r *rig.Rig, x float64, during func()) error {
-	procs, admins := coords(r)
-	ep, ea := entries(r)
-	all, err := watchTwo(procs, admins, ep, ea, during)
+// measureBoth measures coords and entries at the same time and adds a point.
+func measureBoth(s *series, r *rig.Rig, x float64, during func()) error {
+	procs, admins := coordProcesses(r)
+	ep, ea := entryProcesses(r)
+	means, err := measureTwoGroups(procs, admins, ep, ea, during)
 	if err != nil {
 		return err
 	}
-	s.add(x, all[0].cpu, all[0].worst, all[0].rssMB, all[0].in, all[1].cpu, all[1].rssMB, all[1].in)
+	s.add(x, means[0].cpu, means[0].maxCPU, means[0].rssMB, means[0].inKBps, means[1].cpu, means[1].rssMB, means[1].inKBps)
 	return nil
 }
 
-func watchTwo(ap []*rig.Proc, aa []string, bp []*rig.Proc, ba []string, during func()) ([2]spent, error) {
-	var out [2]spent
+// measureTwoGroups measures two groups of processes at the same time, each given
+// by its processes and their admin addresses.
+func measureTwoGroups(ap []*rig.Proc, aa []string, bp []*rig.Proc, ba []string, during func()) ([2]meanUsage, error) {
+	var out [2]meanUsage
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		out[1], err = watch(window, bp, ba, idle)
+		out[1], err = measureUsage(measuringTime, bp, ba, doNothing)
 		done <- err
 	}()
 	var err error
-	if out[0], err = watch(window, ap, aa, during); err != nil {
+	if out[0], err = measureUsage(measuringTime, ap, aa, during); err != nil {
 		return out, err
 	}
 	return out, <-done
 }
 
-// listReplicas puts more replicas of the generating service into the list.
+// listReplicas registers n further replicas of the generating service at the
+// platform.
 func listReplicas(r *rig.Rig, n int) error {
 	list := make([]api.ListedReplica, n)
 	for i := range list {
@@ -134,9 +139,10 @@
 	return resp.Body.Close()
 }
 
-// customers and pipelines: the declaration's size, and what a revision costs.
-func customers(bin string) error {
-	return declared(bin, "customers: x = customers declared, 6 instances, one revision every 2 s", []int{5, 540, 2700, 5400}, func(text string, n int) string {
+// measureCustomers and measurePipelines measure the cost of a revision as the
+// declaration grows.
+func measureCustomers(bin string) error {
+	return measureDeclarations(bin, "customers: x = customers declared, 6 instances, one revision every 2 s", []int{5, 540, 2700, 5400}, func(text string, n int) string {
 		var b strings.Builder
 		b.WriteString(text)
 		for i := 5; i < n; i++ {
@@ -147,8 +153,8 @@
 	})
 }
 
-func pipelines(bin string) error {
-	return declared(bin, "pipelines: x = pipelines declared, 6 instances, one revision every 2 s", []int{5, 12, 36}, func(text string, n int) string {
+func measurePipelines(bin string) error {
+	return measureDeclarations(bin, "pipelines: x = pipelines declared, 6 instances, one revision every 2 s", []int{5, 12, 36}, func(text string, n int) string {
 		var b strings.Builder
 		b.WriteString(text)
 		for i := 5; i < n; i++ {
@@ -161,17 +167,17 @@
 	})
 }
 
-const revisionEvery = 2 * time.Second
+const revisionInterval = 2 * time.Second
 
-func declared(bin, title string, sizes []int, text func(string, int) string) error {
+func measureDeclarations(bin, title string, sizes []int, text func(string, int) string) error {
 	s := &series{title: title, columns: []string{"declaration KB", "in force everywhere ms", "coord cpu %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s"}}
 	for _, n := range sizes {
-		r, end, err := start(rig.Options{BinDir: bin}, func(r *rig.Rig) string { return text(r.Declaration, n) })
+		r, stop, err := startRig(rig.Options{BinDir: bin}, func(r *rig.Rig) string { return text(r.Declaration, n) })
 		if err != nil {
 			return err
 		}
-		err = revise(s, r, float64(n), text(r.Declaration, n))
-		end()
+		err = measureRevisions(s, r, float64(n), text(r.Declaration, n))
+		stop()
 		if err != nil {
 			return err
 		}
@@ -180,69 +186,71 @@
 	return nil
 }
 
-// revise confirms a revision every so often while both processes are watched.
-func revise(s *series, r *rig.Rig, n float64, text string) error {
-	time.Sleep(settle)
-	var took []time.Duration
+// measureRevisions confirms a revision every revisionInterval while coords and
+// entries are measured, and adds a point.
+func measureRevisions(s *series, r *rig.Rig, n float64, text string) error {
+	time.Sleep(settleTime)
+	var delays []time.Duration
 	var failed error
-	procs, admins := coords(r)
-	ep, ea := entries(r)
-	all, err := watchTwo(procs, admins, ep, ea, func() {
-		for i := range int(window / revisionEvery) {
+	procs, admins := coordProcesses(r)
+	ep, ea := entryProcesses(r)
+	means, err := measureTwoGroups(procs, admins, ep, ea, func() {
+		for i := range int(measuringTime / revisionInterval) {
 			began := time.Now()
 			next := strings.Replace(text, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+i), 1)
 			if _, err := r.Confirm(next); err != nil {
 				failed = err
 				return
 			}
-			took = append(took, time.Since(began))
-			time.Sleep(revisionEvery - time.Since(began))
+			delays = append(delays, time.Since(began))
+			time.Sleep(revisionInterval - time.Since(began))
 		}
 	})
 	if err != nil || failed != nil {
 		return fmt.Errorf("%w, %w", err, failed)
 	}
 	var sum time.Duration
-	for _, d := range took {
+	for _, d := range delays {
 		sum += d
 	}
-	ms := float64(sum.Milliseconds()) / float64(len(took))
-	s.add(n, float64(len(text))/1000, ms, all[0].cpu, all[0].rssMB, all[0].in, all[1].cpu, all[1].rssMB, all[1].in)
+	ms := float64(sum.Milliseconds()) / float64(len(delays))
+	s.add(n, float64(len(text))/1000, ms, means[0].cpu, means[0].rssMB, means[0].inKBps, means[1].cpu, means[1].rssMB, means[1].inKBps)
 	return nil
 }
 
-// requests: what each request costs, and the latency the path adds.
-func requests(bin string) error {
+// measureRequests measures the cost of a request and the latency that the path adds.
+func measureRequests(bin string) error {
 	s := &series{title: "requests: x = four-stage requests a second over 6 instances, stages of a few ms",
 		columns: []string{"coord cpu %", "worst %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s", "p50 added ms", "p99 added ms", "whole"}}
 	for _, rate := range []float64{50, 500, 2000} {
-		r, end, err := start(rig.Options{BinDir: bin, EditStandins: quick}, asIs)
+		r, stop, err := startRig(rig.Options{BinDir: bin, EditStandins: shortStages}, unchangedDeclaration)
 		if err != nil {
 			return err
 		}
 		var res *load.Result
-		procs, admins := coords(r)
-		ep, ea := entries(r)
-		runLoad(r, rate, settle)
-		all, err := watchTwo(procs, admins, ep, ea, func() { res = runLoad(r, rate, window) })
+		procs, admins := coordProcesses(r)
+		ep, ea := entryProcesses(r)
+		runLoad(r, rate, settleTime)
+		means, err := measureTwoGroups(procs, admins, ep, ea, func() { res = runLoad(r, rate, measuringTime) })
 		if err != nil {
-			end()
+			stop()
 			return err
 		}
 		journal, err := r.Journal()
-		end()
+		stop()
 		if err != nil {
 			return err
 		}
-		p50, p99 := added(res, journal)
-		s.add(rate, all[0].cpu, all[0].worst, all[0].rssMB, all[0].in, all[1].cpu, all[1].rssMB, all[1].in, p50, p99, res.Summarize().Attainment)
+		p50, p99 := addedLatency(res, journal)
+		s.add(rate, means[0].cpu, means[0].maxCPU, means[0].rssMB, means[0].inKBps, means[1].cpu, means[1].rssMB, means[1].inKBps, p50, p99, res.Summarize().Attainment)
 	}
 	s.print()
 	return nil
 }
 
-// quick makes all stages short and even, so that what the path adds shows.
-func quick(c *upstream.Config) {
+// shortStages makes all stages short and of equal duration, so that the latency
+// that the path adds can be measured.
+func shortStages(c *upstream.Config) {
 	for i := range c.Services {
 		s := &c.Services[i]
 		s.Sigma, s.Streams = 0, false
--- a/proctest/capacity/usage.go
+++ b/proctest/capacity/usage.go
@@ -13,17 +13,18 @@
 	"quinceroad/proctest/rig"
 )
 
-// usage is what a process has spent since it started, and what it holds.
+// usage is the resource usage of a process since its start; rss is the current
+// value.
 type usage struct {
-	cpu     time.Duration
-	rss     float64 // bytes
-	in, out float64 // bytes on links
+	cpu               time.Duration
+	rss               float64 // bytes
+	bytesIn, bytesOut float64 // bytes on links
 }
 
 const ticksPerSecond = 100 // of /proc/PID/stat on Linux
 
-// read takes a process's usage from the system and its metrics.
-func read(p *rig.Proc, admin string) (usage, error) {
+// readUsage reads a process's usage from /proc and from its metrics.
+func readUsage(p *rig.Proc, admin string) (usage, error) {
 	var u usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -35,12 +36,12 @@
 	pages, _ := strconv.Atoi(fields[21])
 	u.cpu = time.Duration(user+system) * time.Second / ticksPerSecond
 	u.rss = float64(pages * os.Getpagesize())
-	m, err := metrics(admin)
-	u.in, u.out = m["quince_link_in_bytes"], m["quince_link_out_bytes"]
+	m, err := readMetrics(admin)
+	u.bytesIn, u.bytesOut = m["quince_link_in_bytes"], m["quince_link_out_bytes"]
 	return u, err
 }
 
-func metrics(admin string) (map[string]float64, error) {
+func readMetrics(admin string) (map[string]float64, error) {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
 		return nil, err
@@ -55,47 +56,47 @@
 	return out, sc.Err()
 }
 
-// spent is the mean over some processes of what they spend in a while.
-type spent struct {
-	cpu     float64 // percent of a core
-	rssMB   float64
-	in, out float64 // KB a second
-	worst   float64 // percent of a core of the busiest process
+// meanUsage is the mean usage of several processes during a measurement.
+type meanUsage struct {
+	cpu             float64 // percent of a core
+	rssMB           float64
+	inKBps, outKBps float64 // KB per second
+	maxCPU          float64 // percent of a core of the busiest process
 }
 
-// watch measures processes over a while.
-func watch(d time.Duration, procs []*rig.Proc, admins []string, during func()) (spent, error) {
+// measureUsage measures processes for at least d, while during runs.
+func measureUsage(d time.Duration, procs []*rig.Proc, admins []string, during func()) (meanUsage, error) {
 	before := make([]usage, len(procs))
 	var err error
 	for i := range procs {
-		if before[i], err = read(procs[i], admins[i]); err != nil {
-			return spent{}, err
+		if before[i], err = readUsage(procs[i], admins[i]); err != nil {
+			return meanUsage{}, err
 		}
 	}
-	began := time.Now()
+	started := time.Now()
 	during()
-	if rest := d - time.Since(began); rest > 0 {
+	if rest := d - time.Since(started); rest > 0 {
 		time.Sleep(rest)
 	}
-	secs := time.Since(began).Seconds()
-	var s spent
+	secs := time.Since(started).Seconds()
+	var s meanUsage
 	n := float64(len(procs))
 	for i := range procs {
-		after, err := read(procs[i], admins[i])
+		after, err := readUsage(procs[i], admins[i])
 		if err != nil {
-			return spent{}, err
+			return meanUsage{}, err
 		}
 		cpu := 100 * (after.cpu - before[i].cpu).Seconds() / secs
 		s.cpu += cpu / n
-		s.worst = max(s.worst, cpu)
+		s.maxCPU = max(s.maxCPU, cpu)
 		s.rssMB += after.rss / 1e6 / n
-		s.in += (after.in - before[i].in) / 1000 / secs / n
-		s.out += (after.out - before[i].out) / 1000 / secs / n
+		s.inKBps += (after.bytesIn - before[i].bytesIn) / 1000 / secs / n
+		s.outKBps += (after.bytesOut - before[i].bytesOut) / 1000 / secs / n
 	}
 	return s, nil
 }
 
-func coords(r *rig.Rig) ([]*rig.Proc, []string) {
+func coordProcesses(r *rig.Rig) ([]*rig.Proc, []string) {
 	var procs []*rig.Proc
 	var admins []string
 	for _, in := range r.Instances {
@@ -104,7 +105,7 @@
 	return procs, admins
 }
 
-func entries(r *rig.Rig) ([]*rig.Proc, []string) {
+func entryProcesses(r *rig.Rig) ([]*rig.Proc, []string) {
 	var procs []*rig.Proc
 	var admins []string
 	for _, in := range r.Instances {
