--- a/proctest/experiment/main.go
+++ b/proctest/experiment/main.go
@@ -1,7 +1,7 @@
-// Command experiment compares policies: each scenario is run under each of
-// them, side by side in one run, with real processes and the same arrivals and
-// service times. It prints a table and checks the ratios to the best baseline
-// of the same run against proctest/experiment/bounds.toml.
+// Command experiment compares scheduling policies: it runs each scenario under
+// each policy with real processes and the same arrivals and service times. It
+// prints a table and checks the ratio of the attainment to that of the best
+// baseline of the same run against proctest/experiment/bounds.toml.
 package main
 
 import (
@@ -35,14 +35,15 @@
 	}
 }
 
-// bounds are the least ratios of a policy's attainment to the best baseline's.
+// bounds holds, by scenario, the minimum ratio of the attainment of the policy
+// permits to that of the best baseline.
 type bounds struct {
 	Scenarios []scenarioBound `toml:"scenario"`
 }
 
 type scenarioBound struct {
-	Name  string  `toml:"name"`
-	Least float64 `toml:"least_ratio"` // of permits
+	Name     string  `toml:"name"`
+	MinRatio float64 `toml:"least_ratio"`
 }
 
 func run(o options) error {
@@ -57,7 +58,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SCENARIO\tPOLICY\tSENT\tATTAINMENT\tOF BOUND\tTO BASE\tP50\tP99\tBUSY\tWASTED\tFAILED\tREFUSED\tAFTER\tCOST\tBROKEN\tCUSTOMERS")
 	failed := 0
-	for _, s := range find(o.scenario) {
+	for _, s := range scenariosMatching(o.scenario) {
 		n, err := compare(t, s, o, b)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
@@ -66,20 +67,21 @@
 		_ = t.Flush()
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d figures are under their bounds or broke a promise", failed)
+		return fmt.Errorf("%d bounds missed or promises broken", failed)
 	}
 	return nil
 }
 
-// compare runs one scenario under each policy and counts what is not good.
+// compare runs one scenario under each policy and returns the number of broken
+// promises and missed bounds.
 func compare(t *tabwriter.Writer, s scenario, o options, b bounds) (int, error) {
 	best, failed := 0.0, 0
-	for _, p := range chosen(o.policy) {
+	for _, p := range selectPolicies(o.policy) {
 		f, err := measure(s, p, o.bin, o.seed)
 		if err != nil {
 			return 0, err
 		}
-		if p.base {
+		if p.isBaseline {
 			best = max(best, f.Attainment)
 		}
 		ratio := 0.0
@@ -88,16 +90,16 @@
 		}
 		failed += f.Violations
 		for _, sb := range b.Scenarios {
-			if sb.Name == s.name && p.name == "permits" && best > 0 && ratio < sb.Least {
+			if sb.Name == s.name && p.name == "permits" && best > 0 && ratio < sb.MinRatio {
 				failed++
 			}
 		}
-		print(t, s, p, f, ratio)
+		printRow(t, s, p, f, ratio)
 	}
 	return failed, nil
 }
 
-func print(t *tabwriter.Writer, s scenario, p policy, f *figures, ratio float64) {
+func printRow(t *tabwriter.Writer, s scenario, p policy, f *metrics, ratio float64) {
 	var customers []string
 	for name, c := range f.ByCustomer {
 		customers = append(customers, fmt.Sprintf("%s %.3f", name, c.Attainment()))
@@ -108,8 +110,8 @@
 		cost += c
 	}
 	fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.2f\t%.2f\t%s\t%s\t%.2f\t%.3f\t%d\t%d\t%s\t%.3f\t%d\t%s\n",
-		s.name, p.name, f.Sent, f.Attainment, f.Attainment/max(f.Bound, 1e-9), ratio,
-		f.P50.Round(time.Millisecond), f.P99.Round(time.Millisecond), f.Busy, f.Wasted,
-		f.ByOutcome["failed"], f.ByOutcome["not_run"], f.Refused.Round(time.Millisecond), cost, f.Violations,
+		s.name, p.name, f.Sent, f.Attainment, f.Attainment/max(f.AttainmentBound, 1e-9), ratio,
+		f.P50.Round(time.Millisecond), f.P99.Round(time.Millisecond), f.Utilization, f.WastedShare,
+		f.ByOutcome["failed"], f.ByOutcome["not_run"], f.RefusalLatency.Round(time.Millisecond), cost, f.Violations,
 		strings.Join(customers, ", "))
 }
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -15,19 +15,19 @@
 	"quinceroad/state/fleet"
 )
 
-// figures are what one policy brought in one scenario.
-type figures struct {
+// metrics holds the results of one policy in one scenario.
+type metrics struct {
 	load.Summary
-	Bound      float64 // attainment no scheduler can exceed
-	Wasted     float64 // share of the slots' time spent on requests that were not whole
-	Refused    time.Duration
-	Busy       float64 // share of the bottleneck's slot time that was used
-	Violations int
-	StageCost  map[string]float64 // by service, for each whole answer
+	AttainmentBound float64       // upper bound of the attainment for any scheduler
+	WastedShare     float64       // share of slot time spent on requests that were not completed in time
+	RefusalLatency  time.Duration // median
+	Utilization     float64       // of the bottleneck's slots
+	Violations      int
+	StageCost       map[string]float64 // by service, per request completed in time
 }
 
-// measure runs one scenario under one policy.
-func measure(s scenario, p policy, bin string, seed uint64) (*figures, error) {
+// measure runs one scenario under one policy and returns its metrics.
+func measure(s scenario, p policy, bin string, seed uint64) (*metrics, error) {
 	dir, err := os.MkdirTemp("", "quince-experiment-")
 	if err != nil {
 		return nil, err
@@ -36,8 +36,8 @@
 	var standins *upstream.Config
 	r, err := rig.Start(rig.Options{ExampleDir: s.example, BinDir: bin, OutputDir: dir, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
-			c.Services[i].MeanMS *= stretch
-			c.Services[i].Streams = false // so that the times are known beforehand
+			c.Services[i].MeanMS *= slowdown
+			c.Services[i].Streams = false // so that the service times are known in advance
 		}
 		standins = c
 	}})
@@ -45,23 +45,23 @@
 		return nil, err
 	}
 	defer r.Close()
-	if _, err := r.Confirm(p.edit(r.Declaration)); err != nil {
+	if _, err := r.Confirm(p.editDeclaration(r.Declaration)); err != nil {
 		return nil, err
 	}
-	if s.before != nil {
-		if err := s.before(r); err != nil {
+	if s.prepare != nil {
+		if err := s.prepare(r); err != nil {
 			return nil, err
 		}
 	}
 	o := load.Options{Known: r.Entries(), Mix: s.mix(r), Seed: seed}
-	n := bottleneck(r.Fleet, standins, o.Mix)
-	for _, st := range s.phases {
-		rate := st.share * n.rate()
-		o.Phases = append(o.Phases, load.Phase{For: time.Duration(st.seconds * float64(time.Second)), Rate: rate})
+	b := findBottleneck(r.Fleet, standins, o.Mix)
+	for _, step := range s.phases {
+		rate := step.utilization * b.capacity()
+		o.Phases = append(o.Phases, load.Phase{For: time.Duration(step.seconds * float64(time.Second)), Rate: rate})
 	}
 	faulted := make(chan error, 1)
-	if s.fault != nil {
-		time.AfterFunc(o.Phases[0].For, func() { faulted <- s.fault(r) })
+	if s.injectFault != nil {
+		time.AfterFunc(o.Phases[0].For, func() { faulted <- s.injectFault(r) })
 	} else {
 		faulted <- nil
 	}
@@ -73,30 +73,32 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &figures{Violations: len(check.All(r.Fleet, res.Told, journal)), StageCost: make(map[string]float64)}
-	// The first phase teaches the estimates; it is not counted.
+	f := &metrics{Violations: len(check.All(r.Fleet, res.Told, journal)), StageCost: make(map[string]float64)}
+	// The first phase serves to warm up the estimates and is not counted.
 	res.Told = slices.DeleteFunc(res.Told, func(t check.Told) bool { return t.Intended.Before(res.Began.Add(o.Phases[0].For)) })
 	f.Summary = res.Summarize()
-	f.account(r.Fleet, res.Told, journal)
-	f.Busy = n.busy(res.Told, journal)
-	f.Bound = n.bound(res.Told)
+	f.addCosts(r.Fleet, res.Told, journal)
+	f.Utilization = b.utilization(res.Told, journal)
+	f.AttainmentBound = b.attainmentBound(res.Told)
 	return f, nil
 }
 
-// neck is the stage of a mix whose service can do the least.
-type neck struct {
+// bottleneckStage is the stage of a pipeline whose service has the lowest
+// capacity.
+type bottleneckStage struct {
 	stage string
 	slots int
 	mean  time.Duration
 	sigma float64
 }
 
-// rate is how many requests a second its slots can do.
-func (n neck) rate() float64 { return float64(n.slots) / n.mean.Seconds() }
+// capacity returns the number of requests per second that the stage's slots can
+// run.
+func (n bottleneckStage) capacity() float64 { return float64(n.slots) / n.mean.Seconds() }
 
-// busy is the share of the slots' time between the first and the last arrival
-// in which they ran something.
-func (n neck) busy(told []check.Told, journal []api.Execution) float64 {
+// utilization returns the share of the slots' time between the first and the last
+// arrival in which they were in use.
+func (n bottleneckStage) utilization(told []check.Told, journal []api.Execution) float64 {
 	if len(told) == 0 {
 		return 0
 	}
@@ -113,41 +115,43 @@
 	return float64(sum) / float64(max((to-from)*int64(n.slots), 1))
 }
 
-func bottleneck(f *fleet.Fleet, c *upstream.Config, mix []load.Mix) neck {
-	var least neck
+// findBottleneck returns the bottleneck of the pipeline of the mix's first part.
+func findBottleneck(f *fleet.Fleet, c *upstream.Config, mix []load.Mix) bottleneckStage {
+	var tightest bottleneckStage
 	p, _ := f.Pipeline(mix[0].Pipeline)
 	for _, st := range p.Stages {
 		for _, svc := range c.Services {
 			if svc.Name != st.Service {
 				continue
 			}
-			n := neck{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
+			n := bottleneckStage{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
 			for _, h := range svc.Halls {
 				n.slots += h.Replicas * svc.Slots
 			}
-			if least.slots == 0 || n.rate() < least.rate() {
-				least = n
+			if tightest.slots == 0 || n.capacity() < tightest.capacity() {
+				tightest = n
 			}
 		}
 	}
-	return least
+	return tightest
 }
 
-// account works out wasted time and cost by stage from the journal.
-func (f *figures) account(fl *fleet.Fleet, told []check.Told, journal []api.Execution) {
+// addCosts computes the share of wasted slot time and the cost by service from the
+// journal, and the refusal latency.
+func (f *metrics) addCosts(fl *fleet.Fleet, told []check.Told, journal []api.Execution) {
 	whole := make(map[string]bool)
 	counted := make(map[string]bool)
 	for i := range told {
 		counted[told[i].ID] = true
 		whole[told[i].ID] = load.Whole(&told[i])
 	}
-	var all, wasted time.Duration
+	var total, wasted time.Duration
 	for _, x := range journal {
 		if !counted[x.Request] || x.FreeUS == 0 {
 			continue
 		}
 		took := time.Duration(x.FreeUS-x.StartUS) * time.Microsecond
-		all += took
+		total += took
 		if !whole[x.Request] {
 			wasted += took
 		}
@@ -155,12 +159,12 @@
 			f.StageCost[x.Service] += took.Seconds() * svc.Cost / float64(max(f.Whole, 1))
 		}
 	}
-	f.Wasted = float64(wasted) / float64(max(all, 1))
-	f.Refused = refusedAfter(told)
+	f.WastedShare = float64(wasted) / float64(max(total, 1))
+	f.RefusalLatency = medianRefusalLatency(told)
 }
 
-// refusedAfter is the median time until a refusal was told.
-func refusedAfter(told []check.Told) time.Duration {
+// medianRefusalLatency returns the median latency of refusals.
+func medianRefusalLatency(told []check.Told) time.Duration {
 	var took []time.Duration
 	for _, t := range told {
 		if t.Outcome == "not_run" {
@@ -174,29 +178,32 @@
 	return took[len(took)/2]
 }
 
-// bound is the share of requests whole in time that no scheduler can exceed,
-// knowing all times beforehand: in any window the whole ones' work at the
-// bottleneck must fit its slots from the window's start to its last deadline.
-// Taking the shortest first counts the most that fit.
-func (n neck) bound(told []check.Told) float64 {
+// attainmentBound returns an upper bound of the share of requests that any
+// scheduler can complete in time, even if it knows all service times in advance:
+// for any window of arrivals the bottleneck work of the completed requests must
+// fit into its slots between the window's start and its last deadline. Counting
+// the shortest requests first gives the largest number that fits.
+func (n bottleneckStage) attainmentBound(told []check.Told) float64 {
 	slices.SortFunc(told, func(a, b check.Told) int { return a.Intended.Compare(b.Intended) })
-	took := make([]time.Duration, len(told))
+	durations := make([]time.Duration, len(told))
 	for i, t := range told {
-		took[i] = work.Time(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
+		durations[i] = work.Time(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
 	}
 	most := len(told)
 	const windows = 8
 	for from := range windows {
 		for to := from + 1; to <= windows; to++ {
 			a, b := from*len(told)/windows, to*len(told)/windows
-			lost := b - a - fits(told[a:b], took[a:b], n.slots)
+			lost := b - a - countFitting(told[a:b], durations[a:b], n.slots)
 			most = min(most, len(told)-lost)
 		}
 	}
 	return float64(most) / float64(max(len(told), 1))
 }
 
-func fits(told []check.Told, took []time.Duration, slots int) int {
+// countFitting returns the maximum number of requests of one window that fit into
+// the slots, where took holds their service times.
+func countFitting(told []check.Told, took []time.Duration, slots int) int {
 	if len(told) == 0 {
 		return 0
 	}
--- a/proctest/experiment/scenario.go
+++ b/proctest/experiment/scenario.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	stretch  = 3 // services are this much slower here, so that the machine isn't what is measured
+	slowdown = 3 // factor on service times, so that the machine itself is not the bottleneck
 	deadline = 900 * time.Millisecond
 )
 
 // scenario is one situation in which policies are compared.
 type scenario struct {
-	name    string
-	example string
-	phases  []step
-	mix     func(*rig.Rig) []load.Mix
-	fault   func(*rig.Rig) error // called when the second phase begins
-	before  func(*rig.Rig) error // called before the load
+	name        string
+	example     string
+	phases      []loadStep
+	mix         func(*rig.Rig) []load.Mix
+	injectFault func(*rig.Rig) error // if set, called when the second phase begins
+	prepare     func(*rig.Rig) error // if set, called before the load starts
 }
 
-// step is a phase whose rate is a share of what the bottleneck can do.
-type step struct {
-	seconds float64
-	share   float64
+// loadStep is a phase whose request rate is a share of the bottleneck's capacity.
+type loadStep struct {
+	seconds     float64
+	utilization float64
 }
 
 const (
@@ -40,31 +40,31 @@
 )
 
 func scenarios() []scenario {
-	warm := func(share float64) step { return step{3, share} }
-	steady := func(share float64) []step { return []step{warm(share), {8, share}} }
+	warm := func(share float64) loadStep { return loadStep{3, share} }
+	steady := func(share float64) []loadStep { return []loadStep{warm(share), {8, share}} }
 	return []scenario{
-		{name: "steady 60%", example: kalahari, phases: steady(0.6), mix: answers},
-		{name: "steady 95%", example: kalahari, phases: steady(0.95), mix: answers},
-		{name: "burst 3x on 60%", example: kalahari, phases: []step{warm(0.6), {10, 1.8}, {2, 0.6}}, mix: answers},
-		{name: "one replica 10x slow, 80%", example: kalahari, phases: steady(0.8), mix: answers,
-			fault: func(r *rig.Rig) error {
+		{name: "steady 60%", example: kalahari, phases: steady(0.6), mix: answerMix},
+		{name: "steady 95%", example: kalahari, phases: steady(0.95), mix: answerMix},
+		{name: "burst 3x on 60%", example: kalahari, phases: []loadStep{warm(0.6), {10, 1.8}, {2, 0.6}}, mix: answerMix},
+		{name: "one replica 10x slow, 80%", example: kalahari, phases: steady(0.8), mix: answerMix,
+			injectFault: func(r *rig.Rig) error {
 				return r.InjectUpstreamFault(upstream.Fault{Replica: "scribe-pool-3", Slow: 10})
 			}},
-		{name: "one replica dead, 80%", example: kalahari, phases: steady(0.8), mix: answers,
-			fault: func(r *rig.Rig) error {
+		{name: "one replica dead, 80%", example: kalahari, phases: steady(0.8), mix: answerMix,
+			injectFault: func(r *rig.Rig) error {
 				return r.InjectUpstreamFault(upstream.Fault{Replica: "scribe-pool-3", Dead: true})
 			}},
-		{name: "greedy customer, 150%", example: kalahari, phases: steady(1.5), mix: greedy},
-		{name: "cancellations 3x on 60%", example: midlands, phases: []step{warm(0.6), {8, 1.8}}, mix: cancellations},
-		{name: "a hall lost, 50%", example: kalahari, phases: steady(0.5), mix: answers, fault: loseHall},
-		{name: "owner killed, 60%", example: kalahari, phases: steady(0.6), mix: answers, fault: killOwner},
-		{name: "platform down, 60%", example: kalahari, phases: steady(0.6), mix: answers,
-			before: func(r *rig.Rig) error { return r.InjectPlatformFault(platform.Faults{Down: true}) }},
+		{name: "greedy customer, 150%", example: kalahari, phases: steady(1.5), mix: greedyMix},
+		{name: "cancellations 3x on 60%", example: midlands, phases: []loadStep{warm(0.6), {8, 1.8}}, mix: cancellationMix},
+		{name: "a hall lost, 50%", example: kalahari, phases: steady(0.5), mix: answerMix, injectFault: loseHall},
+		{name: "owner killed, 60%", example: kalahari, phases: steady(0.6), mix: answerMix, injectFault: killOwner},
+		{name: "platform down, 60%", example: kalahari, phases: steady(0.6), mix: answerMix,
+			prepare: func(r *rig.Rig) error { return r.InjectPlatformFault(platform.Faults{Down: true}) }},
 	}
 }
 
-// find returns the scenarios whose names contain part.
-func find(part string) []scenario {
+// scenariosMatching returns the scenarios whose name contains part.
+func scenariosMatching(part string) []scenario {
 	var out []scenario
 	for _, s := range scenarios() {
 		if strings.Contains(s.name, part) {
@@ -74,7 +74,9 @@
 	return out
 }
 
-func halls(r *rig.Rig, customer, pipeline string, share float64, numbered bool) []load.Mix {
+// acrossHalls returns a mix of one customer and pipeline with the share divided
+// equally among all halls.
+func acrossHalls(r *rig.Rig, customer, pipeline string, share float64, numbered bool) []load.Mix {
 	var out []load.Mix
 	for _, h := range r.Fleet.Halls {
 		out = append(out, load.Mix{
@@ -85,22 +87,23 @@
 	return out
 }
 
-// answers is both four-stage pipelines in one class from four customers.
-func answers(r *rig.Rig) []load.Mix {
-	out := halls(r, "shaft-supervisors", "bylaw-answer", 3, false)
-	out = append(out, halls(r, "town-council", "safety-summary", 3, false)...)
-	return append(out, halls(r, "field-inspectors", "bylaw-answer", 2, false)...)
+// answerMix returns requests of three customers for both four-stage pipelines.
+func answerMix(r *rig.Rig) []load.Mix {
+	out := acrossHalls(r, "shaft-supervisors", "bylaw-answer", 3, false)
+	out = append(out, acrossHalls(r, "town-council", "safety-summary", 3, false)...)
+	return append(out, acrossHalls(r, "field-inspectors", "bylaw-answer", 2, false)...)
 }
 
-// greedy is one customer that sends most of 150%, and two small ones.
-func greedy(r *rig.Rig) []load.Mix {
-	out := halls(r, "town-council", "bylaw-answer", 13, false)
-	out = append(out, halls(r, "shaft-supervisors", "bylaw-answer", 1, false)...)
-	return append(out, halls(r, "field-inspectors", "bylaw-answer", 1, false)...)
+// greedyMix returns requests of one customer that sends most of the load, and of two
+// small ones.
+func greedyMix(r *rig.Rig) []load.Mix {
+	out := acrossHalls(r, "town-council", "bylaw-answer", 13, false)
+	out = append(out, acrossHalls(r, "shaft-supervisors", "bylaw-answer", 1, false)...)
+	return append(out, acrossHalls(r, "field-inspectors", "bylaw-answer", 1, false)...)
 }
 
-func cancellations(r *rig.Rig) []load.Mix {
-	return halls(r, "club-desks", "cancel", 1, true)
+func cancellationMix(r *rig.Rig) []load.Mix {
+	return acrossHalls(r, "club-desks", "cancel", 1, true)
 }
 
 // loseHall kills every instance and every replica of one hall.
@@ -142,14 +145,16 @@
 	return nil
 }
 
-// policy is one way to run the fleet.
+// policy is a scheduling policy with its admission control.
 type policy struct {
-	name string
-	base bool // a baseline
-	edit func(string) string
+	name            string
+	isBaseline      bool
+	editDeclaration func(string) string
 }
 
-func with(choice, shed string) func(string) string {
+// withPolicy returns an edit of a declaration that sets the policy and the shed
+// threshold.
+func withPolicy(choice, shed string) func(string) string {
 	return func(text string) string {
 		text = strings.Replace(text, `policy = "permits"`, `policy = "`+choice+`"`, 1)
 		return regexp.MustCompile(`shed = [0-9.]+`).ReplaceAllString(text, "shed = "+shed)
@@ -158,15 +163,16 @@
 
 func policies() []policy {
 	return []policy{
-		{"round robin, no admission", true, with("round_robin", "0.0")},
-		{"least in flight, no admission", true, with("least_inflight", "0.0")},
-		{"local", false, with("local", "2.0")},
-		{"permits", false, with("permits", "2.0")},
+		{"round robin, no admission", true, withPolicy("round_robin", "0.0")},
+		{"least in flight, no admission", true, withPolicy("least_inflight", "0.0")},
+		{"local", false, withPolicy("local", "2.0")},
+		{"permits", false, withPolicy("permits", "2.0")},
 	}
 }
 
-// chosen returns the policies a command line names, such as "local:2,permits:2.5".
-func chosen(names string) []policy {
+// selectPolicies returns the policies that a command line names, such as
+// "local:2,permits:2.5"; all policies for an empty string.
+func selectPolicies(names string) []policy {
 	if names == "" {
 		return policies()
 	}
@@ -176,7 +182,7 @@
 		if !strings.Contains(shed, ".") {
 			shed += ".0"
 		}
-		out = append(out, policy{n, false, with(choice, shed)})
+		out = append(out, policy{n, false, withPolicy(choice, shed)})
 	}
 	return out
 }
