--- a/proctest/demo/main.go
+++ b/proctest/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts an example deployment, loads its declaration through
-// plan and confirm, sends real requests, and prints an answer and a summary.
+// Command demo starts an example deployment, applies its declaration by plan and
+// confirm, sends requests, and prints an answer and a summary.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 const (
-	rate     = 50 // requests a second
+	rate     = 50 // requests per second
 	duration = 5 * time.Second
 	deadline = 2 * time.Second
 )
@@ -48,14 +48,14 @@
 		return err
 	}
 	fmt.Printf("plan %s confirmed, revision %d in force at every entry\n", done.Plan, done.Revision)
-	if err := one(r); err != nil {
+	if err := sendOne(r); err != nil {
 		return err
 	}
-	return many(r)
+	return sendLoad(r)
 }
 
-// one sends a request and prints its answer.
-func one(r *rig.Rig) error {
+// sendOne sends one request and prints its answer.
+func sendOne(r *rig.Rig) error {
 	p := r.Fleet.Pipelines[0]
 	caller := load.NewCaller("key-"+r.Fleet.Customers[0].Name, r.Fleet.Halls[0], r.Entries())
 	t := caller.Do(load.Request{Pipeline: p.Name, Input: "May a blast be fired while the hoist is in use?", Deadline: p.Deadline()})
@@ -70,8 +70,9 @@
 	return nil
 }
 
-// many sends a few seconds of every pipeline and checks the histories.
-func many(r *rig.Rig) error {
+// sendLoad sends requests to every pipeline for a few seconds and checks the
+// answers against the upstreams' journal.
+func sendLoad(r *rig.Rig) error {
 	var mix []load.Mix
 	for i, p := range r.Fleet.Pipelines {
 		c := r.Fleet.Customers[i%len(r.Fleet.Customers)]
@@ -87,14 +88,14 @@
 	if err != nil {
 		return err
 	}
-	found := check.All(r.Fleet, res.Told, journal)
-	for _, v := range found {
+	violations := check.All(r.Fleet, res.Told, journal)
+	for _, v := range violations {
 		fmt.Println("violation:", v)
 	}
-	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Told), len(journal), len(found))
+	fmt.Printf("checked %d answers against %d executions: %d violations\n", len(res.Told), len(journal), len(violations))
 	switch {
-	case len(found) > 0:
-		return fmt.Errorf("%d violations", len(found))
+	case len(violations) > 0:
+		return fmt.Errorf("%d violations", len(violations))
 	case sum.ByOutcome[outcome.Done] != sum.Sent:
 		return fmt.Errorf("%d of %d requests were not done", sum.Sent-sum.ByOutcome[outcome.Done], sum.Sent)
 	}
