--- a/proctest/compare/bench.go
+++ b/proctest/compare/bench.go
@@ -15,11 +15,11 @@
 
 // Result is what the bench's report says of a play.
 type Result struct {
-	Worth  float64                    `json:"G"`
-	Fault  any                        `json:"fault"`
-	Breaks map[string]json.RawMessage `json:"breaks"` // rules broken
-	Parts  []figure                   `json:"parts"`  // name, weight, what was reached of 1
-	Prices []figure                   `json:"prices"` // name, amount, what it took off the worth
+	Worth       float64                    `json:"G"`
+	Fault       any                        `json:"fault"`
+	BrokenRules map[string]json.RawMessage `json:"breaks"` // rules broken
+	Parts       []figure                   `json:"parts"`  // name, weight, what was reached of 1
+	Prices      []figure                   `json:"prices"` // name, amount, what it took off the worth
 }
 
 // Results are a way's, by what they are compared by.
@@ -61,8 +61,8 @@
 
 // report is the file of a play's report. It holds the digest of the sources: a
 // changed way is played anew.
-func (b *bench) report(p Play, c *checkout) string {
-	return filepath.Join(b.results, fmt.Sprintf("%s-%s-%s.json", p.Pair, strings.ReplaceAll(p.Way.Name, " ", "_"), c.digest))
+func (b *bench) report(p Run, c *checkout) string {
+	return filepath.Join(b.results, fmt.Sprintf("%s-%s-%s.json", p.Pair, strings.ReplaceAll(p.Variant.Name, " ", "_"), c.digest))
 }
 
 // readResult reads a report.
@@ -79,13 +79,13 @@
 }
 
 // play plays a day, unless its report is there from an earlier call.
-func (b *bench) play(p Play, c *checkout) (*Result, error) {
+func (b *bench) play(p Run, c *checkout) (*Result, error) {
 	report := b.report(p, c)
 	if r, err := readResult(report); err == nil {
 		return r, nil
 	}
 	half := report + ".half" // a stopped play leaves no report that looks whole
-	args := append(append([]string{}, b.command[1:]...), "run", p.site, p.day, "--jobs", "1", "--report", half, "--why", "compare: "+p.Way.Name)
+	args := append(append([]string{}, b.command[1:]...), "run", p.site, p.day, "--jobs", "1", "--report", half, "--why", "compare: "+p.Variant.Name)
 	if p.Seed != 0 {
 		args = append(args, "--seed", strconv.FormatUint(p.Seed, 10))
 	}
@@ -127,7 +127,7 @@
 
 // all plays all days, so many at once, and returns the results by way and pair.
 // A play that fails is told and left out; the next call tries it again.
-func (b *bench) all(plays []Play, ways map[string]*checkout, jobs int, tell func(Play, *Result, error)) map[string]Results {
+func (b *bench) all(plays []Run, ways map[string]*checkout, jobs int, tell func(Run, *Result, error)) map[string]Results {
 	var mu sync.Mutex
 	out := make(map[string]Results)
 	for name := range ways {
@@ -139,12 +139,12 @@
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			r, err := b.play(p, ways[p.Way.Name])
+			r, err := b.play(p, ways[p.Variant.Name])
 			mu.Lock()
 			defer mu.Unlock()
 			tell(p, r, err)
 			if err == nil {
-				out[p.Way.Name][p.Pair] = r
+				out[p.Variant.Name][p.Pair] = r
 			}
 		})
 	}
--- a/proctest/compare/draw.go
+++ b/proctest/compare/draw.go
@@ -19,7 +19,7 @@
 // first, with its standard error.
 func (o *outcome) draw(name string) error {
 	p := plot.New()
-	p.Title.Text = "Worth against " + o.plan.Ways[0].Name
+	p.Title.Text = "Worth against " + o.plan.Variants[0].Name
 	p.Y.Label.Text = "difference, with standard error"
 	p.Legend.Top = true
 	var sites []string
@@ -28,8 +28,8 @@
 	}
 	p.NominalX(sites...)
 	p.Add(plotter.NewGrid())
-	for i, way := range o.plan.Ways[1:] {
-		points := o.points(way.Name, float64(i)/float64(2*len(o.plan.Ways)))
+	for i, way := range o.plan.Variants[1:] {
+		points := o.points(way.Name, float64(i)/float64(2*len(o.plan.Variants)))
 		if len(points.XYs) == 0 {
 			continue
 		}
@@ -55,11 +55,11 @@
 func (o *outcome) points(way string, right float64) bars {
 	var out bars
 	for x, site := range o.plan.Sites {
-		d := compareTo(o.of(o.plan.Ways[0].Name, site), o.of(way, site))
+		d := compareTo(o.of(o.plan.Variants[0].Name, site), o.of(way, site))
 		if d.Pairs == 0 {
 			continue
 		}
-		spread := d.Error
+		spread := d.StandardError
 		if math.IsNaN(spread) {
 			spread = 0
 		}
--- a/proctest/compare/main.go
+++ b/proctest/compare/main.go
@@ -46,8 +46,8 @@
 		return err
 	}
 	ways := make(map[string]*checkout)
-	for i := range plan.Ways {
-		w := &plan.Ways[i]
+	for i := range plan.Variants {
+		w := &plan.Variants[i]
 		if ways[w.Name], err = prepare(w, folder); err != nil {
 			return err
 		}
@@ -58,13 +58,13 @@
 }
 
 // tell prints a play's end.
-func tell(p Play, r *Result, err error) {
+func tell(p Run, r *Result, err error) {
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s, %s: not played: %v\n", p.Pair, p.Way.Name, err)
+		fmt.Fprintf(os.Stderr, "%s, %s: not played: %v\n", p.Pair, p.Variant.Name, err)
 		return
 	}
-	fmt.Fprintf(os.Stderr, "%s, %s: %.4f\n", p.Pair, p.Way.Name, r.Worth)
-	for rule := range r.Breaks {
-		fmt.Fprintf(os.Stderr, "%s, %s: rule broken: %s\n", p.Pair, p.Way.Name, rule)
+	fmt.Fprintf(os.Stderr, "%s, %s: %.4f\n", p.Pair, p.Variant.Name, r.Worth)
+	for rule := range r.BrokenRules {
+		fmt.Fprintf(os.Stderr, "%s, %s: rule broken: %s\n", p.Pair, p.Variant.Name, rule)
 	}
 }
--- a/proctest/compare/main_test.go
+++ b/proctest/compare/main_test.go
@@ -27,14 +27,14 @@
 	is := is.New(t)
 	first := worthOf(0.5, 0.6, 0.7, 0.2)
 	way := worthOf(0.52, 0.64, 0.7)
-	way[other] = &Result{Worth: 0.9, Breaks: map[string]json.RawMessage{"TWICE": nil}} // the first has none
+	way[other] = &Result{Worth: 0.9, BrokenRules: map[string]json.RawMessage{"TWICE": nil}} // the first has none
 	d := compareTo(first, way)
-	is.Equal([]int{d.Pairs, d.Better, d.Worse, d.Broken}, []int{3, 2, 0, 1})
+	is.Equal([]int{d.Pairs, d.BetterPairs, d.WorsePairs, d.InvalidRuns}, []int{3, 2, 0, 1})
 	is.True(math.Abs(d.Mean-0.02) < 1e-9)
-	is.True(math.Abs(d.Error-0.02/math.Sqrt(3)) < 1e-9) // differences 0.02, 0.04, 0
+	is.True(math.Abs(d.StandardError-0.02/math.Sqrt(3)) < 1e-9) // differences 0.02, 0.04, 0
 	d = compareTo(first, worthOf(0.4))
-	is.Equal([]int{d.Pairs, d.Better, d.Worse}, []int{1, 0, 1})
-	is.True(math.IsNaN(d.Error)) // one pair tells no spread
+	is.Equal([]int{d.Pairs, d.BetterPairs, d.WorsePairs}, []int{1, 0, 1})
+	is.True(math.IsNaN(d.StandardError)) // one pair tells no spread
 	is.True(math.IsNaN(compareTo(first, nil).Mean))
 }
 
@@ -62,10 +62,10 @@
 	is.NoErr(err)
 	var got []string
 	for _, x := range p.plays() {
-		got = append(got, x.String()+" "+x.Way.Name)
+		got = append(got, x.String()+" "+x.Variant.Name)
 	}
 	is.Equal(got, []string{"s-quiet-1-7 a", "s-quiet-1-7 b", "s-own-7 a", "s-own-7 b"})
-	is.Equal(p.Ways[1].Patch, filepath.Join(dir, "b.patch"))
+	is.Equal(p.Variants[1].Patch, filepath.Join(dir, "b.patch"))
 	for _, wrong := range []string{
 		"days = ['d']\n[[way]]\nname = 'a'\n[[way]]\nname = 'b'\n",
 		"sites = ['s']\ndays = ['d']\n[[way]]\nname = 'a'\n",
@@ -83,12 +83,12 @@
 	dir := t.TempDir()
 	name := filepath.Join(dir, "f")
 	is.NoErr(os.WriteFile(name, []byte("x = 1\ny = 1\n"), 0o600))
-	is.NoErr(Replace{File: "f", From: "x = 1", To: "x = 2"}.apply(dir))
+	is.NoErr(Edit{File: "f", From: "x = 1", To: "x = 2"}.apply(dir))
 	text, err := os.ReadFile(name)
 	is.NoErr(err)
 	is.Equal(string(text), "x = 2\ny = 1\n")
-	is.True(Replace{File: "f", From: "z", To: ""}.apply(dir) != nil)
-	is.True(Replace{File: "f", From: "=", To: ""}.apply(dir) != nil) // twice there
+	is.True(Edit{File: "f", From: "z", To: ""}.apply(dir) != nil)
+	is.True(Edit{File: "f", From: "=", To: ""}.apply(dir) != nil) // twice there
 }
 
 func TestWithoutABenchNothingIsPlayed(t *testing.T) {
@@ -113,12 +113,12 @@
 	b, err := newBench(script)
 	is.NoErr(err)
 	b.results, b.args = dir, []string{"--no-cpu"}
-	ways := []Way{{Name: "a"}, {Name: "b"}}
-	plan := &Plan{Sites: []string{"s.toml"}, Days: []string{"good", "bad"}, Seeds: []uint64{3}, Ways: ways}
+	ways := []Variant{{Name: "a"}, {Name: "b"}}
+	plan := &Plan{Sites: []string{"s.toml"}, Days: []string{"good", "bad"}, Seeds: []uint64{3}, Variants: ways}
 	sources := map[string]*checkout{"a": {dir: dir, digest: "1"}, "b": {dir: dir, digest: "2"}}
 	failed := 0
 	all := func() map[string]Results {
-		return b.all(plan.plays(), sources, 1, func(_ Play, _ *Result, err error) {
+		return b.all(plan.plays(), sources, 1, func(_ Run, _ *Result, err error) {
 			if err != nil {
 				failed++
 			}
--- a/proctest/compare/plan.go
+++ b/proctest/compare/plan.go
@@ -12,25 +12,25 @@
 
 // Plan is what to compare: every way on every day of every site with every seed.
 type Plan struct {
-	Sites []string // site files; relative ones are looked for beside the plan
-	Days  []string // names of the sites' days, or files with days of one's own
-	Seeds []uint64 // of the bench; 0 for the day's own
-	Args  []string // further arguments of each play, such as --no-cpu
-	Ways  []Way    `toml:"way"`
+	Sites    []string  // site files; relative ones are looked for beside the plan
+	Days     []string  // names of the sites' days, or files with days of one's own
+	Seeds    []uint64  // of the bench; 0 for the day's own
+	Args     []string  // further arguments of each play, such as --no-cpu
+	Variants []Variant `toml:"way"`
 }
 
 // Way is one form of the sources. Without a revision or a tree it is the
 // revision that is checked out.
-type Way struct {
+type Variant struct {
 	Name     string
-	Revision string    // of git
-	Tree     string    // a checked-out tree to play as it stands, in place of a revision
-	Patch    string    // file of a patch that is put on the revision
-	Replace  []Replace // edits of files, after the patch: switches in settings, constants
+	Revision string // of git
+	Tree     string // a checked-out tree to play as it stands, in place of a revision
+	Patch    string // file of a patch that is put on the revision
+	Edits    []Edit `toml:"replace"` // edits of files, after the patch: switches in settings, constants
 }
 
 // Replace puts one text in another's place in a file of the sources.
-type Replace struct {
+type Edit struct {
 	File, From, To string
 }
 
@@ -56,9 +56,9 @@
 			p.Days[i] = from(beside, d)
 		}
 	}
-	for i := range p.Ways {
-		p.Ways[i].Patch = from(beside, p.Ways[i].Patch)
-		p.Ways[i].Tree = from(beside, p.Ways[i].Tree)
+	for i := range p.Variants {
+		p.Variants[i].Patch = from(beside, p.Variants[i].Patch)
+		p.Variants[i].Tree = from(beside, p.Variants[i].Tree)
 	}
 	return p, nil
 }
@@ -77,18 +77,18 @@
 		return errors.New("no site is named")
 	case len(p.Days) == 0:
 		return errors.New("no day is named")
-	case len(p.Ways) < 2:
+	case len(p.Variants) < 2:
 		return errors.New("fewer than two ways: nothing to compare")
 	}
 	if len(p.Seeds) == 0 {
 		p.Seeds = []uint64{0}
 	}
 	var names []string
-	for _, w := range p.Ways {
+	for _, w := range p.Variants {
 		switch {
 		case w.Name == "" || slices.Contains(names, w.Name):
 			return fmt.Errorf("way %q: each way needs a name of its own", w.Name)
-		case w.Tree != "" && (w.Revision != "" || w.Patch != "" || len(w.Replace) > 0):
+		case w.Tree != "" && (w.Revision != "" || w.Patch != "" || len(w.Edits) > 0):
 			return fmt.Errorf("way %s: a tree is played as it stands, without a revision, patch or edit", w.Name)
 		}
 		names = append(names, w.Name)
@@ -106,22 +106,22 @@
 func (p Pair) String() string { return fmt.Sprintf("%s-%s-%d", p.Site, p.Day, p.Seed) }
 
 // Play is one day under one way.
-type Play struct {
+type Run struct {
 	Pair
-	Way  *Way
-	site string // file
-	day  string // name, or file
+	Variant *Variant
+	site    string // file
+	day     string // name, or file
 }
 
 // plays returns all plays, those of one day and seed beside each other, so
 // that what was stopped halfway has pairs.
-func (p *Plan) plays() []Play {
-	var out []Play
+func (p *Plan) plays() []Run {
+	var out []Run
 	for _, seed := range p.Seeds {
 		for _, site := range p.Sites {
 			for _, day := range p.Days {
-				for i := range p.Ways {
-					out = append(out, Play{Pair: Pair{base(site), base(day), seed}, Way: &p.Ways[i], site: site, day: day})
+				for i := range p.Variants {
+					out = append(out, Run{Pair: Pair{base(site), base(day), seed}, Variant: &p.Variants[i], site: site, day: day})
 				}
 			}
 		}
--- a/proctest/compare/print.go
+++ b/proctest/compare/print.go
@@ -29,12 +29,12 @@
 
 // print writes the comparison as tables in Markdown.
 func (o *outcome) print(w io.Writer) {
-	first := o.plan.Ways[0].Name
+	first := o.plan.Variants[0].Name
 	fmt.Fprintf(w, "Against %s, paired by site, day and seed.\n\n", first)
 	fmt.Fprintln(w, "| site | way | pairs | worth | difference | standard error | better | worse | broken |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, site := range append(append([]string{}, o.plan.Sites...), "") {
-		for _, way := range o.plan.Ways {
+		for _, way := range o.plan.Variants {
 			o.printRow(w, site, way.Name)
 		}
 	}
@@ -45,7 +45,7 @@
 
 func (o *outcome) printRow(w io.Writer, site, way string) {
 	results := o.of(way, site)
-	d := compareTo(o.of(o.plan.Ways[0].Name, site), results)
+	d := compareTo(o.of(o.plan.Variants[0].Name, site), results)
 	var worth []float64
 	for _, r := range results {
 		worth = append(worth, r.Worth)
@@ -55,16 +55,16 @@
 	if site != "" {
 		name = base(site)
 	}
-	fmt.Fprintf(w, "| %s | %s | %d | %.4f | %+.4f | %.4f | %d | %d | %d |\n", name, way, d.Pairs, mean, d.Mean, d.Error, d.Better, d.Worse, d.Broken)
+	fmt.Fprintf(w, "| %s | %s | %d | %.4f | %+.4f | %.4f | %d | %d | %d |\n", name, way, d.Pairs, mean, d.Mean, d.StandardError, d.BetterPairs, d.WorsePairs, d.InvalidRuns)
 }
 
 // printParts writes which parts of the worth and which prices moved on a site.
 func (o *outcome) printParts(w io.Writer, site string) {
-	first := o.of(o.plan.Ways[0].Name, site)
+	first := o.of(o.plan.Variants[0].Name, site)
 	base0 := worths(first, first)
 	var others []map[string]float64
-	head := []string{"part or price on " + base(site), o.plan.Ways[0].Name}
-	for _, way := range o.plan.Ways[1:] {
+	head := []string{"part or price on " + base(site), o.plan.Variants[0].Name}
+	for _, way := range o.plan.Variants[1:] {
 		others = append(others, worths(first, o.of(way.Name, site)))
 		head = append(head, way.Name)
 	}
--- a/proctest/compare/stats.go
+++ b/proctest/compare/stats.go
@@ -8,12 +8,12 @@
 // Difference is what one way is worth against the first, over the plays that
 // both have: the same site, day and seed.
 type Difference struct {
-	Pairs  int
-	Mean   float64 // of the way less the first
-	Error  float64 // standard error of the mean; NaN for fewer than two pairs
-	Better int     // pairs in which the way is worth more
-	Worse  int
-	Broken int // plays of the way with a rule broken or a fault
+	Pairs         int
+	Mean          float64 // of the way less the first
+	StandardError float64 // standard error of the mean; NaN for fewer than two pairs
+	BetterPairs   int     // pairs in which the way is worth more
+	WorsePairs    int
+	InvalidRuns   int // plays of the way with a rule broken or a fault
 }
 
 // compareTo returns a way's difference to the first.
@@ -21,8 +21,8 @@
 	var d Difference
 	var each []float64
 	for pair, r := range way {
-		if len(r.Breaks) > 0 || r.Fault != nil {
-			d.Broken++
+		if len(r.BrokenRules) > 0 || r.Fault != nil {
+			d.InvalidRuns++
 		}
 		against := first[pair]
 		if against == nil {
@@ -32,13 +32,13 @@
 		each = append(each, x)
 		switch {
 		case x > 0:
-			d.Better++
+			d.BetterPairs++
 		case x < 0:
-			d.Worse++
+			d.WorsePairs++
 		}
 	}
 	d.Pairs = len(each)
-	d.Mean, d.Error = meanError(each)
+	d.Mean, d.StandardError = meanError(each)
 	return d
 }
 
--- a/proctest/compare/way.go
+++ b/proctest/compare/way.go
@@ -18,7 +18,7 @@
 }
 
 // prepare puts a way's sources into a folder of their own: a worktree of git.
-func prepare(w *Way, folder string) (*checkout, error) {
+func prepare(w *Variant, folder string) (*checkout, error) {
 	if w.Tree != "" {
 		return &checkout{dir: w.Tree, digest: "tree"}, nil
 	}
@@ -39,7 +39,7 @@
 		}
 		sum.Write(patch)
 	}
-	fmt.Fprint(sum, w.Replace)
+	fmt.Fprint(sum, w.Edits)
 	const shown = 6 // bytes of the digest, enough to tell sources apart
 	digest := hex.EncodeToString(sum.Sum(nil)[:shown])
 	dir, err := filepath.Abs(filepath.Join(folder, "ways", digest))
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-func (c *checkout) make(w *Way, commit string) error {
+func (c *checkout) make(w *Variant, commit string) error {
 	if _, err := run("", "git", "worktree", "add", "--detach", "--force", c.dir, commit); err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 			return err
 		}
 	}
-	for _, r := range w.Replace {
+	for _, r := range w.Edits {
 		if err := r.apply(c.dir); err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 }
 
 // apply makes an edit; a text that isn't there, or is there twice, is an error.
-func (r Replace) apply(dir string) error {
+func (r Edit) apply(dir string) error {
 	name := filepath.Join(dir, r.File)
 	text, err := os.ReadFile(name)
 	if err != nil {
