--- a/proctest/compare/bench.go
+++ b/proctest/compare/bench.go
@@ -13,41 +13,43 @@
 	"sync"
 )
 
-// Result is what the bench's report says of a play.
+// Result is the part of the bench's report of a run that is compared.
 type Result struct {
 	Worth       float64                    `json:"G"`
 	Fault       any                        `json:"fault"`
-	BrokenRules map[string]json.RawMessage `json:"breaks"` // rules broken
-	Parts       []figure                   `json:"parts"`  // name, weight, what was reached of 1
-	Prices      []figure                   `json:"prices"` // name, amount, what it took off the worth
+	BrokenRules map[string]json.RawMessage `json:"breaks"` // by name
+	Parts       []component                `json:"parts"`  // name, weight, score reached, from 0 to 1
+	Prices      []component                `json:"prices"` // name, amount, worth deducted
 }
 
-// Results are a way's, by what they are compared by.
+// Results holds the results of one variant.
 type Results map[Pair]*Result
 
-// figure is a name with two numbers, told as a list.
-type figure struct {
+// component is a part of the worth or a price. It is encoded as a JSON array of
+// its name and two numbers.
+type component struct {
 	name          string
-	first, second float64
+	amount, value float64
 }
 
-// UnmarshalJSON reads a list of a name and two numbers.
-func (f *figure) UnmarshalJSON(data []byte) error {
-	row := []any{&f.name, &f.first, &f.second}
+// UnmarshalJSON decodes the array of a name and two numbers.
+func (f *component) UnmarshalJSON(data []byte) error {
+	row := []any{&f.name, &f.amount, &f.value}
 	return json.Unmarshal(data, &row)
 }
 
-// bench plays days in the folders of ways and keeps their reports.
+// bench runs the bench command in the checkouts of variants and stores its
+// reports.
 type bench struct {
-	command []string // of the bench, with arguments that go before its own
-	args    []string // further ones of each play
-	results string   // folder of the reports
-	journal string   // to which the entries that the bench writes are copied
+	command    []string // of the bench, with arguments that precede its own
+	args       []string // additional arguments of each run
+	reportDir  string   // folder of the reports
+	journalDir string   // folder to which the bench's journal entries are copied; empty for none
 }
 
-var errNoBench = errors.New("no bench: name its command with -bench or in QUINCE_BENCH; nothing was played")
+var errNoBench = errors.New("no bench: set its command with -bench or QUINCE_BENCH; nothing was run")
 
-// newBench finds the bench's command.
+// newBench splits the bench's command and checks that its program exists.
 func newBench(command string) (*bench, error) {
 	words := strings.Fields(command)
 	if len(words) == 0 {
@@ -59,13 +61,13 @@
 	return &bench{command: words}, nil
 }
 
-// report is the file of a play's report. It holds the digest of the sources: a
-// changed way is played anew.
-func (b *bench) report(p Run, c *checkout) string {
-	return filepath.Join(b.results, fmt.Sprintf("%s-%s-%s.json", p.Pair, strings.ReplaceAll(p.Variant.Name, " ", "_"), c.digest))
+// reportPath returns the file name of a run's report. It contains the digest of
+// the sources, so that a variant is run again when its sources change.
+func (b *bench) reportPath(p Run, c *checkout) string {
+	return filepath.Join(b.reportDir, fmt.Sprintf("%s-%s-%s.json", p.Pair, strings.ReplaceAll(p.Variant.Name, " ", "_"), c.digest))
 }
 
-// readResult reads a report.
+// readResult reads a result from a report file.
 func readResult(name string) (*Result, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -78,31 +80,32 @@
 	return r, nil
 }
 
-// play plays a day, unless its report is there from an earlier call.
-func (b *bench) play(p Run, c *checkout) (*Result, error) {
-	report := b.report(p, c)
+// runOnce runs a day, unless its report exists from an earlier call.
+func (b *bench) runOnce(p Run, c *checkout) (*Result, error) {
+	report := b.reportPath(p, c)
 	if r, err := readResult(report); err == nil {
 		return r, nil
 	}
-	half := report + ".half" // a stopped play leaves no report that looks whole
-	args := append(append([]string{}, b.command[1:]...), "run", p.site, p.day, "--jobs", "1", "--report", half, "--why", "compare: "+p.Variant.Name)
+	partial := report + ".half" // a run that is stopped must not leave a report that looks complete
+	args := append(append([]string{}, b.command[1:]...), "run", p.site, p.day, "--jobs", "1", "--report", partial, "--why", "compare: "+p.Variant.Name)
 	if p.Seed != 0 {
 		args = append(args, "--seed", strconv.FormatUint(p.Seed, 10))
 	}
-	_, failed := run(c.dir, b.command[0], append(args, b.args...)...)
-	if err := b.keepJournal(c); err != nil {
+	_, runErr := runCommand(c.dir, b.command[0], append(args, b.args...)...)
+	if err := b.copyJournal(c); err != nil {
 		return nil, err
 	}
-	r, err := readResult(half)
-	if err != nil { // a day that breaks a rule may end the bench with an error, and has a report
-		return nil, errors.Join(failed, err)
+	r, err := readResult(partial)
+	if err != nil { // the bench may exit with an error and leave a report when a rule was broken
+		return nil, errors.Join(runErr, err)
 	}
-	return r, os.Rename(half, report)
+	return r, os.Rename(partial, report)
 }
 
-// keepJournal copies the entries that the bench wrote beside a way's sources.
-func (b *bench) keepJournal(c *checkout) error {
-	if b.journal == "" {
+// copyJournal copies the journal entries that the bench wrote into a variant's
+// checkout.
+func (b *bench) copyJournal(c *checkout) error {
+	if b.journalDir == "" {
 		return nil
 	}
 	entries, err := filepath.Glob(filepath.Join(c.dir, "journal", "*.json"))
@@ -110,13 +113,13 @@
 		return err
 	}
 	for _, from := range entries {
-		to := filepath.Join(b.journal, filepath.Base(from))
+		to := filepath.Join(b.journalDir, filepath.Base(from))
 		data, err := os.ReadFile(from)
 		if err != nil {
 			return err
 		}
 		if kept, err := os.ReadFile(to); err == nil && bytes.Equal(kept, data) {
-			continue // one that differs is of a play that had not ended yet
+			continue // an entry that differs was copied before its run had ended
 		}
 		if err := os.WriteFile(to, data, 0o600); err != nil {
 			return err
@@ -125,24 +128,25 @@
 	return nil
 }
 
-// all plays all days, so many at once, and returns the results by way and pair.
-// A play that fails is told and left out; the next call tries it again.
-func (b *bench) all(plays []Run, ways map[string]*checkout, jobs int, tell func(Run, *Result, error)) map[string]Results {
+// runAll plays all days, up to jobs at once, and returns the results by variant and
+// pair. The function done is called after each run. A run that fails has no result;
+// the next call repeats it.
+func (b *bench) runAll(runs []Run, checkouts map[string]*checkout, jobs int, done func(Run, *Result, error)) map[string]Results {
 	var mu sync.Mutex
 	out := make(map[string]Results)
-	for name := range ways {
+	for name := range checkouts {
 		out[name] = make(Results)
 	}
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, jobs)
-	for _, p := range plays {
+	for _, p := range runs {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			r, err := b.play(p, ways[p.Variant.Name])
+			r, err := b.runOnce(p, checkouts[p.Variant.Name])
 			mu.Lock()
 			defer mu.Unlock()
-			tell(p, r, err)
+			done(p, r, err)
 			if err == nil {
 				out[p.Variant.Name][p.Pair] = r
 			}
--- a/proctest/compare/way.go
+++ b/proctest/compare/checkout.go
@@ -11,14 +11,15 @@
 	"strings"
 )
 
-// checkout is a way's sources, ready to be played.
+// checkout is a folder with the sources of a variant.
 type checkout struct {
 	dir    string
-	digest string // of what is played: results of other sources aren't taken for it
+	digest string // of the sources; reports of other sources are not used for them
 }
 
-// prepare puts a way's sources into a folder of their own: a worktree of git.
-func prepare(w *Variant, folder string) (*checkout, error) {
+// checkOut creates a git worktree with the sources of a variant, or returns the
+// existing one.
+func checkOut(w *Variant, folder string) (*checkout, error) {
 	if w.Tree != "" {
 		return &checkout{dir: w.Tree, digest: "tree"}, nil
 	}
@@ -26,7 +27,7 @@
 	if revision == "" {
 		revision = "HEAD"
 	}
-	commit, err := run("", "git", "rev-parse", "--verify", revision+"^{commit}")
+	commit, err := runCommand("", "git", "rev-parse", "--verify", revision+"^{commit}")
 	if err != nil {
 		return nil, fmt.Errorf("way %s: %w", w.Name, err)
 	}
@@ -40,7 +41,7 @@
 		sum.Write(patch)
 	}
 	fmt.Fprint(sum, w.Edits)
-	const shown = 6 // bytes of the digest, enough to tell sources apart
+	const shown = 6 // bytes of the digest, enough to distinguish sources
 	digest := hex.EncodeToString(sum.Sum(nil)[:shown])
 	dir, err := filepath.Abs(filepath.Join(folder, "ways", digest))
 	if err != nil {
@@ -48,22 +49,22 @@
 	}
 	c := &checkout{dir: dir, digest: digest}
 	if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
-		return c, nil // made by an earlier call
+		return c, nil // created by an earlier call
 	}
-	if err := c.make(w, commit); err != nil {
-		_ = os.RemoveAll(dir) // half made: it must not be taken for whole
-		_, _ = run("", "git", "worktree", "prune")
+	if err := c.create(w, commit); err != nil {
+		_ = os.RemoveAll(dir) // an incomplete checkout must not be used by the next call
+		_, _ = runCommand("", "git", "worktree", "prune")
 		return nil, fmt.Errorf("way %s: %w", w.Name, err)
 	}
 	return c, nil
 }
 
-func (c *checkout) make(w *Variant, commit string) error {
-	if _, err := run("", "git", "worktree", "add", "--detach", "--force", c.dir, commit); err != nil {
+func (c *checkout) create(w *Variant, commit string) error {
+	if _, err := runCommand("", "git", "worktree", "add", "--detach", "--force", c.dir, commit); err != nil {
 		return err
 	}
 	if w.Patch != "" {
-		if _, err := run(c.dir, "git", "apply", w.Patch); err != nil {
+		if _, err := runCommand(c.dir, "git", "apply", w.Patch); err != nil {
 			return err
 		}
 	}
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// apply makes an edit; a text that isn't there, or is there twice, is an error.
+// apply applies an edit. It is an error if the file doesn't contain the text
+// exactly once.
 func (r Edit) apply(dir string) error {
 	name := filepath.Join(dir, r.File)
 	text, err := os.ReadFile(name)
@@ -83,13 +85,13 @@
 		return err
 	}
 	if n := strings.Count(string(text), r.From); n != 1 {
-		return fmt.Errorf("%s holds %q %d times, not once", r.File, r.From, n)
+		return fmt.Errorf("%s contains %q %d times, want once", r.File, r.From, n)
 	}
 	return os.WriteFile(name, []byte(strings.Replace(string(text), r.From, r.To, 1)), 0o600)
 }
 
-// run runs a command in a folder and returns what it printed.
-func run(dir, name string, args ...string) (string, error) {
+// runCommand runs a command in a folder and returns its standard output.
+func runCommand(dir, name string, args ...string) (string, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
 	var out, errOut bytes.Buffer
--- a/proctest/compare/main.go
+++ b/proctest/compare/main.go
@@ -1,6 +1,6 @@
-// Command compare plays several ways of the sources on the same days with the
-// same seeds, and prints what each is worth against the first. README.md tells
-// how a comparison is written.
+// Command compare runs several variants of the sources on the same days with the
+// same seeds, and prints the difference in worth of each to the first, the
+// baseline. README.md describes the plan of a comparison.
 //
 //	go run ./proctest/compare -bench PATH -jobs 2 plan.toml
 package main
@@ -14,10 +14,10 @@
 )
 
 func main() {
-	command := flag.String("bench", os.Getenv("QUINCE_BENCH"), "the bench's command, run in a way's sources; its arguments follow")
-	folder := flag.String("o", "target/compare", "folder for the ways' sources, the reports and the picture")
+	command := flag.String("bench", os.Getenv("QUINCE_BENCH"), "the bench's command, run in a variant's checkout; its arguments follow")
+	folder := flag.String("o", "target/compare", "folder for the variants' checkouts, the reports and the plot")
 	journal := flag.String("journal", "journal", "folder to which the bench's journal entries are copied; empty for none")
-	jobs := flag.Int("jobs", 1, "plays at once")
+	jobs := flag.Int("jobs", 1, "number of concurrent runs")
 	flag.Parse()
 	if err := compare(*command, *folder, *journal, *jobs, flag.Args()); err != nil {
 		fmt.Fprintln(os.Stderr, "compare:", err)
@@ -25,7 +25,7 @@
 	}
 }
 
-// compare plays what is missing of a plan and prints the comparison.
+// compare performs the missing runs of a plan and prints the comparison.
 func compare(command, folder, journal string, jobs int, args []string) error {
 	if len(args) != 1 {
 		return errors.New("one plan is needed, a TOML file")
@@ -38,29 +38,29 @@
 	if err != nil {
 		return err
 	}
-	b.args, b.journal = plan.Args, journal
-	if b.results, err = filepath.Abs(filepath.Join(folder, "reports")); err != nil {
+	b.args, b.journalDir = plan.Args, journal
+	if b.reportDir, err = filepath.Abs(filepath.Join(folder, "reports")); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(b.results, 0o700); err != nil {
+	if err := os.MkdirAll(b.reportDir, 0o700); err != nil {
 		return err
 	}
-	ways := make(map[string]*checkout)
+	checkouts := make(map[string]*checkout)
 	for i := range plan.Variants {
 		w := &plan.Variants[i]
-		if ways[w.Name], err = prepare(w, folder); err != nil {
+		if checkouts[w.Name], err = checkOut(w, folder); err != nil {
 			return err
 		}
 	}
-	o := &outcome{plan: plan, results: b.all(plan.plays(), ways, max(jobs, 1), tell)}
+	o := &comparison{plan: plan, results: b.runAll(plan.runs(), checkouts, max(jobs, 1), logRun)}
 	o.print(os.Stdout)
-	return o.draw(filepath.Join(folder, base(args[0])+".svg"))
+	return o.draw(filepath.Join(folder, baseName(args[0])+".svg"))
 }
 
-// tell prints a play's end.
-func tell(p Run, r *Result, err error) {
+// logRun prints the result of a run to stderr.
+func logRun(p Run, r *Result, err error) {
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s, %s: not played: %v\n", p.Pair, p.Variant.Name, err)
+		fmt.Fprintf(os.Stderr, "%s, %s: run failed: %v\n", p.Pair, p.Variant.Name, err)
 		return
 	}
 	fmt.Fprintf(os.Stderr, "%s, %s: %.4f\n", p.Pair, p.Variant.Name, r.Worth)
--- a/proctest/compare/main_test.go
+++ b/proctest/compare/main_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// other is a play that the first way does not have.
-var other = Pair{Site: "other"}
+// unpaired is a run that the baseline does not have.
+var unpaired = Pair{Site: "other"}
 
 func worthOf(values ...float64) Results {
 	out := make(Results)
@@ -25,34 +25,35 @@
 
 func TestDifferencesArePaired(t *testing.T) {
 	is := is.New(t)
-	first := worthOf(0.5, 0.6, 0.7, 0.2)
-	way := worthOf(0.52, 0.64, 0.7)
-	way[other] = &Result{Worth: 0.9, BrokenRules: map[string]json.RawMessage{"TWICE": nil}} // the first has none
-	d := compareTo(first, way)
+	baseline := worthOf(0.5, 0.6, 0.7, 0.2)
+	variant := worthOf(0.52, 0.64, 0.7)
+	variant[unpaired] = &Result{Worth: 0.9, BrokenRules: map[string]json.RawMessage{"TWICE": nil}} // the baseline has none
+	d := pairedDifference(baseline, variant)
 	is.Equal([]int{d.Pairs, d.BetterPairs, d.WorsePairs, d.InvalidRuns}, []int{3, 2, 0, 1})
 	is.True(math.Abs(d.Mean-0.02) < 1e-9)
 	is.True(math.Abs(d.StandardError-0.02/math.Sqrt(3)) < 1e-9) // differences 0.02, 0.04, 0
-	d = compareTo(first, worthOf(0.4))
+	d = pairedDifference(baseline, worthOf(0.4))
 	is.Equal([]int{d.Pairs, d.BetterPairs, d.WorsePairs}, []int{1, 0, 1})
-	is.True(math.IsNaN(d.StandardError)) // one pair tells no spread
-	is.True(math.IsNaN(compareTo(first, nil).Mean))
+	is.True(math.IsNaN(d.StandardError)) // one pair gives no standard error
+	is.True(math.IsNaN(pairedDifference(baseline, nil).Mean))
 }
 
 func TestPartsAndPricesAddUpToTheDifference(t *testing.T) {
 	is := is.New(t)
 	result := func(part, price float64) Results {
-		return Results{Pair{}: {Parts: []figure{{"whole day", 0.5, part}}, Prices: []figure{{"calls", 12, price}, {"same", 1, 0.3}}}}
+		return Results{Pair{}: {Parts: []component{{"whole day", 0.5, part}}, Prices: []component{{"calls", 12, price}, {"same", 1, 0.3}}}}
 	}
-	first, way := result(0.8, 0.01), result(0.9, 0.03)
-	way[other] = result(0, 9)[Pair{}] // without a pair
-	a, b := worths(first, first), worths(first, way)
+	baseline, variant := result(0.8, 0.01), result(0.9, 0.03)
+	variant[unpaired] = result(0, 9)[Pair{}] // without a pair
+	a, b := meanContributions(baseline, baseline), meanContributions(baseline, variant)
 	is.True(math.Abs(b["whole day"]-a["whole day"]-0.05) < 1e-9)
 	is.True(math.Abs(b["calls"]-a["calls"]+0.02) < 1e-9)
-	is.Equal(moved(a, []map[string]float64{b}, leastShown), []string{"whole day", "calls"})
+	is.Equal(largestChanges(a, []map[string]float64{b}, minShownChange), []string{"whole day", "calls"})
 }
 
-// A plan whose plays are stopped halfway has pairs: ways are beside each other.
-func TestAPlanPlaysTheWaysBesideEachOther(t *testing.T) {
+// A comparison that is stopped halfway must have pairs: the variants of one day
+// run in succession.
+func TestVariantsOfOneDayRunInSuccession(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "plan.toml")
@@ -61,7 +62,7 @@
 	p, err := readPlan(file)
 	is.NoErr(err)
 	var got []string
-	for _, x := range p.plays() {
+	for _, x := range p.runs() {
 		got = append(got, x.String()+" "+x.Variant.Name)
 	}
 	is.Equal(got, []string{"s-quiet-1-7 a", "s-quiet-1-7 b", "s-own-7 a", "s-own-7 b"})
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestAnEditChangesOnePlace(t *testing.T) {
+func TestEditRequiresOneMatch(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	name := filepath.Join(dir, "f")
@@ -88,10 +89,10 @@
 	is.NoErr(err)
 	is.Equal(string(text), "x = 2\ny = 1\n")
 	is.True(Edit{File: "f", From: "z", To: ""}.apply(dir) != nil)
-	is.True(Edit{File: "f", From: "=", To: ""}.apply(dir) != nil) // twice there
+	is.True(Edit{File: "f", From: "=", To: ""}.apply(dir) != nil) // two matches
 }
 
-func TestWithoutABenchNothingIsPlayed(t *testing.T) {
+func TestMissingBenchIsAnError(t *testing.T) {
 	is := is.New(t)
 	for _, command := range []string{"", filepath.Join(t.TempDir(), "none") + " 1"} {
 		_, err := newBench(command)
@@ -99,10 +100,10 @@
 	}
 }
 
-// What was played is not played again; a play that failed is, and so is a way
-// whose sources changed. The stand-in for the bench writes a line for each call
-// and, but for the day called bad, a report.
-func TestACallGoesOnWhereTheLastWasStopped(t *testing.T) {
+// A completed run is not repeated; a failed run is, and so are the runs of a
+// variant whose sources changed. The stand-in for the bench writes a line for each
+// call and, except for the day named bad, a report.
+func TestStoppedComparisonIsContinued(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	script := filepath.Join(dir, "bench")
@@ -112,13 +113,13 @@
 `), 0o700))
 	b, err := newBench(script)
 	is.NoErr(err)
-	b.results, b.args = dir, []string{"--no-cpu"}
-	ways := []Variant{{Name: "a"}, {Name: "b"}}
-	plan := &Plan{Sites: []string{"s.toml"}, Days: []string{"good", "bad"}, Seeds: []uint64{3}, Variants: ways}
-	sources := map[string]*checkout{"a": {dir: dir, digest: "1"}, "b": {dir: dir, digest: "2"}}
+	b.reportDir, b.args = dir, []string{"--no-cpu"}
+	variants := []Variant{{Name: "a"}, {Name: "b"}}
+	plan := &Plan{Sites: []string{"s.toml"}, Days: []string{"good", "bad"}, Seeds: []uint64{3}, Variants: variants}
+	checkouts := map[string]*checkout{"a": {dir: dir, digest: "1"}, "b": {dir: dir, digest: "2"}}
 	failed := 0
-	all := func() map[string]Results {
-		return b.all(plan.plays(), sources, 1, func(_ Run, _ *Result, err error) {
+	runAll := func() map[string]Results {
+		return b.runAll(plan.runs(), checkouts, 1, func(_ Run, _ *Result, err error) {
 			if err != nil {
 				failed++
 			}
@@ -129,27 +130,27 @@
 		is.NoErr(err)
 		return strings.Count(string(text), "run s.toml ")
 	}
-	results := all()
+	results := runAll()
 	is.Equal(calls(), 4)
 	is.Equal(failed, 2)
 	is.Equal(len(results["a"]), 1)
 	is.Equal(results["b"][Pair{"s", "good", 3}].Worth, 0.5)
-	all()
-	is.Equal(calls(), 6) // the bad day again
-	sources["b"].digest = "3"
-	all()
+	runAll()
+	is.Equal(calls(), 6) // the day named bad is run again
+	checkouts["b"].digest = "3"
+	runAll()
 	is.Equal(calls(), 9)
 	var out strings.Builder
-	o := &outcome{plan: plan, results: results}
+	o := &comparison{plan: plan, results: results}
 	o.print(&out)
 	is.True(strings.Contains(out.String(), "| s | b | 1 | 0.5000 | +0.0000 | NaN | 0 | 0 | 0 |"))
 	is.NoErr(o.draw(filepath.Join(dir, "p.svg")))
 }
 
-// One site's name may begin another's.
-func TestASiteHasItsOwnPlaysOnly(t *testing.T) {
+// The name of a site may be a prefix of another site's name.
+func TestResultsOfASiteExcludeSitesWithTheSamePrefix(t *testing.T) {
 	is := is.New(t)
-	o := &outcome{results: map[string]Results{"a": {Pair{Site: "one", Day: "d"}: {}, Pair{Site: "one-grown", Day: "d"}: {}}}}
-	is.Equal(len(o.of("a", "x/one.toml")), 1)
-	is.Equal(len(o.of("a", "")), 2)
+	o := &comparison{results: map[string]Results{"a": {Pair{Site: "one", Day: "d"}: {}, Pair{Site: "one-grown", Day: "d"}: {}}}}
+	is.Equal(len(o.resultsOf("a", "x/one.toml")), 1)
+	is.Equal(len(o.resultsOf("a", "")), 2)
 }
--- a/proctest/compare/plan.go
+++ b/proctest/compare/plan.go
@@ -10,31 +10,32 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Plan is what to compare: every way on every day of every site with every seed.
+// Plan declares a comparison: every variant runs every day of every site with
+// every seed.
 type Plan struct {
-	Sites    []string  // site files; relative ones are looked for beside the plan
-	Days     []string  // names of the sites' days, or files with days of one's own
+	Sites    []string  // site files, relative to the plan's folder
+	Days     []string  // names of the sites' days, or files (.toml) of other days
 	Seeds    []uint64  // of the bench; 0 for the day's own
-	Args     []string  // further arguments of each play, such as --no-cpu
+	Args     []string  // additional arguments of each run, such as --no-cpu
 	Variants []Variant `toml:"way"`
 }
 
-// Way is one form of the sources. Without a revision or a tree it is the
-// revision that is checked out.
+// Variant is one version of the sources, [[way]] in a plan. Without a revision
+// or a tree it is HEAD. The first variant of a plan is the baseline.
 type Variant struct {
 	Name     string
 	Revision string // of git
-	Tree     string // a checked-out tree to play as it stands, in place of a revision
-	Patch    string // file of a patch that is put on the revision
-	Edits    []Edit `toml:"replace"` // edits of files, after the patch: switches in settings, constants
+	Tree     string // an existing tree to use as it is, instead of a revision
+	Patch    string // patch file that is applied to the revision
+	Edits    []Edit `toml:"replace"` // applied after the patch, for example to settings or constants
 }
 
-// Replace puts one text in another's place in a file of the sources.
+// Edit replaces one text by another in a file of the sources.
 type Edit struct {
 	File, From, To string
 }
 
-// readPlan reads a plan and checks it.
+// readPlan reads and validates a plan.
 func readPlan(name string) (*Plan, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -47,24 +48,25 @@
 	if err := p.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	beside := filepath.Dir(name)
+	planDir := filepath.Dir(name)
 	for i, s := range p.Sites {
-		p.Sites[i] = from(beside, s)
+		p.Sites[i] = resolvePath(planDir, s)
 	}
 	for i, d := range p.Days {
 		if filepath.Ext(d) == ".toml" {
-			p.Days[i] = from(beside, d)
+			p.Days[i] = resolvePath(planDir, d)
 		}
 	}
 	for i := range p.Variants {
-		p.Variants[i].Patch = from(beside, p.Variants[i].Patch)
-		p.Variants[i].Tree = from(beside, p.Variants[i].Tree)
+		p.Variants[i].Patch = resolvePath(planDir, p.Variants[i].Patch)
+		p.Variants[i].Tree = resolvePath(planDir, p.Variants[i].Tree)
 	}
 	return p, nil
 }
 
-// from returns a path as seen from a folder; "" stays "".
-func from(folder, path string) string {
+// resolvePath returns path relative to folder; absolute and empty paths are
+// returned unchanged.
+func resolvePath(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
@@ -74,11 +76,11 @@
 func (p *Plan) check() error {
 	switch {
 	case len(p.Sites) == 0:
-		return errors.New("no site is named")
+		return errors.New("the plan has no sites")
 	case len(p.Days) == 0:
-		return errors.New("no day is named")
+		return errors.New("the plan has no days")
 	case len(p.Variants) < 2:
-		return errors.New("fewer than two ways: nothing to compare")
+		return errors.New("the plan has fewer than two ways: nothing to compare")
 	}
 	if len(p.Seeds) == 0 {
 		p.Seeds = []uint64{0}
@@ -87,25 +89,25 @@
 	for _, w := range p.Variants {
 		switch {
 		case w.Name == "" || slices.Contains(names, w.Name):
-			return fmt.Errorf("way %q: each way needs a name of its own", w.Name)
+			return fmt.Errorf("way %q: each way needs a unique name", w.Name)
 		case w.Tree != "" && (w.Revision != "" || w.Patch != "" || len(w.Edits) > 0):
-			return fmt.Errorf("way %s: a tree is played as it stands, without a revision, patch or edit", w.Name)
+			return fmt.Errorf("way %s: a tree can't be combined with a revision, patch or replace", w.Name)
 		}
 		names = append(names, w.Name)
 	}
 	return nil
 }
 
-// Pair names what plays of several ways are compared by.
+// Pair is the key by which runs of several variants are compared.
 type Pair struct {
-	Site, Day string // without folder and ending
+	Site, Day string // without folder and extension
 	Seed      uint64
 }
 
-// String names the pair's files.
+// String returns the prefix of the names of the pair's files.
 func (p Pair) String() string { return fmt.Sprintf("%s-%s-%d", p.Site, p.Day, p.Seed) }
 
-// Play is one day under one way.
+// Run is one day with one variant.
 type Run struct {
 	Pair
 	Variant *Variant
@@ -113,15 +115,15 @@
 	day     string // name, or file
 }
 
-// plays returns all plays, those of one day and seed beside each other, so
-// that what was stopped halfway has pairs.
-func (p *Plan) plays() []Run {
+// runs returns all runs. Those of one day and seed are adjacent, so that a
+// comparison that is stopped halfway has pairs.
+func (p *Plan) runs() []Run {
 	var out []Run
 	for _, seed := range p.Seeds {
 		for _, site := range p.Sites {
 			for _, day := range p.Days {
 				for i := range p.Variants {
-					out = append(out, Run{Pair: Pair{base(site), base(day), seed}, Variant: &p.Variants[i], site: site, day: day})
+					out = append(out, Run{Pair: Pair{baseName(site), baseName(day), seed}, Variant: &p.Variants[i], site: site, day: day})
 				}
 			}
 		}
@@ -129,8 +131,8 @@
 	return out
 }
 
-// base is a file's name without its ending.
-func base(path string) string {
+// baseName returns the name of a file without folder and extension.
+func baseName(path string) string {
 	name := filepath.Base(path)
 	return name[:len(name)-len(filepath.Ext(name))]
 }
--- a/proctest/compare/stats.go
+++ b/proctest/compare/stats.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Difference is what one way is worth against the first, over the plays that
-// both have: the same site, day and seed.
+// Difference is the difference in worth of one variant to the baseline, over the
+// pairs: runs of the same site, day and seed that both have.
 type Difference struct {
 	Pairs         int
-	Mean          float64 // of the way less the first
+	Mean          float64 // variant less baseline
 	StandardError float64 // standard error of the mean; NaN for fewer than two pairs
-	BetterPairs   int     // pairs in which the way is worth more
+	BetterPairs   int     // pairs in which the variant has the higher worth
 	WorsePairs    int
-	InvalidRuns   int // plays of the way with a rule broken or a fault
+	InvalidRuns   int // runs of the variant with a broken rule or a fault, paired or not
 }
 
-// compareTo returns a way's difference to the first.
-func compareTo(first, way Results) Difference {
+// pairedDifference returns the difference of a variant to the baseline.
+func pairedDifference(baseline, variant Results) Difference {
 	var d Difference
-	var each []float64
-	for pair, r := range way {
+	var differences []float64
+	for pair, r := range variant {
 		if len(r.BrokenRules) > 0 || r.Fault != nil {
 			d.InvalidRuns++
 		}
-		against := first[pair]
-		if against == nil {
+		reference := baseline[pair]
+		if reference == nil {
 			continue
 		}
-		x := r.Worth - against.Worth
-		each = append(each, x)
+		x := r.Worth - reference.Worth
+		differences = append(differences, x)
 		switch {
 		case x > 0:
 			d.BetterPairs++
@@ -37,13 +37,13 @@
 			d.WorsePairs++
 		}
 	}
-	d.Pairs = len(each)
-	d.Mean, d.StandardError = meanError(each)
+	d.Pairs = len(differences)
+	d.Mean, d.StandardError = meanAndError(differences)
 	return d
 }
 
-// meanError returns the mean of values and its standard error.
-func meanError(values []float64) (mean, standard float64) {
+// meanAndError returns the mean of values and its standard error.
+func meanAndError(values []float64) (mean, standard float64) {
 	n := float64(len(values))
 	if n == 0 {
 		return math.NaN(), math.NaN()
@@ -61,49 +61,50 @@
 	return mean, math.Sqrt(square / (n - 1) / n)
 }
 
-// worths returns by name what each part brings to the worth and each price
-// takes off it, on average over the plays of a way that the first has too.
-func worths(first, way Results) map[string]float64 {
+// meanContributions returns, by name, the mean contribution to the worth of each
+// part and price (negative), over the runs of a variant that the baseline has too.
+func meanContributions(baseline, variant Results) map[string]float64 {
 	out := make(map[string]float64)
 	pairs := 0.0
-	for pair := range way {
-		if first[pair] != nil {
+	for pair := range variant {
+		if baseline[pair] != nil {
 			pairs++
 		}
 	}
-	for pair, r := range way {
-		if first[pair] == nil {
+	for pair, r := range variant {
+		if baseline[pair] == nil {
 			continue
 		}
 		for _, f := range r.Parts {
-			out[f.name] += f.first * f.second / pairs
+			out[f.name] += f.amount * f.value / pairs
 		}
 		for _, f := range r.Prices {
-			out[f.name] -= f.second / pairs
+			out[f.name] -= f.value / pairs
 		}
 	}
 	return out
 }
 
-// moved returns the names whose worth any way moves by a threshold or more,
-// those that are moved most first.
-func moved(first map[string]float64, ways []map[string]float64, least float64) []string {
-	most := make(map[string]float64)
-	for _, w := range ways {
+// largestChanges returns the names of the parts and prices whose contribution
+// differs from the baseline by threshold or more in any variant, the largest change
+// first.
+func largestChanges(baseline map[string]float64, variants []map[string]float64, threshold float64) []string {
+	largest := make(map[string]float64)
+	for _, w := range variants {
 		for name := range w {
-			most[name] = max(most[name], math.Abs(w[name]-first[name]))
+			largest[name] = max(largest[name], math.Abs(w[name]-baseline[name]))
 		}
 	}
 	var out []string
-	for name, by := range most {
-		if by >= least {
+	for name, change := range largest {
+		if change >= threshold {
 			out = append(out, name)
 		}
 	}
 	slices.SortFunc(out, func(a, b string) int {
 		switch {
-		case most[a] != most[b]:
-			if most[a] > most[b] {
+		case largest[a] != largest[b]:
+			if largest[a] > largest[b] {
 				return -1
 			}
 			return 1
