--- a/proctest/lossplot/main.go
+++ b/proctest/lossplot/main.go
@@ -1,10 +1,10 @@
-// Command lossplot draws where the worth of a site's days went, by what it was
-// lost for, from entries of the journal: one bar for
-// each entry, of those days that all entries have.
+// Command lossplot plots the worth that a site's days lost, by cause, from
+// entries of the journal. It draws one bar per entry for each day that all
+// entries have.
 //
 //	go run ./proctest/lossplot -o docs/design/losses.svg ENTRY...
 //
-// ENTRY is the id of a score in journal/, the oldest first.
+// ENTRY is the id of a score in journal/; the oldest is given first.
 package main
 
 import (
@@ -21,51 +21,52 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// day is one played day of a journal's entry.
+// day is the result of one day in a journal entry.
 type day struct {
-	Name   string  `json:"name"`
-	Parts  []share `json:"parts"`  // name, weight, what was reached of 1
-	Prices []share `json:"prices"` // name, amount, what it took off the worth
+	Name   string      `json:"name"`
+	Parts  []component `json:"parts"`  // name, weight, score reached, from 0 to 1
+	Prices []component `json:"prices"` // name, amount, worth deducted
 }
 
-// share is a name with two figures, told as a list.
-type share struct {
+// component is a part of the worth or a price. It is encoded as a JSON array of
+// its name and two numbers.
+type component struct {
 	name          string
-	first, second float64
+	amount, value float64
 }
 
-// UnmarshalJSON reads a list of a name and two figures.
-func (s *share) UnmarshalJSON(data []byte) error {
-	row := []any{&s.name, &s.first, &s.second}
+// UnmarshalJSON decodes the array of a name and two numbers.
+func (s *component) UnmarshalJSON(data []byte) error {
+	row := []any{&s.name, &s.amount, &s.value}
 	return json.Unmarshal(data, &row)
 }
 
-// shownPrices are the prices that are drawn apart: the largest of the first
-// score of the further site. The others are summed.
-var shownPrices = []string{"seconds of stage work thrown away", "1,000 tokens of shared parts read again", "worth refused again"}
+// separatePrices are the prices with a bar segment of their own: the largest ones of
+// the first score of the further site. The others are summed.
+var separatePrices = []string{"seconds of stage work thrown away", "1,000 tokens of shared parts read again", "worth refused again"}
 
 const otherPrices = "other prices"
 
-// losses returns what a day lost, by cause, of a worth of 1.
+// losses returns the worth that a day lost, by cause; the maximum worth is 1.
 func (d *day) losses() map[string]float64 {
 	out := make(map[string]float64)
 	for _, p := range d.Parts {
-		out[p.name] += p.first * (1 - p.second)
+		out[p.name] += p.amount * (1 - p.value)
 	}
 	for _, p := range d.Prices {
 		name := otherPrices
-		for _, shown := range shownPrices {
+		for _, shown := range separatePrices {
 			if shown == p.name {
 				name = shown
 			}
 		}
-		out[name] += p.second
+		out[name] += p.value
 	}
 	return out
 }
 
 func main() {
-	out := flag.String("o", "losses.svg", "the picture to write; .svg or .png")
+	out := flag.String("o", "losses.svg", "file of the plot; .svg or .png")
 	journal := flag.String("journal", "journal", "the journal's folder")
 	flag.Parse()
 	if err := run(*out, *journal, flag.Args()); err != nil {
@@ -76,11 +77,11 @@
 
 func run(out, journal string, ids []string) error {
 	if len(ids) == 0 {
-		return errors.New("no entry of the journal is named")
+		return errors.New("the command line names no journal entry")
 	}
 	entries := make([][]day, 0, len(ids))
 	for _, id := range ids {
-		entry, err := read(journal, id)
+		entry, err := readDays(journal, id)
 		if err != nil {
 			return err
 		}
@@ -89,9 +90,9 @@
 	var days []day
 	var names []string
 	for _, first := range entries[0] {
-		same := sameDay(entries, first.Name)
+		same := daysNamed(entries, first.Name)
 		if len(same) < len(ids) {
-			continue // a day drawn for one entry
+			continue // not all entries have this day
 		}
 		days = append(days, same...)
 		for _, id := range ids {
@@ -106,8 +107,8 @@
 	return p.Save(vg.Length(left+each*len(days))*vg.Centimeter, height*vg.Centimeter, out)
 }
 
-// sameDay returns the day of a name in each entry that has it.
-func sameDay(entries [][]day, name string) []day {
+// daysNamed returns the days with a name, one for each entry that has it.
+func daysNamed(entries [][]day, name string) []day {
 	var out []day
 	for _, entry := range entries {
 		for _, d := range entry {
@@ -119,8 +120,8 @@
 	return out
 }
 
-// read returns the days of a journal's entry.
-func read(journal, id string) ([]day, error) {
+// readDays returns the days of a journal entry.
+func readDays(journal, id string) ([]day, error) {
 	files, err := filepath.Glob(filepath.Join(journal, "*-"+id+".json"))
 	if err != nil || len(files) != 1 {
 		return nil, fmt.Errorf("%s has %d entries named %s", journal, len(files), id)
@@ -138,15 +139,15 @@
 	return entry.Days, nil
 }
 
-// draw stacks each day's losses by cause.
+// draw returns a bar chart with the losses of each day stacked by cause.
 func draw(days []day, names []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Worth lost of 1, by cause"
 	p.Y.Label.Text = "worth"
 	p.Legend.Top = true
-	const roomForLegend = 0.75 // of worth, above the bars
+	const roomForLegend = 0.75 // y axis limit in worth, above the bars
 	p.Y.Max = roomForLegend
-	causes := append([]string{"whole day", "worst windows", "worst class"}, shownPrices...)
+	causes := append([]string{"whole day", "worst windows", "worst class"}, separatePrices...)
 	var below *plotter.BarChart
 	for i, cause := range append(causes, otherPrices) {
 		values := make(plotter.Values, len(days))
--- a/proctest/lossplot/main_test.go
+++ b/proctest/lossplot/main_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestAPictureIsWrittenOfTheDaysThatAllEntriesHave(t *testing.T) {
+func TestPlotShowsDaysOfAllEntries(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(dir, "1-one.json"), []byte(entry), 0o600))
