--- a/layers_test.go
+++ b/layers_test.go
@@ -1,4 +1,4 @@
-// Package quinceroad holds the tests of the tree as a whole.
+// Package quinceroad holds tests of the source tree as a whole.
 package quinceroad
 
 import (
@@ -16,10 +16,11 @@
 	"github.com/matryer/is"
 )
 
-// layers in the order of imports: a package may import its own layer and those after it.
+// layers lists the layers from top to bottom: a package may import packages of its
+// own layer and of those after it.
 var layers = []string{"proctest", "cmd", "platform", "transport", "protocol", "coordination", "state"}
 
-func TestImportsGoDownwards(t *testing.T) {
+func TestImportsFollowLayers(t *testing.T) {
 	is := is.New(t)
 	files := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -27,7 +28,7 @@
 			return err
 		}
 		if strings.HasPrefix(path, "platform/") && strings.HasSuffix(path, "_test.go") {
-			return nil // tests of the whole system before stand-ins of the platform
+			return nil // tests of the whole system import packages of higher layers
 		}
 		files++
 		from := slices.Index(layers, strings.Split(path, "/")[0])
@@ -39,17 +40,18 @@
 			name, _ := strconv.Unquote(i.Path.Value)
 			rest, ours := strings.CutPrefix(name, "quinceroad/")
 			if to := slices.Index(layers, strings.Split(rest, "/")[0]); ours && (from < 0 || to < from) {
-				t.Errorf("%s imports %s, which is above it", path, name)
+				t.Errorf("%s imports %s, which belongs to a higher layer", path, name)
 			}
 		}
 		return nil
 	})
 	is.NoErr(err)
-	is.True(files > 50) // the walk saw the tree
+	is.True(files > 50) // the walk has visited the tree
 }
 
-// Decisions are pure: no I/O, no goroutines, no clock, no random source of their own.
-func TestDecisionsArePure(t *testing.T) {
+// Decisions in coordination are pure: no I/O, no goroutines, no clock and no random
+// source of their own. The test checks the imports.
+func TestCoordinationIsPure(t *testing.T) {
 	banned := []string{"net", "net/http", "os", "io", "context", "sync/atomic", "log"}
 	err := filepath.WalkDir("coordination", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -69,20 +71,21 @@
 	is.New(t).NoErr(err)
 }
 
-// What must count time asleep goes by the process's clock: the plain one stands
-// still while the machine is suspended (docs/ARCHITECTURE.md, Time).
-func TestThePlainClockIsNotAskedForAges(t *testing.T) {
+// Ages and timeouts that must include the time during which the machine is
+// suspended use the clock of the process: the clock behind time.Now does not
+// advance during a suspension (docs/ARCHITECTURE.md, Time).
+func TestAgesUseTheProcessClock(t *testing.T) {
 	plain := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
 	allowed := regexp.MustCompile(strings.Join([]string{
-		`Set(Read|Write)?Deadline\(time\.Now\(\)\.Add\(`,      // of a connection: the runtime's own timers
-		`Incarnation: +process\.Incarnation\(time\.Now\(\)\)`, // a name of the start
-		`within = min\(within, time\.Until\(deadline\)\)`,     // of a dial, which a suspension breaks anyway
-		`n\.links\.Sweep\(time\.Now\(\)\)`,                    // sessions that rest too long cost memory alone
+		`Set(Read|Write)?Deadline\(time\.Now\(\)\.Add\(`,      // deadline of a connection: handled by the runtime's timers
+		`Incarnation: +process\.Incarnation\(time\.Now\(\)\)`, // identifies the start of the process
+		`within = min\(within, time\.Until\(deadline\)\)`,     // timeout of a dial, which a suspension breaks anyway
+		`n\.links\.Sweep\(time\.Now\(\)\)`,                    // sessions that stay idle for too long cost only memory
 	}, "|"))
 	files := 0
 	for _, dir := range []string{"cmd/node", "coordination", "state", "platform", "transport/upstream"} {
 		err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || path == "transport/upstream/call.go" { // that one is the first form's
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || path == "transport/upstream/call.go" { // call.go belongs to the deployment with entry and coord processes
 				return err
 			}
 			files++
