--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -151,7 +151,7 @@
 }
 
 // Invalid input is answered with a status, a code, a detail and the outcome
-// not_run, and causes no execution.
+// not_run. It causes no execution, and the entry continues to serve.
 func TestBadInput(t *testing.T) {
 	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	entry := "http://" + r.Entries()[0]
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -196,14 +196,14 @@
 	ep, ea := entryProcesses(r)
 	means, err := measureTwoGroups(procs, admins, ep, ea, func() {
 		for i := range int(measuringTime / revisionInterval) {
-			began := time.Now()
+			started := time.Now()
 			next := strings.Replace(text, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+i), 1)
 			if _, err := r.Confirm(next); err != nil {
 				failed = err
 				return
 			}
-			delays = append(delays, time.Since(began))
-			time.Sleep(revisionInterval - time.Since(began))
+			delays = append(delays, time.Since(started))
+			time.Sleep(revisionInterval - time.Since(started))
 		}
 	})
 	if err != nil || failed != nil {
--- a/proctest/experiment/main.go
+++ b/proctest/experiment/main.go
@@ -26,8 +26,8 @@
 	flag.StringVar(&o.bin, "bin", "bin", "folder of the binaries")
 	flag.StringVar(&o.scenario, "scenario", "", "only scenarios whose names contain this")
 	flag.StringVar(&o.policy, "policy", "", "only these, CHOICE:SHED, comma-separated, such as permits:2.5")
-	flag.StringVar(&o.bounds, "bounds", "proctest/experiment/bounds.toml", "least ratios to the best baseline")
-	flag.Uint64Var(&o.seed, "seed", 1, "of arrivals and inputs")
+	flag.StringVar(&o.bounds, "bounds", "proctest/experiment/bounds.toml", "file of the minimum ratios to the best baseline")
+	flag.Uint64Var(&o.seed, "seed", 1, "seed of arrivals and inputs")
 	flag.Parse()
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -98,12 +98,12 @@
 
 // utilization returns the share of the slots' time between the first and the last
 // arrival in which they were in use.
-func (n bottleneckStage) utilization(told []check.Told, journal []api.Execution) float64 {
-	if len(told) == 0 {
+func (n bottleneckStage) utilization(answers []check.Told, journal []api.Execution) float64 {
+	if len(answers) == 0 {
 		return 0
 	}
-	from, to := told[0].Intended.UnixMicro(), told[0].Intended.UnixMicro()
-	for _, t := range told {
+	from, to := answers[0].Intended.UnixMicro(), answers[0].Intended.UnixMicro()
+	for _, t := range answers {
 		from, to = min(from, t.Intended.UnixMicro()), max(to, t.Intended.UnixMicro())
 	}
 	sum := int64(0)
@@ -138,44 +138,44 @@
 
 // addCosts computes the share of wasted slot time and the cost by service from the
 // journal, and the refusal latency.
-func (f *metrics) addCosts(fl *fleet.Fleet, told []check.Told, journal []api.Execution) {
-	whole := make(map[string]bool)
+func (f *metrics) addCosts(fl *fleet.Fleet, answers []check.Told, journal []api.Execution) {
+	inTime := make(map[string]bool)
 	counted := make(map[string]bool)
-	for i := range told {
-		counted[told[i].ID] = true
-		whole[told[i].ID] = load.Whole(&told[i])
+	for i := range answers {
+		counted[answers[i].ID] = true
+		inTime[answers[i].ID] = load.Whole(&answers[i])
 	}
 	var total, wasted time.Duration
 	for _, x := range journal {
 		if !counted[x.Request] || x.FreeUS == 0 {
 			continue
 		}
-		took := time.Duration(x.FreeUS-x.StartUS) * time.Microsecond
-		total += took
-		if !whole[x.Request] {
-			wasted += took
+		duration := time.Duration(x.FreeUS-x.StartUS) * time.Microsecond
+		total += duration
+		if !inTime[x.Request] {
+			wasted += duration
 		}
 		if svc, ok := fl.Service(x.Service); ok {
-			f.StageCost[x.Service] += took.Seconds() * svc.Cost / float64(max(f.Whole, 1))
+			f.StageCost[x.Service] += duration.Seconds() * svc.Cost / float64(max(f.Whole, 1))
 		}
 	}
 	f.WastedShare = float64(wasted) / float64(max(total, 1))
-	f.RefusalLatency = medianRefusalLatency(told)
+	f.RefusalLatency = medianRefusalLatency(answers)
 }
 
 // medianRefusalLatency returns the median latency of refusals.
-func medianRefusalLatency(told []check.Told) time.Duration {
-	var took []time.Duration
-	for _, t := range told {
+func medianRefusalLatency(answers []check.Told) time.Duration {
+	var latencies []time.Duration
+	for _, t := range answers {
 		if t.Outcome == "not_run" {
-			took = append(took, t.Answered.Sub(t.Intended))
+			latencies = append(latencies, t.Answered.Sub(t.Intended))
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(took)
-	return took[len(took)/2]
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2]
 }
 
 // attainmentBound returns an upper bound of the share of requests that any
@@ -183,40 +183,40 @@
 // for any window of arrivals the bottleneck work of the completed requests must
 // fit into its slots between the window's start and its last deadline. Counting
 // the shortest requests first gives the largest number that fits.
-func (n bottleneckStage) attainmentBound(told []check.Told) float64 {
-	slices.SortFunc(told, func(a, b check.Told) int { return a.Intended.Compare(b.Intended) })
-	durations := make([]time.Duration, len(told))
-	for i, t := range told {
+func (n bottleneckStage) attainmentBound(answers []check.Told) float64 {
+	slices.SortFunc(answers, func(a, b check.Told) int { return a.Intended.Compare(b.Intended) })
+	durations := make([]time.Duration, len(answers))
+	for i, t := range answers {
 		durations[i] = work.Time(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
 	}
-	most := len(told)
+	bound := len(answers)
 	const windows = 8
 	for from := range windows {
 		for to := from + 1; to <= windows; to++ {
-			a, b := from*len(told)/windows, to*len(told)/windows
-			lost := b - a - countFitting(told[a:b], durations[a:b], n.slots)
-			most = min(most, len(told)-lost)
+			a, b := from*len(answers)/windows, to*len(answers)/windows
+			lost := b - a - countFitting(answers[a:b], durations[a:b], n.slots)
+			bound = min(bound, len(answers)-lost)
 		}
 	}
-	return float64(most) / float64(max(len(told), 1))
+	return float64(bound) / float64(max(len(answers), 1))
 }
 
 // countFitting returns the maximum number of requests of one window that fit into
-// the slots, where took holds their service times.
-func countFitting(told []check.Told, took []time.Duration, slots int) int {
-	if len(told) == 0 {
+// the slots, where durations holds their service times.
+func countFitting(answers []check.Told, durations []time.Duration, slots int) int {
+	if len(answers) == 0 {
 		return 0
 	}
-	span := told[len(told)-1].Intended.Sub(told[0].Intended) + told[len(told)-1].Deadline
-	room := time.Duration(slots) * span
-	short := slices.Clone(took)
-	slices.SortFunc(short, cmp.Compare[time.Duration])
+	span := answers[len(answers)-1].Intended.Sub(answers[0].Intended) + answers[len(answers)-1].Deadline
+	remaining := time.Duration(slots) * span
+	ascending := slices.Clone(durations)
+	slices.SortFunc(ascending, cmp.Compare[time.Duration])
 	n := 0
-	for _, d := range short {
-		if d > told[0].Deadline || d > room {
+	for _, d := range ascending {
+		if d > answers[0].Deadline || d > remaining {
 			break
 		}
-		room -= d
+		remaining -= d
 		n++
 	}
 	return n
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -102,7 +102,7 @@
 }
 
 // P4: a home that is frozen for longer than every timeout and then resumes does
-// not run a number twice that callers meanwhile retried at other entries.
+// not run a number again that callers meanwhile retried at other entries.
 func TestOnceHomeFrozen(t *testing.T) {
 	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore})
 	c := newCaller(r, 0)
@@ -136,8 +136,8 @@
 }
 
 // P4: when a home is killed after it dispatched a number, retries receive the
-// outcome unknown and never cause a second run, also after the home has started
-// again as a new incarnation.
+// outcome unknown or no answer and never cause a second run, also after the home
+// has started again as a new incarnation.
 func TestOnceHomeKilled(t *testing.T) {
 	r := deploy(t, rig.Options{ExampleDir: kalahari, EditStandins: slowStore})
 	c := newCaller(r, 0)
