--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -15,29 +15,29 @@
 	"quinceroad/state/fleet"
 )
 
-// figures are what one policy brought in one scenario.
-type figures struct {
+// metrics holds the results of one policy in one scenario.
+type metrics struct {
 	load.Summary
-	Bound      float64 // attainment no scheduler can exceed
-	Wasted     float64 // share of the slots' time spent on requests that were not whole
-	Refused    time.Duration
-	Busy       float64 // share of the bottleneck's slot time that was used
-	Violations int
-	StageCost  map[string]float64 // by service, for each whole answer
+	AttainmentBound float64       // upper bound of the attainment for any scheduler
+	WastedShare     float64       // share of slot time spent on requests that were not completed in time
+	RefusalLatency  time.Duration // median
+	Utilization     float64       // of the bottleneck's slots
+	Violations      int
+	StageCost       map[string]float64 // by service, per request completed in time
 }
 
-// measure runs one scenario under one policy.
-func measure(s scenario, p policy, bin string, seed uint64) (*figures, error) {
+// measure runs one scenario under one policy and returns its metrics.
+func measure(s scenario, p policy, bin string, seed uint64) (*metrics, error) {
 	dir, err := os.MkdirTemp("", "quince-experiment-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	var standins *upstream.Config
-	r, err := rig.Start(rig.Options{Example: s.example, Bin: bin, Dir: dir, Standin: func(c *upstream.Config) {
+	r, err := rig.Start(rig.Options{ExampleDir: s.example, BinDir: bin, OutputDir: dir, EditStandins: func(c *upstream.Config) {
 		for i := range c.Services {
-			c.Services[i].MeanMS *= stretch
-			c.Services[i].Streams = false // so that the times are known beforehand
+			c.Services[i].MeanMS *= slowdown
+			c.Services[i].Streams = false // so that the service times are known in advance
 		}
 		standins = c
 	}})
@@ -45,23 +45,23 @@
 		return nil, err
 	}
 	defer r.Close()
-	if _, err := r.Confirm(p.edit(r.Text)); err != nil {
+	if _, err := r.Confirm(p.editDeclaration(r.Declaration)); err != nil {
 		return nil, err
 	}
-	if s.before != nil {
-		if err := s.before(r); err != nil {
+	if s.prepare != nil {
+		if err := s.prepare(r); err != nil {
 			return nil, err
 		}
 	}
 	o := load.Options{Entries: r.Entries(), Mix: s.mix(r), Seed: seed}
-	n := bottleneck(r.Fleet, standins, o.Mix)
-	for _, st := range s.phases {
-		rate := st.share * n.rate()
-		o.Phases = append(o.Phases, load.Phase{Duration: time.Duration(st.seconds * float64(time.Second)), Rate: rate})
+	b := findBottleneck(r.Fleet, standins, o.Mix)
+	for _, step := range s.phases {
+		rate := step.utilization * b.capacity()
+		o.Phases = append(o.Phases, load.Phase{Duration: time.Duration(step.seconds * float64(time.Second)), Rate: rate})
 	}
 	faulted := make(chan error, 1)
-	if s.fault != nil {
-		time.AfterFunc(o.Phases[0].Duration, func() { faulted <- s.fault(r) })
+	if s.injectFault != nil {
+		time.AfterFunc(o.Phases[0].Duration, func() { faulted <- s.injectFault(r) })
 	} else {
 		faulted <- nil
 	}
@@ -73,35 +73,37 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &figures{Violations: len(check.All(r.Fleet, res.Responses, journal)), StageCost: make(map[string]float64)}
-	// The first phase teaches the estimates; it is not counted.
+	f := &metrics{Violations: len(check.All(r.Fleet, res.Responses, journal)), StageCost: make(map[string]float64)}
+	// The first phase serves to warm up the estimates and is not counted.
 	res.Responses = slices.DeleteFunc(res.Responses, func(t check.Response) bool { return t.Intended.Before(res.Start.Add(o.Phases[0].Duration)) })
 	f.Summary = res.Summarize()
-	f.account(r.Fleet, res.Responses, journal)
-	f.Busy = n.busy(res.Responses, journal)
-	f.Bound = n.bound(res.Responses)
+	f.addCosts(r.Fleet, res.Responses, journal)
+	f.Utilization = b.utilization(res.Responses, journal)
+	f.AttainmentBound = b.attainmentBound(res.Responses)
 	return f, nil
 }
 
-// neck is the stage of a mix whose service can do the least.
-type neck struct {
+// bottleneckStage is the stage of a pipeline whose service has the lowest
+// capacity.
+type bottleneckStage struct {
 	stage string
 	slots int
 	mean  time.Duration
 	sigma float64
 }
 
-// rate is how many requests a second its slots can do.
-func (n neck) rate() float64 { return float64(n.slots) / n.mean.Seconds() }
+// capacity returns the number of requests per second that the stage's slots can
+// run.
+func (n bottleneckStage) capacity() float64 { return float64(n.slots) / n.mean.Seconds() }
 
-// busy is the share of the slots' time between the first and the last arrival
-// in which they ran something.
-func (n neck) busy(told []check.Response, journal []api.Execution) float64 {
-	if len(told) == 0 {
+// utilization returns the share of the slots' time between the first and the last
+// arrival in which they were in use.
+func (n bottleneckStage) utilization(answers []check.Response, journal []api.Execution) float64 {
+	if len(answers) == 0 {
 		return 0
 	}
-	from, to := told[0].Intended.UnixMicro(), told[0].Intended.UnixMicro()
-	for _, t := range told {
+	from, to := answers[0].Intended.UnixMicro(), answers[0].Intended.UnixMicro()
+	for _, t := range answers {
 		from, to = min(from, t.Intended.UnixMicro()), max(to, t.Intended.UnixMicro())
 	}
 	sum := int64(0)
@@ -113,103 +115,108 @@
 	return float64(sum) / float64(max((to-from)*int64(n.slots), 1))
 }
 
-func bottleneck(f *fleet.Fleet, c *upstream.Config, mix []load.Mix) neck {
-	var least neck
+// findBottleneck returns the bottleneck of the pipeline of the mix's first part.
+func findBottleneck(f *fleet.Fleet, c *upstream.Config, mix []load.Mix) bottleneckStage {
+	var tightest bottleneckStage
 	p, _ := f.Pipeline(mix[0].Pipeline)
 	for _, st := range p.Stages {
 		for _, svc := range c.Services {
 			if svc.Name != st.Service {
 				continue
 			}
-			n := neck{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
+			n := bottleneckStage{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
 			for _, h := range svc.Halls {
 				n.slots += h.Replicas * svc.Slots
 			}
-			if least.slots == 0 || n.rate() < least.rate() {
-				least = n
+			if tightest.slots == 0 || n.capacity() < tightest.capacity() {
+				tightest = n
 			}
 		}
 	}
-	return least
+	return tightest
 }
 
-// account works out wasted time and cost by stage from the journal.
-func (f *figures) account(fl *fleet.Fleet, told []check.Response, journal []api.Execution) {
-	whole := make(map[string]bool)
+// addCosts computes the share of wasted slot time and the cost by service from the
+// journal, and the refusal latency.
+func (f *metrics) addCosts(fl *fleet.Fleet, answers []check.Response, journal []api.Execution) {
+	inTime := make(map[string]bool)
 	counted := make(map[string]bool)
-	for i := range told {
-		counted[told[i].ID] = true
-		whole[told[i].ID] = load.IsInTime(&told[i])
+	for i := range answers {
+		counted[answers[i].ID] = true
+		inTime[answers[i].ID] = load.IsInTime(&answers[i])
 	}
-	var all, wasted time.Duration
+	var total, wasted time.Duration
 	for _, x := range journal {
 		if !counted[x.Request] || x.FreeUS == 0 {
 			continue
 		}
-		took := time.Duration(x.FreeUS-x.StartUS) * time.Microsecond
-		all += took
-		if !whole[x.Request] {
-			wasted += took
+		duration := time.Duration(x.FreeUS-x.StartUS) * time.Microsecond
+		total += duration
+		if !inTime[x.Request] {
+			wasted += duration
 		}
 		if svc, ok := fl.Service(x.Service); ok {
-			f.StageCost[x.Service] += took.Seconds() * svc.Cost / float64(max(f.InTime, 1))
+			f.StageCost[x.Service] += duration.Seconds() * svc.Cost / float64(max(f.InTime, 1))
 		}
 	}
-	f.Wasted = float64(wasted) / float64(max(all, 1))
-	f.Refused = refusedAfter(told)
+	f.WastedShare = float64(wasted) / float64(max(total, 1))
+	f.RefusalLatency = medianRefusalLatency(answers)
 }
 
-// refusedAfter is the median time until a refusal was told.
-func refusedAfter(told []check.Response) time.Duration {
-	var took []time.Duration
-	for _, t := range told {
+// medianRefusalLatency returns the median latency of refusals.
+func medianRefusalLatency(answers []check.Response) time.Duration {
+	var latencies []time.Duration
+	for _, t := range answers {
 		if t.Outcome == "not_run" {
-			took = append(took, t.Answered.Sub(t.Intended))
+			latencies = append(latencies, t.Answered.Sub(t.Intended))
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(took)
-	return took[len(took)/2]
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2]
 }
 
-// bound is the share of requests whole in time that no scheduler can exceed,
-// knowing all times beforehand: in any window the whole ones' work at the
-// bottleneck must fit its slots from the window's start to its last deadline.
-// Taking the shortest first counts the most that fit.
-func (n neck) bound(told []check.Response) float64 {
-	slices.SortFunc(told, func(a, b check.Response) int { return a.Intended.Compare(b.Intended) })
-	took := make([]time.Duration, len(told))
-	for i, t := range told {
-		took[i] = work.ServiceTime(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
-	}
-	most := len(told)
+// attainmentBound returns an upper bound of the share of requests that any
+// scheduler can complete in time, even if it knows all service times in advance:
+// for any window of arrivals the bottleneck work of the completed requests must
+// fit into its slots between the window's start and its last deadline. Counting
+// the shortest requests first gives the largest number that fits.
+func (n bottleneckStage) attainmentBound(answers []check.Response) float64 {
+	slices.SortFunc(answers, func(a, b check.Response) int { return a.Intended.Compare(b.Intended) })
+	durations := make([]time.Duration, len(answers))
+	for i, t := range answers {
+		durations[i] = work.ServiceTime(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
+	}
+	bound := len(answers)
 	const windows = 8
 	for from := range windows {
 		for to := from + 1; to <= windows; to++ {
-			a, b := from*len(told)/windows, to*len(told)/windows
-			lost := b - a - fits(told[a:b], took[a:b], n.slots)
-			most = min(most, len(told)-lost)
+			a, b := from*len(answers)/windows, to*len(answers)/windows
+			lost := b - a - countFitting(answers[a:b], durations[a:b], n.slots)
+			bound = min(bound, len(answers)-lost)
 		}
 	}
-	return float64(most) / float64(max(len(told), 1))
+	return float64(bound) / float64(max(len(answers), 1))
 }
 
-func fits(told []check.Response, took []time.Duration, slots int) int {
-	if len(told) == 0 {
+// countFitting returns the maximum number of requests of one window that fit into
+// the slots, where durations holds their service times.
+func countFitting(answers []check.Response, durations []time.Duration, slots int) int {
+	if len(answers) == 0 {
 		return 0
 	}
-	span := told[len(told)-1].Intended.Sub(told[0].Intended) + told[len(told)-1].Deadline
-	room := time.Duration(slots) * span
-	short := slices.Clone(took)
-	slices.SortFunc(short, cmp.Compare[time.Duration])
+	span := answers[len(answers)-1].Intended.Sub(answers[0].Intended) + answers[len(answers)-1].Deadline
+	remaining := time.Duration(slots) * span
+	ascending := slices.Clone(durations)
+	slices.SortFunc(ascending, cmp.Compare[time.Duration])
 	n := 0
-	for _, d := range short {
-		if d > told[0].Deadline || d > room {
+	for _, d := range ascending {
+		if d > answers[0].Deadline || d > remaining {
 			break
 		}
-		room -= d
+		remaining -= d
 		n++
 	}
 	return n
