--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -77,9 +77,9 @@
 
 func (n *Node) renewRegistration(lease *uint64) error {
 	if *lease != 0 {
-		return n.store.Keep(*lease)
+		return n.store.RenewLease(*lease)
 	}
-	granted, err := n.store.Lease(registrationTTL)
+	granted, err := n.store.GrantLease(registrationTTL)
 	if err != nil {
 		return err
 	}
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -259,7 +259,7 @@
 		status, err = n.store.RolloutStatus(s.Order)
 	} else {
 		operation = "write " + step.WriteState.String()
-		err = n.store.WriteRollout(s, status, step.WriteState)
+		err = n.store.WriteRolloutStatus(s, status, step.WriteState)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			n.logRolloutStatus(&s, operation, status, err)
 		}
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -10,14 +10,14 @@
 // store is the part of the platform's store that a node uses. Tests replace it to
 // simulate an unresponsive store under a fake clock.
 type store interface {
-	Answers(timeout time.Duration) error
+	Probe(timeout time.Duration) error
 	Intent() (platform.Intent, error)
 	Replicas() (items map[string][]byte, revision uint64, err error)
 	Watch(t platform.Topic, after uint64, wait time.Duration) (items []platform.Entry, revision uint64, err error)
 	Instances() (items map[string][]byte, err error)
-	Lease(ttl time.Duration) (lease uint64, err error)
-	Keep(lease uint64) error
+	GrantLease(ttl time.Duration) (lease uint64, err error)
+	RenewLease(lease uint64) error
 	Register(name string, entry []byte, lease uint64) error
 	RolloutStatus(o rollout.Order) (rollout.Status, error)
-	WriteRollout(o rollout.OrderState, read rollout.Status, state rollout.State) error
+	WriteRolloutStatus(o rollout.OrderState, read rollout.Status, state rollout.State) error
 }
--- a/cmd/node/store_monitor.go
+++ b/cmd/node/store_monitor.go
@@ -75,7 +75,7 @@
 		if !n.isReader.Load() && !n.storeUnreachable() {
 			return
 		}
-		err := n.store.Answers(storeProbeTimeout)
+		err := n.store.Probe(storeProbeTimeout)
 		n.setStoreReachable(err == nil)
 		switch changed := n.storeMonitor.record(err == nil); {
 		case changed && err != nil:
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -69,7 +69,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)
 }
 
-func (s *fakeStore) Answers(timeout time.Duration) error {
+func (s *fakeStore) Probe(timeout time.Duration) error {
 	if _, unresponsive, _, _ := s.state(); unresponsive {
 		time.Sleep(timeout)
 		return errNoAnswer
@@ -78,7 +78,7 @@
 }
 
 func (s *fakeStore) Intent() (platform.Intent, error) {
-	if err := s.Answers(platform.CallTimeout); err != nil {
+	if err := s.Probe(platform.CallTimeout); err != nil {
 		return platform.Intent{}, err
 	}
 	version, _, _, _ := s.state()
@@ -111,21 +111,23 @@
 }
 
 func (s *fakeStore) Replicas() (map[string][]byte, uint64, error) {
-	return nil, 1, s.Answers(platform.CallTimeout)
+	return nil, 1, s.Probe(platform.CallTimeout)
 }
 func (s *fakeStore) Instances() (map[string][]byte, error) {
-	return nil, s.Answers(platform.CallTimeout)
+	return nil, s.Probe(platform.CallTimeout)
 }
-func (s *fakeStore) Lease(time.Duration) (uint64, error) { return 1, s.Answers(platform.CallTimeout) }
-func (s *fakeStore) Keep(uint64) error                   { return s.Answers(platform.CallTimeout) }
+func (s *fakeStore) GrantLease(time.Duration) (uint64, error) {
+	return 1, s.Probe(platform.CallTimeout)
+}
+func (s *fakeStore) RenewLease(uint64) error { return s.Probe(platform.CallTimeout) }
 func (s *fakeStore) RolloutStatus(rollout.Order) (rollout.Status, error) {
-	return rollout.Status{Known: true}, s.Answers(platform.CallTimeout)
+	return rollout.Status{Known: true}, s.Probe(platform.CallTimeout)
 }
-func (s *fakeStore) WriteRollout(rollout.OrderState, rollout.Status, rollout.State) error {
-	return s.Answers(platform.CallTimeout)
+func (s *fakeStore) WriteRolloutStatus(rollout.OrderState, rollout.Status, rollout.State) error {
+	return s.Probe(platform.CallTimeout)
 }
 func (s *fakeStore) Register(string, []byte, uint64) error {
-	return s.Answers(platform.CallTimeout)
+	return s.Probe(platform.CallTimeout)
 }
 
 // withFollower runs f with a node that follows a fake store, under a fake clock.
