--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -17,8 +17,8 @@
 	"quinceroad/protocol/event"
 )
 
-// advisories holds what replicas stated to this instance, drains that peers reported, and
-// the replicas' rate limits.
+// advisories holds the advisories that replicas sent to this instance (drains, backoffs and
+// rate limits) and those that peers reported.
 type advisories struct {
 	mu            sync.Mutex
 	tracker       *advisory.Tracker
@@ -49,8 +49,8 @@
 	return draining
 }
 
-// canSendLocked reports whether an incarnation may receive a request now, and from when
-// on it may. The caller must hold the lock.
+// canSendLocked reports whether an incarnation may receive a request now, and returns the
+// earliest time at which it may. The caller must hold the lock.
 func (a *advisories) canSendLocked(now time.Duration, incarnation string) (ok bool, from time.Duration) {
 	if ok, from = a.tracker.CanSend(now, incarnation); !ok {
 		return false, from
@@ -59,14 +59,14 @@
 	return from <= now, from
 }
 
-// backoffUntil returns until when an incarnation is in backoff for this instance.
+// backoffUntil returns the end of an incarnation's backoff for this instance.
 func (a *advisories) backoffUntil(now time.Duration, incarnation string) (until time.Duration, inBackoff bool) {
 	a.withTracker(func(t *advisory.Tracker) { until, inBackoff = t.BackoffUntil(now, incarnation) })
 	return until, inBackoff
 }
 
-// beginAttempt counts a request right before it is sent. The replica may have been chosen
-// a second ago, so advisories since then are checked again.
+// beginAttempt counts a request right before it is sent. It checks the advisories again,
+// because the replica may have been chosen a second ago.
 func (a *advisories) beginAttempt(now time.Duration, incarnation string) (attempt advisory.Attempt, ok bool) {
 	a.withTracker(func(t *advisory.Tracker) { attempt, ok = t.Begin(now, incarnation) })
 	return attempt, ok
@@ -83,10 +83,9 @@
 	auxiliary   bool // not an answer to a request or batch, or too late: absent headers mean nothing
 }
 
-// recordHead parses the head of an answer and records what the replica states in it. All
-// answers pass through here, whatever they answer, as a replica may state something only
-// once.
-func (n *Node) recordHead(from answerSource, attempt advisory.Attempt, header *fasthttp.ResponseHeader) platform.ResponseHead {
+// recordAnswerHead parses the head of an answer and records the advisories in it. All
+// answers of replicas pass through here, because a replica may send an advisory only once.
+func (n *Node) recordAnswerHead(from answerSource, attempt advisory.Attempt, header *fasthttp.ResponseHeader) platform.ResponseHead {
 	h := platform.ParseResponseHead(header.StatusCode(), func(name string) string { return string(header.Peek(name)) })
 	if from.incarnation == "" || h.WrongReplica { // another replica answered
 		return h
@@ -109,7 +108,8 @@
 }
 
 // recordUnknownField records a header or report field that this build doesn't understand.
-// It may be a request to change behavior, and should be noticed before it causes damage.
+// The field may ask for a change of behavior, so operators should see it before its
+// disregard causes damage.
 func (n *Node) recordUnknownField(service, name, source string) {
 	n.counters.unknownFields.Inc(1)
 	s := n.advisories
@@ -121,8 +121,8 @@
 	}
 }
 
-// recordStatedDrain records that an incarnation is draining, as stated by itself or
-// reported by a peer. No instance sends it requests for as long as it is listed.
+// recordStatedDrain records a drain that an incarnation stated to this instance or to a
+// peer. No instance sends it requests for as long as it is listed.
 func (n *Node) recordStatedDrain(incarnation, source string) {
 	isNew := false
 	n.advisories.withTracker(func(t *advisory.Tracker) { isNew = t.RecordDrain(n.now(), incarnation) })
@@ -133,8 +133,8 @@
 	n.publish()
 }
 
-// recordStatedBackoff records that an incarnation asked this instance for a backoff. Other
-// instances may have been asked for none, or for another one; to them it is a hint.
+// recordStatedBackoff records a backoff that an incarnation stated to this instance. Other
+// instances may have received another one or none; for them this one is only a hint.
 func (n *Node) recordStatedBackoff(from answerSource, duration time.Duration) {
 	now, isNew := n.now(), false
 	n.advisories.withTracker(func(t *advisory.Tracker) { isNew = t.RecordBackoff(now, from.incarnation, duration) })
@@ -163,7 +163,7 @@
 	}
 	now := n.now()
 	listed := make(map[string]string) // service by incarnation
-	for _, r := range n.world.Load().replicas {
+	for _, r := range n.snapshot.Load().replicas {
 		listed[r.ID] = r.Service
 	}
 	var changes advisory.Changes
@@ -193,7 +193,7 @@
 }
 
 // replicasInBackoff returns a service's replicas that are in backoff for this instance.
-// The owner that chooses for this instance can't know them.
+// The owner that chooses an engine for this instance has not received these backoffs.
 func (n *Node) replicasInBackoff(service string) []string {
 	now := n.now()
 	backoffs := make(map[string]time.Duration)
@@ -202,7 +202,7 @@
 		return nil
 	}
 	var out []string
-	for _, r := range n.world.Load().eligibleByService[service] {
+	for _, r := range n.snapshot.Load().eligibleByService[service] {
 		if _, ok := backoffs[r.ID]; ok {
 			out = append(out, r.ID)
 		}
@@ -210,9 +210,9 @@
 	return out
 }
 
-// deferFree keeps results to free until the replica's backoff is over, or for a while if
-// the replica has a rate limit, and reports whether it does. Results kept for the same
-// replica are freed by one call.
+// deferFree defers the call that frees results until the replica's backoff has ended, or
+// for a while if the replica has a rate limit, and reports whether it does. Deferred calls
+// to the same replica are merged into one.
 func (n *Node) deferFree(f pipeline.Free) bool {
 	now := n.now()
 	s := n.advisories
@@ -238,7 +238,7 @@
 	return true
 }
 
-// sendDeferredFree frees the results kept for a replica.
+// sendDeferredFree sends a replica's deferred call that frees results.
 func (n *Node) sendDeferredFree(incarnation string) {
 	s := n.advisories
 	s.mu.Lock()
@@ -246,7 +246,7 @@
 	delete(s.deferredFrees, incarnation)
 	_, inBackoff := s.tracker.BackoffUntil(n.now(), incarnation)
 	s.mu.Unlock()
-	if inBackoff { // the backoff exceeds the results' lifetime, or there is a new one
+	if inBackoff { // the backoff exceeds the results' lifetime, or a new one has begun
 		n.logSideCallFailure("free results", incarnation, errAdvisoryForbids)
 		return
 	}
@@ -257,7 +257,7 @@
 
 // resultTTL returns how long replicas of a service keep results.
 func (n *Node) resultTTL(service string) time.Duration {
-	c := n.world.Load().config
+	c := n.snapshot.Load().config
 	if c == nil || c.Services[service] == nil || c.Services[service].Pool == nil {
 		return 0
 	}
--- a/cmd/node/advisory_bench_test.go
+++ b/cmd/node/advisory_bench_test.go
@@ -27,7 +27,7 @@
 	from := answerSource{incarnation: "i-7f3a91c2", service: "s"}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.recordHead(from, advisory.Attempt{}, &h)
+		n.recordAnswerHead(from, advisory.Attempt{}, &h)
 	}
 }
 
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -25,11 +25,11 @@
 	replicaConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below the shortest wait of a client
 	defaultReplicaConnIdle = 6 * time.Second        // idle time of a connection to a replica that states none
 	maxAnswerBytes         = 64 << 20
-	timeoutObjectiveShare  = 0.6                     // part of the objective that a repeatable request waits for one replica
-	timeoutMeanFactor      = 4                       // multiple of the replica's mean answer time that it waits at least
-	eventGapFactor         = 5                       // multiple of the route's gap objective after which a resumable stream moves to another replica
-	minEventGapTimeout     = 2500 * time.Millisecond // clients abandon a silent stream after 2 s or more; a resumable one moves only when it would be lost anyway
-	clientWriteTimeout     = 5 * time.Second         // for a client to read an event
+	timeoutObjectiveShare  = 0.6                     // fraction of the objective that a repeatable request waits for one replica
+	timeoutMeanFactor      = 4                       // the wait is at least this multiple of the replica's mean answer time
+	eventGapFactor         = 5                       // multiple of the route's gap objective after which a resumable stream fails over to another replica
+	minEventGapTimeout     = 2500 * time.Millisecond // clients abandon a silent stream after 2 s or more; a resumable one fails over only when it would be lost anyway
+	clientWriteTimeout     = 5 * time.Second         // timeout for a client to read an event
 )
 
 // attempt is one send of a request to a replica.
@@ -41,10 +41,10 @@
 	exchange        *upstream.Exchange
 	head            platform.ResponseHead
 	advisoryAttempt advisory.Attempt
-	abortReason     atomic.Pointer[error] // why this instance aborted it; nil: it did not
+	abortReason     atomic.Pointer[error] // reason for which this instance aborted it; nil: not aborted
 	sentAt          time.Duration
 	suspendedBefore time.Duration // total time that the machine was suspended before the send
-	answerBegan     time.Duration // when the answer, or a stream's first event, arrived; 0: not yet
+	answerStartedAt time.Duration // when the answer, or a stream's first event, arrived; 0: not yet
 }
 
 // attempt sends the request to a replica and forwards the answer. It returns nil
@@ -62,8 +62,8 @@
 		}
 		return errNoReplicaReached
 	}
-	defer n.rollouts.startRequest(&r, !s.canMove())() // must precede the checks whether the replica may receive the request
-	if !s.allowedRegions().Allows(r.Region) || !n.mayReceive(s.service, r.ID) || !n.rollouts.tryRecordSend(n.world.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
+	defer n.rollouts.startRequest(&r, !s.canFailOver())() // must precede the checks of whether the replica may receive the request
+	if !s.allowedRegions().Allows(r.Region) || !n.admitSend(s.service, r.ID) || !n.rollouts.tryRecordSend(n.snapshot.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errNoReplicaReached
 	}
@@ -92,7 +92,7 @@
 	n.detectorMu.Lock()
 	n.loads.Begin(r.ID)
 	n.detectorMu.Unlock()
-	if n.crashesUnder(s.fingerprint) > 0 {
+	if n.crashCount(s.fingerprint) > 0 {
 		defer n.trackSuspect(s.fingerprint, r.ID)()
 	}
 	err = a.sendAndReceive(ctx, fetch)
@@ -165,7 +165,7 @@
 	}
 	n.detectorMu.Unlock()
 	if a.head.WrongReplica || a.closedAfterRefusal() {
-		n.recordDrainSign(a.replica.ID, "answer")
+		n.recordInferredDrain(a.replica.ID, "answer")
 	}
 	if kind == ending.Refused || kind == ending.MissingInputs {
 		a.record.MarkNotRun(a.token)
@@ -184,14 +184,14 @@
 		a.probe = n.recordBrokenAnswers(&a.replica, a.sentAt, a.fingerprint)
 	}
 	a.recordRollout(kind, suspended, took)
-	if evidence.Request == ending.RequestProbe && a.canMove() && len(a.tried) < a.route.MaxAttempts {
+	if evidence.Request == ending.RequestProbe && a.canFailOver() && len(a.tried) < a.route.MaxAttempts {
 		n.awaitLivenessProbe(ctx, a.probe) // without a further attempt there is nothing to wait for
 	}
 }
 
 // sendAndReceive sends the request and forwards the answer.
 func (a *attempt) sendAndReceive(ctx context.Context, fetch string) error {
-	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second)) // a fallback: normally the context ends the attempt
+	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second)) // fallback: normally the context ends the attempt
 	stop := context.AfterFunc(ctx, a.conn.Close)
 	defer stop()
 	defer a.node.activeRequests.add(a.replica.ID, func() { a.abort(errReplicaRestarted) })()
@@ -212,9 +212,9 @@
 	if err := x.ReadHead(a.isOwnAnswer); err != nil {
 		return a.abortReasonOr(errAnswerBroken)
 	}
-	a.head = a.node.recordHead(a.answerSource(), a.advisoryAttempt, &x.Header)
+	a.head = a.node.recordAnswerHead(a.answerSource(), a.advisoryAttempt, &x.Header)
 	a.lastReplicaDrains = a.head.Draining
-	a.answerBegan = a.node.now()
+	a.answerStartedAt = a.node.now()
 	return a.forwardAnswer(timer)
 }
 
@@ -234,7 +234,7 @@
 }
 
 // isOwnAnswer reports whether an answer belongs to this request. The advisories in
-// a late answer to another request are recorded all the same.
+// a late answer to another request are recorded as well.
 func (a *attempt) isOwnAnswer(h *fasthttp.ResponseHeader) bool {
 	id := string(h.Peek(platform.HeaderRequestID))
 	if id == a.req.ID || (id == "" && h.StatusCode() >= http.StatusBadRequest) {
@@ -242,7 +242,7 @@
 	}
 	lateSource := a.answerSource()
 	lateSource.auxiliary = true
-	a.node.recordHead(lateSource, advisory.Attempt{}, h)
+	a.node.recordAnswerHead(lateSource, advisory.Attempt{}, h)
 	return false
 }
 
@@ -345,15 +345,15 @@
 	return nil
 }
 
-// shouldRetryFailure reports whether another replica is tried after a replica
-// answered with a server error, and consumes the retry budget. Otherwise the
+// shouldRetryFailure reports whether to try another replica after a replica
+// answered with a server error, and consumes the retry budget if so. Otherwise the
 // client gets that answer.
 func (a *attempt) shouldRetryFailure() bool {
 	return a.route.Kind == catalog.Repeatable && len(a.tried) < a.route.MaxAttempts && a.hasUntriedReplica() && a.consumeRetryBudget()
 }
 
 func (a *attempt) hasUntriedReplica() bool {
-	for _, r := range replicasInRegions(a.allowedRegions(), a.node.world.Load().eligibleByService[a.service.Name]) {
+	for _, r := range replicasInRegions(a.allowedRegions(), a.node.snapshot.Load().eligibleByService[a.service.Name]) {
 		if !a.tried[r.ID] && !a.avoid[r.ID] {
 			return true
 		}
--- a/cmd/node/backoff.go
+++ b/cmd/node/backoff.go
@@ -11,10 +11,10 @@
 	"quinceroad/state/catalog"
 )
 
-// backoffError says that no eligible replica accepts requests now.
+// backoffError reports that no eligible replica accepts requests now.
 type backoffError struct {
-	now, until  time.Duration // until: when the first replica may receive a request again
-	rateLimited bool          // the first replica has a rate limit, it is not in backoff
+	now, until  time.Duration // until: earliest time at which a replica may receive a request again
+	rateLimited bool          // that replica has a rate limit and is not in backoff
 }
 
 // Error implements the error interface.
@@ -30,12 +30,12 @@
 // retryJitter returns a random delay to add to the retry time of a caller.
 func retryJitter() time.Duration { return time.Duration(newRandom().Float64() * float64(retrySpread)) }
 
-// errAllDraining says that all replicas of the service are draining.
+// errAllDraining reports that all replicas of the service are draining.
 var errAllDraining = errors.New("all replicas are leaving")
 
 const (
-	// Time over which callers return after a backoff, so that they don't arrive all at
-	// once: within it, a replica accepts some requests before it accepts any number.
+	// Time over which the retries of callers are spread after a backoff, so that they don't
+	// arrive all at once: a replica that resumes accepts only some requests at first.
 	retrySpread = time.Second
 
 	backoffPollInterval = 20 * time.Millisecond // below the usual duration of an answer
@@ -48,8 +48,8 @@
 )
 
 // sendableReplicas returns the replicas that may receive a request now. It returns a
-// backoffError if advisories and rate limits exclude all that the request has not tried
-// yet.
+// backoffError if advisories and rate limits exclude all replicas that the request has not
+// tried yet.
 func (s *requestHandler) sendableReplicas(now time.Duration, all []catalog.Replica) (sendable []catalog.Replica, err error) {
 	earliest, anyUntried, rateLimited := advisory.Never, false, false
 	s.node.advisories.withTracker(func(t *advisory.Tracker) {
@@ -88,14 +88,14 @@
 	return a
 }
 
-// checkServable returns an error if, according to what the replicas state, none can serve
-// the request in time. Its stages would be wasted work.
+// checkServable returns an error if, according to their advisories, no replica can serve
+// the request in time, so that running its stages would be wasted work.
 func (s *requestHandler) checkServable() error {
-	w := s.node.world.Load()
+	snap := s.node.snapshot.Load()
 	now := s.node.now()
-	listed := replicasInRegions(s.allowedRegions(), w.eligibleByService[s.service.Name])
+	listed := replicasInRegions(s.allowedRegions(), snap.eligibleByService[s.service.Name])
 	if len(listed) == 0 {
-		return s.checkAllDraining(w)
+		return s.checkAllDraining(snap)
 	}
 	_, err := s.sendableReplicas(now, listed)
 	var backoff *backoffError
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// latestUsefulAnswer returns the time by which an answer must begin to be of use.
+// latestUsefulAnswer returns the latest time at which an answer that begins is still of use.
 func (s *requestHandler) latestUsefulAnswer() time.Duration {
 	if s.route.Objective == 0 {
 		return s.deadline
@@ -115,9 +115,9 @@
 
 // checkAllDraining returns errAllDraining if the service has replicas and all of them are
 // draining.
-func (s *requestHandler) checkAllDraining(w *snapshot) error {
+func (s *requestHandler) checkAllDraining(snap *snapshot) error {
 	found := false
-	for _, r := range w.replicas {
+	for _, r := range snap.replicas {
 		if r.Service != s.service.Name {
 			continue
 		}
@@ -134,7 +134,8 @@
 
 // waitForBackoff waits until a replica may receive the request again, if that is better
 // than refusing it, and reports whether to try again. A request whose stages are done, or
-// whose answer has begun, waits for as long as the answer is of use, another one briefly.
+// whose answer has begun, waits for as long as the answer is of use, other requests wait
+// only briefly.
 func (s *requestHandler) waitForBackoff(ctx context.Context, err error) bool {
 	var backoff *backoffError
 	if !errors.As(err, &backoff) {
@@ -151,14 +152,15 @@
 	return process.Pause(ctx, min(max(backoff.until-now, backoffPollInterval), maxBackoffPoll))
 }
 
-// replaceForbiddenEngine has the owner choose another engine if the replica has stated
-// a backoff, drain or limit since the choice, or only to this instance: only the owner
-// knows the load of all engines. It asks once; the new choice is checked in the same way.
+// replaceForbiddenEngine has the owner choose another engine if an advisory forbids the
+// chosen one: the advisory may be newer than the choice, or was sent only to this instance.
+// The owner chooses, as only it knows the load of all engines. It is asked once; the new
+// choice is checked in the same way.
 func (s *requestHandler) replaceForbiddenEngine(ctx context.Context) {
 	if s.job == nil || s.job.engine == "" || s.service.Engine == nil {
 		return
 	}
-	if !s.mayUseOwnerChoice() {
+	if !s.canSendToOwnerChoice() {
 		s.requestNewEngine(ctx)
 	}
 }
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -25,18 +25,18 @@
 			ClientAddress: fmt.Sprintf("10.%d.0.%d:8625", i%9, i), PeerAddress: fmt.Sprintf("10.%d.0.%d:7740", i%9, i), HeartbeatAddress: fmt.Sprintf("10.%d.0.%d:7741", i%9, i), CPUShare: 400,
 		})
 	}
-	rows := make(map[string][]byte, replicas)
+	entries := make(map[string][]byte, replicas)
 	for i := range replicas {
-		rows[fmt.Sprintf("i-%08x", i)] = replicaEntry(b, &catalog.Replica{
+		entries[fmt.Sprintf("i-%08x", i)] = replicaEntry(b, &catalog.Replica{
 			Service: fmt.Sprint("s", i%17), Address: fmt.Sprintf("10.1.64.%d:8080", i%250), Hall: fmt.Sprint("hall-", i%9), Version: "v1", Slots: 8,
 		})
 	}
-	n.replicas.changeLog.Replace(rows, 100)
+	n.replicas.changeLog.Replace(entries, 100)
 	n.publish()
 	return n
 }
 
-// heartbeatOf returns a heartbeat without reports on replicas.
+// heartbeatOf returns a heartbeat with a gossip message and nothing else.
 func heartbeatOf(m gossip.Message) *pb.Heartbeat {
 	h := &pb.Heartbeat{}
 	for _, i := range m.Entries {
@@ -87,7 +87,7 @@
 	}
 }
 
-// replicaEntry returns a replica's entry as it stands in the store.
+// replicaEntry returns a replica's entry as in the store.
 func replicaEntry(t testing.TB, r *catalog.Replica) []byte {
 	t.Helper()
 	value, err := platform.FormatReplica(r, 4)
--- a/cmd/node/builds_test.go
+++ b/cmd/node/builds_test.go
@@ -12,10 +12,10 @@
 	"quinceroad/platform"
 )
 
-// Instances of different builds must compute the same results: the owner of a cell, its
-// replicas, and the key of an instance's counters. The values are those of all builds
-// since 006aa26.
-func TestBuildsComputeTheSame(t *testing.T) {
+// Instances of different builds must compute the same owner and replicas of a cell, and the
+// same key of an instance's heartbeat counters. All builds since 006aa26 compute the
+// expected values below.
+func TestOwnershipIsStableAcrossBuilds(t *testing.T) {
 	is := is.New(t)
 	is.Equal(platform.HashString("a request's id"), uint64(17239341863301912574))
 	is.Equal(rendezvous.Weight("key", "n1"), uint64(17248766005804674344))
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -17,7 +17,8 @@
 	"quinceroad/state/catalog"
 )
 
-// cell holds the scheduler of one cell and the requests that wait for its jobs.
+// cell is the state of one cell at its owner: the scheduler of its pools, the placement on
+// its engines, and the requests that wait for jobs or send grants.
 type cell struct {
 	owner *owner
 
@@ -33,19 +34,19 @@
 	grantQueues   map[string]*pace.Queue            // by service: requests waiting for a send grant of its engines
 	fingerprints  map[string]quarantine.Fingerprint // by request ID, while the stages run
 
-	throttledSince map[throttledCustomer]time.Duration // as of the last check; used by the owner's ticks only
+	throttledSince map[throttledCustomer]time.Duration // start of each customer's throttling, as of the last check; used by the owner's ticks only
 }
 
 func (c *cell) refresh() {
 	n := c.owner.node
-	w := n.world.Load()
-	if w.config == nil {
+	snap := n.snapshot.Load()
+	if snap.config == nil {
 		return
 	}
-	replicas := w.cellReplicas(c.number)
+	replicas := snap.cellReplicas(c.number)
 	c.runStep(func(now time.Duration) []pipeline.Action {
-		c.engines.SetEngines(w.config.Services, replicas)
-		return c.scheduler.SetPools(now, w.config.Services, replicas)
+		c.engines.SetEngines(snap.config.Services, replicas)
+		return c.scheduler.SetPools(now, snap.config.Services, replicas)
 	})
 }
 
@@ -98,22 +99,22 @@
 
 func (c *cell) runCall(ctx context.Context, call pipeline.Call) {
 	n := c.owner.node
-	startedAt, asleep := n.now(), n.clock.Asleep()
+	startedAt, suspendedBefore := n.now(), n.clock.Asleep()
 	replica := catalog.Replica{ID: call.Replica, Service: call.Service, Version: n.versionOf(call.Replica)}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer n.activeRequests.add(call.Replica, stop)()
-	leaveRollout := n.rollouts.startRequest(&replica, false) // items can be sent to another replica
+	finishRequest := n.rollouts.startRequest(&replica, false) // items can be sent to another replica
 	results, outcome := n.runBatch(ctx, call)
 	if outcome == pipeline.Broken || outcome == pipeline.TimedOut && n.quarantine.hasEnded(call.Replica) {
 		outcome = c.classifyBrokenCall(ctx, call, startedAt)
 	}
 	if outcome == pipeline.Answered {
-		c.releaseAfterResults(call.Service, leaveRollout)
+		c.releaseAfterResults(call.Service, finishRequest)
 	} else {
-		leaveRollout()
+		finishRequest()
 	}
-	n.recordRolloutBatch(&replica, endingOf(outcome, results), n.clock.Asleep() != asleep, n.now()-startedAt)
+	n.recordRolloutBatch(&replica, endingOf(outcome, results), n.clock.Asleep() != suspendedBefore, n.now()-startedAt)
 	c.logCall(call, results, n.now()-startedAt)
 	c.mu.Lock()
 	if cancel := c.calls[call.ID]; cancel != nil {
@@ -128,7 +129,7 @@
 		event.NodeCallLost.Log(n.log, "replica", call.Replica, "pieces", len(call.Items), "fate", int(outcome))
 	}
 	if outcome == pipeline.WrongReplica {
-		n.recordDrainSign(call.Replica, "stranger")
+		n.recordInferredDrain(call.Replica, "stranger")
 	}
 	c.runStep(func(now time.Duration) []pipeline.Action {
 		if until, inBackoff := n.advisories.backoffUntil(now, call.Replica); inBackoff {
@@ -138,13 +139,13 @@
 	})
 }
 
-// classifyBrokenCall finds out whether the replica of a broken call has crashed, which
+// classifyBrokenCall probes whether the replica of a broken call has crashed. A crash
 // counts against all requests in the call.
 func (c *cell) classifyBrokenCall(ctx context.Context, call pipeline.Call, sentAt time.Duration) pipeline.Outcome {
 	n := c.owner.node
 	fingerprints := c.callFingerprints(call)
-	check := n.recordBrokenAnswers(&catalog.Replica{ID: call.Replica, Service: call.Service, Address: call.Address}, sentAt, slices.Collect(maps.Values(fingerprints))...)
-	if !n.awaitLivenessProbe(ctx, check) {
+	probe := n.recordBrokenAnswers(&catalog.Replica{ID: call.Replica, Service: call.Service, Address: call.Address}, sentAt, slices.Collect(maps.Values(fingerprints))...)
+	if !n.awaitLivenessProbe(ctx, probe) {
 		return pipeline.Broken
 	}
 	for request, f := range fingerprints {
@@ -213,22 +214,22 @@
 	return strings.Join(out, "; ")
 }
 
-// prepare initializes a new cell with the current world and the reports of its replicas:
-// a previous owner may have left pools full and prompts cached in engines.
+// prepare initializes a new cell with the current snapshot and the reports of its replicas:
+// jobs of a previous owner may still fill the pools, and engines may have cached prompts.
 func (c *cell) prepare() {
 	c.prepareOnce.Do(func() {
 		c.refresh()
 		n := c.owner.node
 		c.seedSpeeds(n.combinedSpeeds())
-		w := n.world.Load()
-		if w.config == nil {
+		snap := n.snapshot.Load()
+		if snap.config == nil {
 			return
 		}
 		var reports sync.WaitGroup
-		for _, r := range w.cellReplicas(c.number) {
+		for _, r := range snap.cellReplicas(c.number) {
 			switch {
 			case !r.AcceptsWork():
-			case w.config.Services[r.Service].Pool != nil:
+			case snap.config.Services[r.Service].Pool != nil:
 				reports.Go(func() { c.loadReplicaReport(r) })
 			default:
 				go c.loadCacheReport(r) // in the background: the first requests don't have to wait for it
--- a/cmd/node/compatibility_test.go
+++ b/cmd/node/compatibility_test.go
@@ -22,7 +22,8 @@
 // trial leases. This build must understand their messages, and send messages that they
 // understand.
 
-// nodeWithOneReplica returns a node that knows one replica, in its second incarnation.
+// nodeWithOneReplica returns a node whose list of replicas has one entry, with a start
+// time.
 func nodeWithOneReplica(t *testing.T) *Node {
 	n := newNodeWithReplicas(t, 0)
 	n.replicas.changeLog.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
@@ -32,39 +33,41 @@
 	return n
 }
 
-// A peer of an older build reports a draining or paused replica by name.
-func TestANameMeansTheListedIncarnation(t *testing.T) {
+// A peer of an older build reports a draining or ejected replica by name, which denotes the
+// listed incarnation.
+func TestReplicaNameDenotesListedIncarnation(t *testing.T) {
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
-	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
+	is.Equal(len(n.snapshot.Load().eligibleByService["llm"]), 1)
 	sender := &pb.InstanceNews{Name: "old", Incarnation: 1, Count: 1}
 	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Sick: []*pb.SickReplica{{Id: "e1", LeftMs: 900}}})
 	is.True(n.ejectedReplicas()["e1@7"])
 	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1"}})
-	is.Equal(len(n.world.Load().eligibleByService["llm"]), 0)
+	is.Equal(len(n.snapshot.Load().eligibleByService["llm"]), 0)
 }
 
 // A peer of this build sends names for older peers, in addition to incarnations. They must
-// be ignored: the incarnation listed here may be the next one, which is not concerned.
+// be ignored: the incarnation listed here may be the next one, which the report does not
+// concern.
 func TestNamesFromANewBuildAreIgnored(t *testing.T) {
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
 	sender := &pb.InstanceNews{Name: "new", Incarnation: 1, Count: 1, Level: buildLevel}
 	n.handleHeartbeat(&pb.Heartbeat{News: []*pb.InstanceNews{sender}, Leaving: []string{"e1@6", "e1"}, LeavingStated: 1,
 		Sick: []*pb.SickReplica{{Id: "e1@6", LeftMs: 900}, {Id: "e1", LeftMs: 900}}})
-	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
+	is.Equal(len(n.snapshot.Load().eligibleByService["llm"]), 1)
 	is.Equal(len(n.ejectedReplicas()), 0)
 }
 
 // A drain that a replica stated lasts for as long as its incarnation is listed. One that was
 // only inferred expires, so that the replica is tried again.
-func TestAStatedDrainOutlastsAnObservedOne(t *testing.T) {
+func TestStatedDrainOutlastsInferredDrain(t *testing.T) {
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
 	source := &manualTime{}
 	n.clock = clock.From(source)
 	n.recordStatedDrain("e1@7", "its own")
-	n.recordDrainSign("e2", "peer")
+	n.recordInferredDrain("e2", "peer")
 	for range 100 {
 		source.elapsed += time.Minute
 		n.drainUpdates()
@@ -77,7 +80,7 @@
 	})}, 102)
 	n.publish()
 	is.True(n.replicaAcceptsWork("e1@8"))
-	is.Equal(len(n.world.Load().eligibleByService["llm"]), 1)
+	is.Equal(len(n.snapshot.Load().eligibleByService["llm"]), 1)
 }
 
 // manualTime is a clock source that a test advances.
@@ -95,12 +98,12 @@
 	is.Equal(n.incarnationOf("e1@7"), "e1@7")
 	is.Equal(n.incarnationOf("e1@6"), "e1@6") // another incarnation
 	is.Equal(n.incarnationOf("e9"), "e9")     // not listed
-	old := placementRequest(&pb.StagesAsk{Avoid: []string{"e1"}}, n.incarnationOf)
+	old := decodePlacementRequest(&pb.StagesAsk{Avoid: []string{"e1"}}, n.incarnationOf)
 	is.True(old.Avoid["e1@7"])
 	is.Equal(n.replicaIDFor("e1@7", &pb.StagesAsk{}), "e1")                             // from a build without incarnations
 	is.Equal(n.replicaIDFor("e1@7", &pb.StagesAsk{Fingerprint: 5}), "e1@7")             // from build cd1a42e or later
 	is.Equal(n.replicaIDFor("gone@3", &pb.StagesAsk{}), "gone@3")                       // no longer listed
-	is.Equal(n.announcedReplicaIDs([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while some instances don't know incarnations
+	is.Equal(n.announcedReplicaIDs([]string{"e1@7", "x"}), []string{"e1@7", "x", "e1"}) // while some instances don't support incarnations
 }
 
 // Replicas are identified both by incarnation and by name while an instance is alive that
@@ -120,7 +123,7 @@
 
 // An arbiter of an older build closes the stream of a request for a trial lease. The
 // requester moves on to the next arbiter and does not ask that one again.
-func TestATrialLeaseIsGivenDespiteOldArbiters(t *testing.T) {
+func TestTrialLeaseIsGrantedDespiteOldArbiters(t *testing.T) {
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
 	asked := make(chan frame.Kind, 100)
@@ -141,7 +144,7 @@
 	is.True(len(asked) <= 3) // each instance at most once
 }
 
-// A peer that does not know a frame kind reports that, which must not count as an answer.
+// A peer that does not support a frame kind refuses it, which must not count as an answer.
 func TestAnUnknownFrameIsRefused(t *testing.T) {
 	is := is.New(t)
 	n := nodeWithOneReplica(t)
--- a/cmd/node/config_test.go
+++ b/cmd/node/config_test.go
@@ -26,13 +26,13 @@
 				if broken[i] {
 					text = text[:len(text)/2]
 				}
-				n.offerConfiguration([]byte(text), from)
+				n.applyConfiguration([]byte(text), from)
 				inForce := n.configVersion()
 				if inForce < last || !broken[i] && inForce < uint64(versions[i]) {
 					t.Errorf("%s offers %d, in force %d then %d", from, versions[i], last, inForce)
 				}
-				if w := n.world.Load(); w.config != nil && w.config.Version < last {
-					t.Errorf("requests see %d after %d", w.config.Version, last)
+				if snap := n.snapshot.Load(); snap.config != nil && snap.config.Version < last {
+					t.Errorf("requests see %d after %d", snap.config.Version, last)
 				}
 				last = inForce
 			}
@@ -47,8 +47,8 @@
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n", StoreAddress: "127.0.0.1:1"}, hclog.NewNullLogger())
-	n.offerConfiguration([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
-	n.offerConfiguration([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
+	n.applyConfiguration([]byte(`{"version":7,"routes":[],"services":[]}`), "store")
+	n.applyConfiguration([]byte(`{"version":3,"routes":[],"services":[]}`), "peer")
 	is.Equal(n.configVersion(), uint64(7))
 	is.Equal(n.members.Self().ConfigVersion, uint64(7))
 }
--- a/cmd/node/counters.go
+++ b/cmd/node/counters.go
@@ -7,8 +7,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// counters are the metrics of the process. The names under which they are
-// registered are stable.
+// counters are the metrics of the process. Their registered names are stable.
 type counters struct {
 	registry            metrics.Registry
 	requests            metrics.Counter // requests accepted from clients
@@ -20,44 +19,44 @@
 	lostBatches         metrics.Counter
 	jobs                metrics.Counter // jobs admitted by this instance as an owner
 	jobsRefused         metrics.Counter
-	stageMillis         metrics.Counter // duration of the stages of all completed jobs, in milliseconds
+	stageMillis         metrics.Counter // total duration of the stages of all completed jobs, in milliseconds
 	expectedStageMillis metrics.Counter // expected duration of the same stages, in milliseconds
 	overrunJobs         metrics.Counter // jobs that took longer than expected
-	spilloverAsks       metrics.Counter // requests to owners in other regions, after the local owner refused
+	spilloverRequests   metrics.Counter // requests to owners in other regions after the local owner refused
 	spilloverRefusals   metrics.Counter // of these, the refused ones
 	remoteCacheLookups  metrics.Counter // requests to owners in other regions for cached prompt prefixes
 	remoteCacheHits     metrics.Counter // of these, the ones that named an engine
 	remoteTransfers     metrics.Counter // prompt prefixes that engines here fetch from other regions
 	remoteBytes         remoteByteCounters
 	remoteAttempts      metrics.Counter // attempts at replicas in other regions
-	drainedHalls        metrics.Counter // drains of halls, as learned by this instance
-	busyReplies         metrics.Counter // replies that told a peer to ask another instance
+	drainedHalls        metrics.Counter // drains of halls of which this instance was informed
+	busyReplies         metrics.Counter // replies that referred a peer to another instance
 	logDropped          metrics.Counter
 	storeOutages        metrics.Counter // outages of the store, as observed by this instance
 	cancelledStoreCalls metrics.Counter // calls cancelled because the store was unresponsive when it got them
 	invalidEntries      metrics.Counter // invalid entries of the replica list; each counts once until it is valid or removed
 	replicaRestarts     metrics.Counter // replicas that restarted under the same name
 	resumes             metrics.Counter // resumes after suspensions of the machine
-	replicaProbes       metrics.Counter // probes whether a replica has ended
-	quarantined         metrics.Counter // requests refused because replicas crashed under them
-	trialsDenied        metrics.Counter // suspect requests refused because their trial ran elsewhere
-	backoffs            metrics.Counter // backoffs requested by replicas
-	sendGrants          metrics.Counter // grants received for replicas with a rate limit
-	sendGrantDenials    metrics.Counter // grant requests that were denied
-	localSendGrants     metrics.Counter // grants from this instance's own part of a limit, as no grantor could be reached
-	unknownFields       metrics.Counter // unknown fields in replicas' responses
+	replicaProbes       metrics.Counter // liveness probes of replicas
+	quarantined         metrics.Counter // requests refused because they are quarantined
+	trialsDenied        metrics.Counter // suspect requests refused because they got no trial lease
+	backoffs            metrics.Counter // backoffs stated by replicas
+	sendGrants          metrics.Counter // send grants obtained for replicas with a rate limit
+	sendGrantDenials    metrics.Counter // requests for send grants that were denied
+	localSendGrants     metrics.Counter // send grants from this instance's own fraction of a limit, as no grantor could be reached
+	unknownFields       metrics.Counter // unknown fields in replicas' answers and reports
 }
 
-// remoteByteCounters count the bytes that this instance sends to other regions, and
-// those that it requests and receives from there, by kind: bodies of messages and
-// responses, without headers.
+// remoteByteCounters count, by kind, the bytes that this instance sends to other regions
+// and those that it requests and receives from there: the bodies of messages and answers,
+// without headers.
 type remoteByteCounters struct {
 	heartbeats   metrics.Counter
 	stages       metrics.Counter // requests to owners
 	cacheLookups metrics.Counter // requests for cached prefixes
 	pulls        metrics.Counter // received configurations and replica lists
 	requests     metrics.Counter // request bodies sent to replicas
-	answers      metrics.Counter // response bytes forwarded from there
+	answers      metrics.Counter // bytes of answers forwarded from there
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -76,7 +75,7 @@
 		stageMillis:         counter("node.jobs_staged_ms"),
 		expectedStageMillis: counter("node.jobs_expected_ms"),
 		overrunJobs:         counter("node.jobs_overran"),
-		spilloverAsks:       counter("node.regions.asks"),
+		spilloverRequests:   counter("node.regions.asks"),
 		spilloverRefusals:   counter("node.regions.asks_refused"),
 		remoteCacheLookups:  counter("node.regions.kept_asks"),
 		remoteCacheHits:     counter("node.regions.kept_found"),
@@ -109,8 +108,8 @@
 	}
 }
 
-// setReplicaGauges sets the gauges of how many replicas of each service are in a
-// state that they announced themselves.
+// setReplicaGauges sets the gauges with the number of each service's replicas that have
+// stated the given advisory.
 func (c *counters) setReplicaGauges(state string, byService map[string]int64) {
 	prefix := "node.replicas_" + state + "."
 	c.registry.Each(func(name string, m any) {
@@ -123,13 +122,13 @@
 	}
 }
 
-// setThrottled sets the gauge of throttled customers of a cell, counted once for
-// each pool that throttles them.
+// setThrottled sets the gauge with the number of throttled customers of a cell. A customer
+// counts once for each pool or engine service that throttles it.
 func (c *counters) setThrottled(cell, count int) {
 	metrics.GetOrRegisterGauge("node.customers_held."+strconv.Itoa(cell), c.registry).Update(int64(count))
 }
 
-// answers returns the counter of responses with an HTTP status.
+// answers returns the counter of answers to clients with an HTTP status.
 func (c *counters) answers(code int) metrics.Counter {
 	return metrics.GetOrRegisterCounter("node.answers."+strconv.Itoa(code), c.registry)
 }
--- a/cmd/node/customer_counts.go
+++ b/cmd/node/customer_counts.go
@@ -9,18 +9,18 @@
 // customerCount counts the outcomes of a customer's requests at one instance.
 type customerCount struct {
 	Sent, Served, NotServed int64
-	Beyond                  int64 // refused because the customer is over its share; included in NotServed
+	OverShare               int64 `json:"Beyond"` // refused because the customer is over its share; included in NotServed
 
 	recent float64 // decayed number of requests, without those over the share
 }
 
-// customerCounts counts by customer, at most maxCountedCustomers of them; all others are
-// counted together.
+// customerCounts counts requests by customer. Customers beyond the first
+// maxCountedCustomers are counted together, to bound memory.
 type customerCounts struct {
 	mu         sync.Mutex
 	byCustomer map[string]*customerCount
 	recent     float64       // sum over all customers
-	decayedAt  time.Duration // when the recent counts last decayed
+	decayedAt  time.Duration // time of the last decay of the recent counts
 }
 
 const (
@@ -79,7 +79,7 @@
 		n.Served++
 	case overShare:
 		n.NotServed++
-		n.Beyond++
+		n.OverShare++
 	default:
 		n.NotServed++
 	}
--- a/cmd/node/customer_share.go
+++ b/cmd/node/customer_share.go
@@ -9,8 +9,8 @@
 	"quinceroad/protocol/pb"
 )
 
-// encodeStanding returns how a request stands within its customer's share, as a message;
-// nil if it is within the share.
+// encodeStanding encodes a request's standing in its customer's share; nil if it is within
+// the share.
 func encodeStanding(s shares.Standing) *pb.Standing {
 	if s.Within {
 		return nil
--- a/cmd/node/customer_share_test.go
+++ b/cmd/node/customer_share_test.go
@@ -12,15 +12,15 @@
 	"quinceroad/protocol/pb"
 )
 
-// Owners of older builds send no standing; their refusals must not be reported as over the
-// customer's share.
+// Owners of older builds send no standing. Their refusals must not be reported to clients
+// as over the customer's share.
 func TestRefusalCarriesTheCustomersStanding(t *testing.T) {
 	is := is.New(t)
-	within := &refusedError{retryAfter: time.Second, forecast: forecastOf(&pb.StagesReply{Refused: true})}
+	within := &refusedError{retryAfter: time.Second, forecast: decodeForecast(&pb.StagesReply{Refused: true})}
 	is.True(within.forecast.standing.Within)
 	is.True(strings.HasPrefix(within.Error(), "stages refused"))
 	reply := &pb.StagesReply{Refused: true, Standing: encodeStanding(shares.Standing{Resource: "pool", Demand: 8, Share: 2})}
-	over := &refusedError{retryAfter: time.Second, forecast: forecastOf(reply)}
+	over := &refusedError{retryAfter: time.Second, forecast: decodeForecast(reply)}
 	is.Equal(over.forecast.standing, shares.Standing{Resource: "pool", Demand: 8, Share: 2})
 	is.True(strings.HasPrefix(over.Error(), "over its customer's share"))
 	is.Equal(encodeStanding(shares.Standing{Within: true}), nil)
@@ -50,7 +50,7 @@
 	all := c.snapshot()
 	is.Equal(len(all), maxCountedCustomers+1)
 	one := all["customer-1"]
-	is.Equal([]int64{one.Sent, one.Served, one.NotServed, one.Beyond}, []int64{3, 1, 2, 1})
+	is.Equal([]int64{one.Sent, one.Served, one.NotServed, one.OverShare}, []int64{3, 1, 2, 1})
 	part, of := c.recentShare(0, "customer-1")
 	is.Equal(of, uint32(5401)) // without the request over its share
 	is.Equal(part, float32(2.0/5401))
--- a/cmd/node/deadlines.go
+++ b/cmd/node/deadlines.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// longestDeadlines holds, by route, the longest deadline that a client has stated.
-// Clients state about this deadline in a first attempt, less the time of their
-// connection.
+// longestDeadlines holds, by route, the longest deadline that a client has stated. In a
+// first attempt, clients state about this deadline, less the time to connect; in a retry
+// they state the time that is left of it.
 type longestDeadlines map[string]time.Duration
 
-// minDeadlineGap is how much shorter than the route's longest deadline the deadline
-// of a retry is at least. A refused client waits 100 ms or more (the scheduler's
+// minDeadlineGap is the minimum difference between the route's longest deadline and the
+// deadline of a retry. A refused client waits 100 ms or more (the scheduler's
 // MinRetryAfter), and a first connection takes 10 to 30 ms.
 const minDeadlineGap = 70 * time.Millisecond
 
--- a/cmd/node/deadlines_test.go
+++ b/cmd/node/deadlines_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The connection time of a first attempt shortens its deadline by some ms. Two thirds
-// of all first attempts were once taken for retries, and admitted as such, as a few
-// ms less than a long deadline were enough.
+// The connection time of a first attempt shortens its deadline by some ms. When a few ms
+// less than the longest deadline sufficed to detect a retry, two thirds of all first
+// attempts were taken for retries and admitted as such.
 func TestConnectionTimeOfFirstAttemptIsNoRetry(t *testing.T) {
 	is := is.New(t)
 	d := make(longestDeadlines)
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -14,8 +14,8 @@
 	"quinceroad/platform"
 )
 
-// maxAddressTTL is the lifetime of a resolved list of addresses. Some clients keep it
-// three times as long, and a stopping instance must go on serving for that time.
+// maxAddressTTL is the lifetime of a resolved list of addresses. Some clients use a list
+// for three times as long, and a stopping instance must go on serving for that time.
 const maxAddressTTL = 1500 * time.Millisecond
 
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
@@ -23,10 +23,10 @@
 		http.NotFound(w, r)
 		return
 	}
-	question := platform.ParseAddressQuery(r.URL.Query())
-	c := addressClient{hall: question.Hall, region: cmp.Or(question.Region, n.places.RegionOf(question.Hall)), name: callerHost(r)}
-	if config := n.world.Load().config; config != nil {
-		c.allowedRegions = regions.Intersect(config.AllowedRegions(question.Host))
+	query := platform.ParseAddressQuery(r.URL.Query())
+	c := addressClient{hall: query.Hall, region: cmp.Or(query.Region, n.regionMap.RegionOf(query.Hall)), name: callerHost(r)}
+	if config := n.snapshot.Load().config; config != nil {
+		c.allowedRegions = regions.Intersect(config.AllowedRegions(query.Host))
 	}
 	answer := platform.AddressResponse{
 		Addresses:  selectAddresses(n.liveInstances(), c),
@@ -54,10 +54,10 @@
 }
 
 // selectAddresses returns the instances that a client may use: live instances that are
-// not leaving, those of its hall first. An answer has a maximum length. Which instances
-// of a larger fleet it holds differs between callers, so that all instances get their
-// share. It stays the same for one caller, because callers close their connections to
-// instances that their answer does not hold.
+// not leaving, those of its hall first. An answer has a maximum length. In a larger fleet
+// the selection differs between callers, so that all instances get their share, and stays
+// the same for one caller, because callers close their connections to instances that are
+// not in the answer.
 //
 // Clients choose randomly among the addresses of an answer. Instances of other regions
 // are therefore left out while the client's own region has enough: a request that goes
@@ -116,7 +116,7 @@
 
 // A region's clients get only the addresses of its own instances while it has at least
 // minLocalInstances of them and at least 1/maxRegionShortfall of the regions' average:
-// with fewer, these would get three times their usual load.
+// with fewer, each of these would get three times its usual load.
 const (
 	minLocalInstances  = 3
 	maxRegionShortfall = 3
--- a/cmd/node/directory_test.go
+++ b/cmd/node/directory_test.go
@@ -72,8 +72,8 @@
 	is.Equal(len(selectAddresses(alive[15:], addressClient{hall: "q", name: "x"})), 30) // a hall of no region
 }
 
-// HOME: clients of a host whose routes are restricted to regions get no addresses
-// in other regions when their own region has too few instances.
+// Clients of a host whose routes are restricted to regions get addresses only in these
+// regions and their own when their own region has too few instances.
 func TestRemoteAddressesAreInAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	alive := []gossip.Instance{{Name: "n", ClientAddress: "n", Region: "n"}, {Name: "s", ClientAddress: "s", Region: "s"}, {Name: "w", ClientAddress: "w", Region: "w"}}
--- a/cmd/node/evacuation.go
+++ b/cmd/node/evacuation.go
@@ -9,12 +9,12 @@
 )
 
 // changeDrainedHalls applies changes of the drained halls, from the store or a peer,
-// publishes a new world and announces the changes.
+// publishes a new snapshot and announces the changes.
 func (n *Node) changeDrainedHalls(from string, apply func(now time.Duration, v *evacuation.View) []evacuation.Change) {
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	changes := apply(n.now(), n.drainedHalls)
 	revision := n.drainedHalls.Revision()
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	if len(changes) == 0 {
 		return
 	}
@@ -33,11 +33,11 @@
 	}
 }
 
-// evacuationUpdate returns the drained halls for heartbeats.
-func (n *Node) evacuationUpdate() *pb.Evacuations {
-	n.followMu.Lock()
+// drainedHallsUpdate returns the drained halls for heartbeats.
+func (n *Node) drainedHallsUpdate() *pb.Evacuations {
+	n.watchedMu.Lock()
 	update := n.drainedHalls.Update(n.now())
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	out := &pb.Evacuations{Revision: update.Revision, Emptied: update.Drained}
 	for _, r := range update.Returned {
 		out.Returned = append(out.Returned, &pb.ReturnedHall{Hall: r.Hall, AgoMs: uint32(r.Age.Milliseconds())})
@@ -45,8 +45,8 @@
 	return out
 }
 
-// mergeEvacuations merges a peer's drained halls.
-func (n *Node) mergeEvacuations(from string, e *pb.Evacuations) {
+// mergeDrainedHalls merges a peer's drained halls.
+func (n *Node) mergeDrainedHalls(from string, e *pb.Evacuations) {
 	if e == nil {
 		return
 	}
@@ -57,14 +57,14 @@
 	n.changeDrainedHalls(from, func(now time.Duration, v *evacuation.View) []evacuation.Change { return v.Merge(now, update) })
 }
 
-// replicaAcceptsWork reports whether a replica may get new work, by the newest
-// information, which may be newer than the published world.
+// replicaAcceptsWork reports whether a replica may get new work according to the newest
+// data, which may be newer than the published snapshot.
 func (n *Node) replicaAcceptsWork(id string) bool {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
-	if _, draining := n.replicas.drainSigns[id]; draining || n.advisories.isDraining(id) {
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
+	if _, draining := n.replicas.inferredDrains[id]; draining || n.advisories.isDraining(id) {
 		return false
 	}
-	row, listed := n.replicas.byIncarnation[id]
-	return !listed || row.replica.AcceptsWork() && !n.drainedHalls.IsDrained(row.replica.Hall) && !n.rollouts.withholdsWork(&row.replica)
+	record, listed := n.replicas.byIncarnation[id]
+	return !listed || record.replica.AcceptsWork() && !n.drainedHalls.IsDrained(record.replica.Hall) && !n.rollouts.withholdsWork(&record.replica)
 }
--- a/cmd/node/grant_queue.go
+++ b/cmd/node/grant_queue.go
@@ -15,7 +15,7 @@
 const grantPollInterval = 20 * time.Millisecond // below the usual duration of an answer
 
 // queueForGrant adds the request to the grant queue if all its engines state rate limits.
-// It refuses a request that would be late because of that and returns false.
+// If the request would wait too long, it refuses the request and returns false.
 func (r *ownedRequest) queueForGrant(send func(*pb.StagesReply) error) bool {
 	c, n := r.cell, r.cell.owner.node
 	if !n.advisories.hasLimits.Load() {
@@ -38,7 +38,7 @@
 	}
 	n.counters.jobsRefused.Inc(1)
 	event.NodeTurnRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.maxGrantWait(), "per_second", supply.PerSecond)
-	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.maxGrantWait()).Microseconds()}) // on failure the peer sees the stream end
+	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.maxGrantWait()).Microseconds()}) // if sending fails, the peer sees the stream end
 	return false
 }
 
@@ -51,10 +51,10 @@
 }
 
 // allLimited reports whether all engines of the request's service state rate limits,
-// including those of other cells. Otherwise the instance that serves the request finds
-// an unlimited engine there.
+// including those of other cells. Otherwise the instance that serves the request can send
+// it to an unlimited engine of another cell.
 func (n *Node) allLimited(r *ownedRequest) bool {
-	for _, e := range n.world.Load().eligibleByService[r.request.Service] {
+	for _, e := range n.snapshot.Load().eligibleByService[r.request.Service] {
 		if !r.request.Avoid[e.ID] && !n.advisories.isLimited(e.ID) {
 			return false
 		}
--- a/cmd/node/isolation.go
+++ b/cmd/node/isolation.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	isolationTimeout  = 1500 * time.Millisecond // a trial's wait for an engine without other suspects, so that its outcome is unambiguous; most of them end by then
+	isolationTimeout  = 1500 * time.Millisecond // maximum wait of a trial for an engine without other suspects, so that its outcome is unambiguous; most suspects end by then
 	isolationInterval = 100 * time.Millisecond  // between requests for such an engine
 )
 
 // isolateSuspect has a suspect's engine chosen again if the choice can't be used any
-// more or more replicas have ended during the request since. It then waits a while
-// for an engine without other suspects. Only the owner sees which requests run
-// concurrently at an engine.
+// more or further replicas have crashed under the request since. It then waits up to
+// isolationTimeout for an engine without other suspects. The owner makes the choice, as
+// only it knows which requests run concurrently at an engine.
 func (s *requestHandler) isolateSuspect(ctx context.Context) {
 	if s.trial == nil || s.job == nil || s.service.Engine == nil {
 		return
@@ -33,16 +33,16 @@
 }
 
 // isEngineChoiceStale reports whether the chosen engine can't be used any more, or
-// was chosen before another replica ended during the request.
+// was chosen before another replica crashed under the request.
 func (s *requestHandler) isEngineChoiceStale() bool {
 	_, usable := s.ownerChoice()
-	return !usable || s.job.replicaEnds != s.node.crashesUnder(s.fingerprint)
+	return !usable || s.job.crashes != s.node.crashCount(s.fingerprint)
 }
 
 // hasConcurrentSuspects reports whether other suspects at the engine would make the
 // trial's outcome ambiguous.
 func (s *requestHandler) hasConcurrentSuspects() bool {
-	return s.job.replicaEnds >= placement.TrialThreshold && s.job.concurrentSuspects > 0
+	return s.job.crashes >= placement.TrialThreshold && s.job.concurrentSuspects > 0
 }
 
 // requestNewEngine asks the owner for another engine. If that fails or the owner has
@@ -65,6 +65,6 @@
 	if results != nil {
 		s.job = results.withEngineOf(engineJob)
 	}
-	s.job.replicaEnds = int(ask.Ended)
+	s.job.crashes = int(ask.Ended)
 	return engineJob.engine != ""
 }
--- a/cmd/node/level.go
+++ b/cmd/node/level.go
@@ -14,8 +14,8 @@
 // buildLevel is the feature level of this build.
 const buildLevel = level.Current
 
-// fleetLevel tracks the feature level that all instances support, and the features that
-// single instances were found to lack.
+// fleetLevel tracks the feature level that all instances support, and the instances that
+// were found not to support trial leases.
 type fleetLevel struct {
 	mu            sync.Mutex
 	tracker       level.Tracker
@@ -79,17 +79,17 @@
 // incarnationOf returns the incarnation of a replica that a peer refers to. Builds
 // without incarnations use the replica's name, which stands for the listed incarnation.
 func (n *Node) incarnationOf(id string) string {
-	if incarnation, ok := n.world.Load().incarnationByName[id]; ok {
+	if incarnation, ok := n.snapshot.Load().incarnationByName[id]; ok {
 		return incarnation
 	}
 	return id
 }
 
 // incarnationInHeartbeat returns the incarnation of a replica that a heartbeat refers
-// to, or false for a name that is meant for older builds: builds that know incarnations
-// send these as well, and the incarnation listed here may already be the next one.
+// to, or false for a name that is meant for older builds: builds that support incarnations
+// send names in addition, and the incarnation listed here may already be the next one.
 func (n *Node) incarnationInHeartbeat(h *pb.Heartbeat, id string) (string, bool) {
-	incarnation, isName := n.world.Load().incarnationByName[id]
+	incarnation, isName := n.snapshot.Load().incarnationByName[id]
 	switch {
 	case !isName:
 		return id, true
@@ -99,41 +99,41 @@
 	return incarnation, true
 }
 
-// usesIncarnations reports whether a task refers to replicas by their incarnations. All
-// builds that do so send a fingerprint.
-func usesIncarnations(task *pb.StagesAsk) bool { return task.Fingerprint != 0 }
+// usesIncarnations reports whether the sender of a StagesAsk refers to replicas by their
+// incarnations. All builds that do so send a fingerprint.
+func usesIncarnations(ask *pb.StagesAsk) bool { return ask.Fingerprint != 0 }
 
 // replicaNameOf returns the name of a listed replica by its incarnation, or "" if both
 // are the same.
-func (w *snapshot) replicaNameOf(incarnation string) string {
+func (snap *snapshot) replicaNameOf(incarnation string) string {
 	name := catalog.ReplicaName(incarnation)
-	if w.incarnationByName[name] != incarnation {
+	if snap.incarnationByName[name] != incarnation {
 		return ""
 	}
 	return name
 }
 
-// replicaIDFor returns the ID of a replica in the form that the sender of a task uses.
-func (n *Node) replicaIDFor(incarnation string, task *pb.StagesAsk) string {
-	if usesIncarnations(task) {
+// replicaIDFor returns the ID of a replica in the form that the sender of a StagesAsk uses.
+func (n *Node) replicaIDFor(incarnation string, ask *pb.StagesAsk) string {
+	if usesIncarnations(ask) {
 		return incarnation
 	}
-	if name := n.world.Load().replicaNameOf(incarnation); name != "" {
+	if name := n.snapshot.Load().replicaNameOf(incarnation); name != "" {
 		return name
 	}
 	return incarnation
 }
 
 // announcedReplicaIDs returns the IDs that identify replicas to all instances: the
-// incarnations, followed by the replica names while some instance may know only these.
+// incarnations, followed by the replica names while some instance may understand only these.
 func (n *Node) announcedReplicaIDs(incarnations []string) []string {
-	w := n.world.Load()
-	if len(incarnations) == 0 || len(w.incarnationByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
+	snap := n.snapshot.Load()
+	if len(incarnations) == 0 || len(snap.incarnationByName) == 0 || n.level.inForce() >= level.ReplicaIncarnations {
 		return incarnations
 	}
 	out := incarnations
 	for _, incarnation := range incarnations {
-		if name := w.replicaNameOf(incarnation); name != "" {
+		if name := snap.replicaNameOf(incarnation); name != "" {
 			out = append(out, name)
 		}
 	}
--- a/cmd/node/listeners.go
+++ b/cmd/node/listeners.go
@@ -20,9 +20,9 @@
 const (
 	maxHeaderBytes       = 256 << 10 // upper bound of the configurable limit
 	defaultMaxBodyBytes  = 4 << 20
-	defaultHeaderTimeout = 3 * time.Second  // the limit that deployments state
-	maxClientIdle        = 75 * time.Second // for a client's idle connection; longer than configurations allow
-	bodyTimeout          = 10 * time.Second // for the arrival of a body; longer than the deadlines of short requests
+	defaultHeaderTimeout = 3 * time.Second  // the limit that deployments configure
+	maxClientIdle        = 75 * time.Second // idle time of a client's connection; longer than configurations allow
+	bodyTimeout          = 10 * time.Second // timeout for the arrival of a body; longer than the deadlines of short requests
 )
 
 // listeners holds the process's HTTP servers.
@@ -144,7 +144,7 @@
 		return req, err
 	}
 	limit := int64(defaultMaxBodyBytes)
-	if c := n.world.Load().config; c != nil {
+	if c := n.snapshot.Load().config; c != nil {
 		if c.Limits.BodyBytes > 0 {
 			limit = c.Limits.BodyBytes
 		}
@@ -185,5 +185,6 @@
 	return n
 }
 
-// isDone reports whether the client has disconnected or the deadline has passed.
+// isDone reports whether the request's context has ended: the client has disconnected or
+// the deadline has passed.
 func isDone(ctx context.Context) bool { return ctx.Err() != nil }
--- a/cmd/node/liveness_probe.go
+++ b/cmd/node/liveness_probe.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	livenessProbeTimeout = replicaConnectTimeout  // for a replica's port to answer a probe
-	livenessProbeWait    = 150 * time.Millisecond // how long a request waits for the probe before it may be retried elsewhere; a port that refuses does so within a round trip
-	minConnectionTime    = 10 * time.Millisecond  // how long a connection must stay open to show that its replica runs: a replica that is ending closes its port shortly after its connections, and may still accept one
+	livenessProbeTimeout = replicaConnectTimeout  // timeout for a replica's port to answer a probe
+	livenessProbeWait    = 150 * time.Millisecond // maximum wait of a request for the probe before it may be retried elsewhere; a port that refuses does so within a round trip
+	minConnectionTime    = 10 * time.Millisecond  // minimum time for which a connection must stay open to prove that its replica runs: a replica that is ending closes its port shortly after its connections, and may still accept one
 	maxProbeConnections  = 3                      // per probe; if none stays open, the replica runs but serves no more connections
 	livenessProbeTTL     = 300 * time.Millisecond // one probe covers all answers of an incarnation that break off within this time: a replica that ends is not back sooner
 )
@@ -31,9 +31,9 @@
 // have broken off, and probes the replica.
 func (n *Node) recordBrokenAnswers(r *catalog.Replica, sentAt time.Duration, requests ...quarantine.Fingerprint) *livenessProbe {
 	incarnation := n.quarantine.incarnationAt(r.ID, sentAt)
-	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
+	n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, now time.Duration) (changes []quarantine.Change) {
 		for _, f := range requests {
-			changes = append(changes, b.RecordBroken(now, f, quarantine.IncarnationOf(incarnation))...)
+			changes = append(changes, t.RecordBroken(now, f, quarantine.IncarnationOf(incarnation))...)
 		}
 		return changes
 	})
@@ -56,16 +56,16 @@
 // recordAbandonedRequest records that this instance or the client ended a request before
 // its answer was complete. If the replica ends within seconds, the request may be the
 // cause: a client that sends such a request and disconnects at once must not go
-// unnoticed.
+// undetected.
 func (n *Node) recordAbandonedRequest(replica string, sentAt time.Duration, f quarantine.Fingerprint) {
 	incarnation := quarantine.IncarnationOf(n.quarantine.incarnationAt(replica, sentAt))
-	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordBroken(now, f, incarnation)
+	n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return t.RecordBroken(now, f, incarnation)
 	})
 }
 
-// incarnationEnds counts the ends of a replica that this instance has seen since the
-// last listed incarnation.
+// incarnationEnds counts the ends of a replica's incarnations that this instance has
+// observed since the listed one started.
 type incarnationEnds struct {
 	count int
 	last  time.Duration
@@ -142,15 +142,15 @@
 	}
 	switch {
 	case err == nil, errors.Is(err, errConnectionEnded):
-		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, _ time.Duration) []quarantine.Change {
-			b.RecordConnection(quarantine.IncarnationOf(incarnation))
+		n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, _ time.Duration) []quarantine.Change {
+			t.RecordConnection(quarantine.IncarnationOf(incarnation))
 			return nil
 		})
 	case errors.Is(err, syscall.ECONNREFUSED):
 		event.NodeReplicaEnded.Log(n.log, "replica", incarnation, "service", r.Service, "sign", "its port refuses")
 		n.quarantine.recordIncarnationEnd(n.now(), r.ID, incarnation)
-		n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-			return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
+		n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change {
+			return t.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 		})
 	}
 }
@@ -160,7 +160,7 @@
 
 // probeConnection opens a connection to a replica and checks that it stays open.
 func (n *Node) probeConnection(address string) error {
-	conn, err := n.clients.Dial(address, livenessProbeTimeout)
+	conn, err := n.replicaClient.Dial(address, livenessProbeTimeout)
 	if err != nil {
 		return err
 	}
@@ -174,8 +174,8 @@
 // recordReplicaRestart records that a replica runs a new incarnation.
 func (n *Node) recordReplicaRestart(listed string) {
 	incarnation := n.quarantine.incarnationAt(listed, n.now())
-	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordEnd(now, quarantine.IncarnationOf(incarnation))
+	n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return t.RecordEnd(now, quarantine.IncarnationOf(incarnation))
 	})
 }
 
@@ -183,7 +183,7 @@
 // announced.
 func (n *Node) recordReplicaRemoval(listed string) {
 	incarnation := n.quarantine.incarnationAt(listed, n.now())
-	n.updateQuarantine(causeReplicaEnd, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		return b.RecordRemoval(now, quarantine.IncarnationOf(incarnation))
+	n.updateQuarantine(causeReplicaEnd, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		return t.RecordRemoval(now, quarantine.IncarnationOf(incarnation))
 	})
 }
--- a/cmd/node/liveness_probe_test.go
+++ b/cmd/node/liveness_probe_test.go
@@ -10,8 +10,8 @@
 	"quinceroad/state/catalog"
 )
 
-// A replica that is ending may accept one more connection before its port is closed. It
-// was considered running, and its end was not counted.
+// A replica that is ending may accept one more connection before its port is closed. The
+// probe must not take it for a running one, or its end is not counted.
 func TestLivenessProbeOfAnEndingReplica(t *testing.T) {
 	is := is.New(t)
 	n := newTwoReplicaNode()
--- a/cmd/node/members.go
+++ b/cmd/node/members.go
@@ -86,7 +86,7 @@
 	n.sendHeartbeatTo(to, m, nil, nil)
 }
 
-// announceToSeeds announces this instance to the seeds of the settings, which may no
+// announceToSeeds announces this instance to the seeds of the settings. The seeds may no
 // longer exist.
 func (n *Node) announceToSeeds() {
 	var to []string
@@ -111,9 +111,9 @@
 	if len(to) == 0 {
 		return
 	}
-	draining, declared := n.drainUpdates()
+	draining, stated := n.drainUpdates()
 	h := &pb.Heartbeat{
-		Leaving: draining, LeavingStated: uint32(declared), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.evacuationUpdate(),
+		Leaving: draining, LeavingStated: uint32(stated), Sick: n.ejectionUpdates(), Changed: n.lastReplicaChange(), Evacuations: n.drainedHallsUpdate(),
 		Rollouts: n.rolloutUpdate(), Speeds: speeds, Quarantine: cases, Limits: n.limitUpdates(),
 	}
 	for _, i := range m.Entries {
@@ -155,11 +155,11 @@
 
 // ejectedReplicas returns the replicas that are ejected by this instance or its peers.
 func (n *Node) ejectedReplicas() map[string]bool {
-	w, now := n.world.Load(), n.now()
+	snap, now := n.snapshot.Load(), n.now()
 	out := make(map[string]bool)
 	n.detectorMu.Lock()
 	defer n.detectorMu.Unlock()
-	for _, r := range w.replicas {
+	for _, r := range snap.replicas {
 		if n.detector.IsEjected(now, r.ID) {
 			out[r.ID] = true
 		}
@@ -190,7 +190,7 @@
 	before := n.members.Self().Incarnation
 	for i, entry := range h.News {
 		isNew := n.members.Merge(now, decodeInstance(entry))
-		if isNew && (i == 0 || entry.Region == n.home) { // instances of other regions learn from those that they contact
+		if isNew && (i == 0 || entry.Region == n.home) { // instances of other regions receive the view from those that they contact
 			newPeers = append(newPeers, entry.Datagram)
 		}
 	}
@@ -210,7 +210,7 @@
 	if len(newPeers) > 0 {
 		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.quarantineSnapshot()) // a starting instance discovers the others at once
 	}
-	n.mergeEvacuations(senderOf(h), h.Evacuations)
+	n.mergeDrainedHalls(senderOf(h), h.Evacuations)
 	n.mergeRollouts(h)
 	n.pullMissing(now, h)
 	for i, id := range h.Leaving {
@@ -220,7 +220,7 @@
 		case i < int(h.LeavingStated):
 			n.recordStatedDrain(incarnation, senderOf(h))
 		default:
-			n.recordDrainSign(incarnation, "peer")
+			n.recordInferredDrain(incarnation, "peer")
 		}
 	}
 	n.recordRemoteEjections(now, h)
@@ -229,8 +229,9 @@
 	n.recordPeerLimits(senderOf(h), h.Limits)
 }
 
-// sendNewerIncarnation replies to a heartbeat with the sender's last known incarnation
-// if that counts as newer than the one it announces.
+// sendNewerIncarnation replies to a heartbeat with the sender's last recorded incarnation
+// if that counts as newer than the one that it announces, so that the sender can choose a
+// higher one.
 func (n *Node) sendNewerIncarnation(h *pb.Heartbeat) {
 	if len(h.News) == 0 {
 		return
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -1,7 +1,8 @@
-// Package node is the single process of an instance on the platform. It serves
-// clients, watches the configuration and the replicas, exchanges heartbeats with
-// the other instances, and schedules the pools that it owns. All instances run the
-// same code.
+// Package node implements quince-node, the process that runs on every instance. A node
+// serves clients' requests, follows the configuration, the replicas and the rollouts in
+// the platform's store, and exchanges heartbeats with the other nodes. For the cells
+// that it owns, it schedules stages on pools and places requests on engines. All
+// instances run the same code.
 package node
 
 import (
@@ -45,18 +46,18 @@
 	store           store
 	links           *link.Pool
 	traffic         link.Traffic
-	clients         *upstream.Client // clients of replicas
+	replicaClient   *upstream.Client // connections to replicas
 	registry        metrics.Registry
 	counters        counters
-	clock           *clock.Clock // includes the time during which the machine was suspended
-	places          *regions.Map
+	clock           *clock.Clock // its time includes suspensions of the machine
+	regionMap       *regions.Map
 	home            string                          // region of this instance
-	regionlessHalls sync.Map                        // halls without a region that have been logged
+	regionlessHalls sync.Map                        // halls without a region that were logged
 	remoteHosts     atomic.Pointer[map[string]bool] // hosts of instances in other regions; nil: none known
 
-	world atomic.Pointer[snapshot] // current snapshot for requests; a published world is immutable
+	snapshot atomic.Pointer[snapshot] // current snapshot for requests; immutable once it is published
 
-	followMu     sync.Mutex // guards the watched data from which a world is built
+	watchedMu    sync.Mutex // guards the watched data, from which snapshots are built
 	config       *catalog.Configuration
 	rawConfig    *rawConfig
 	replicas     *replicaSet
@@ -67,10 +68,10 @@
 	storeFailed  atomic.Bool // a call to the store has failed since startup
 	storeMonitor *storeMonitor
 	configPull   peerPull
-	listPull     peerPull
+	replicasPull peerPull
 	peerUpdates  updateServer
 
-	gossipMu sync.Mutex
+	gossipMu sync.Mutex // guards members
 	members  *gossip.View
 
 	speeds engineSpeeds // has its own lock
@@ -84,12 +85,12 @@
 	level          fleetLevel         // has its own lock; no other is acquired under it
 	customers      customerCounts     // has its own lock; no other is acquired under it
 
-	detectorMu sync.Mutex
-	detector   *health.Detector
-	loads      *balancer.Table
-	rates      map[string]*serviceRates
-	spillover  regionTrackers
-	deadlines  longestDeadlines
+	detectorMu     sync.Mutex // guards the fields up to deadlines
+	detector       *health.Detector
+	loads          *balancer.Table
+	rates          map[string]*serviceRates
+	regionTrackers regionTrackers
+	deadlines      longestDeadlines
 
 	owner *owner
 
@@ -118,10 +119,10 @@
 		settings:       s,
 		log:            log,
 		store:          platform.NewStore(s.StoreAddress),
-		clients:        upstream.WithClock(c),
+		replicaClient:  upstream.WithClock(c),
 		registry:       metrics.NewRegistry(),
 		clock:          c,
-		places:         regions.New(s.RegionByHall),
+		regionMap:      regions.New(s.RegionByHall),
 		replicas:       newReplicaSet(),
 		drainedHalls:   evacuation.New(),
 		warmUp:         newWarmUpLimiter(s),
@@ -135,13 +136,13 @@
 		loads:          balancer.NewTable(),
 		rates:          make(map[string]*serviceRates),
 		deadlines:      make(longestDeadlines),
-		spillover:      newRegionTrackers(),
+		regionTrackers: newRegionTrackers(),
 		stopPlan:       shutdown.NewPlan(s.GracePeriod),
 	}
 	n.seeds.Store(&s.Seeds)
 	n.links = link.NewPool(&n.traffic)
 	n.counters = newCounters(n.registry)
-	n.home = n.places.RegionOf(s.Hall)
+	n.home = n.regionMap.RegionOf(s.Hall)
 	n.members = gossip.New(gossip.Instance{
 		Name:             s.Name,
 		Hall:             s.Hall,
@@ -155,7 +156,7 @@
 	}, gossip.DefaultOptions())
 	n.owner = newOwner(n)
 	n.clock.OnWake(n.handleResume)
-	n.world.Store(&snapshot{regions: n.places, eligibleByService: make(map[string][]catalog.Replica)})
+	n.snapshot.Store(&snapshot{regionMap: n.regionMap, eligibleByService: make(map[string][]catalog.Replica)})
 	return n
 }
 
@@ -255,10 +256,10 @@
 // housekeeping periodically removes state that is no longer needed.
 func (n *Node) housekeeping(ctx context.Context) {
 	process.Every(ctx, housekeepingInterval, func() {
-		w := n.world.Load()
-		listed := make(map[string]bool, len(w.replicas))
-		addresses := make(map[string]bool, len(w.replicas))
-		for _, r := range w.replicas {
+		snap := n.snapshot.Load()
+		listed := make(map[string]bool, len(snap.replicas))
+		addresses := make(map[string]bool, len(snap.replicas))
+		for _, r := range snap.replicas {
 			listed[r.ID] = true
 			addresses[r.Address] = true
 		}
@@ -266,7 +267,7 @@
 		n.logDropped()
 		n.rollouts.prune()
 		n.pruneQuarantine()
-		n.clients.Forget(addresses)
+		n.replicaClient.Forget(addresses)
 		n.links.Sweep(time.Now())
 		n.detectorMu.Lock()
 		defer n.detectorMu.Unlock()
--- a/cmd/node/owned_request.go
+++ b/cmd/node/owned_request.go
@@ -17,8 +17,8 @@
 	"quinceroad/state/catalog"
 )
 
-// serveStagesStream serves one request that a peer sent; closing the stream ends the
-// request.
+// serveStagesStream serves one request of a peer to a cell's owner. The peer closes the
+// stream to end the request.
 func (o *owner) serveStagesStream(first []byte, stream net.Conn) {
 	ask := &pb.StagesAsk{}
 	if err := proto.Unmarshal(first, ask); err != nil {
@@ -53,7 +53,7 @@
 // results and the chosen engine, and then handles updates until the channel is closed.
 func (c *cell) serveRequest(ask *pb.StagesAsk, updates <-chan *pb.StagesNews, send func(*pb.StagesReply) error) {
 	c.prepare()
-	r := &ownedRequest{cell: c, ask: ask, startedAt: c.owner.node.now(), request: placementRequest(ask, c.owner.node.incarnationOf)}
+	r := &ownedRequest{cell: c, ask: ask, startedAt: c.owner.node.now(), request: decodePlacementRequest(ask, c.owner.node.incarnationOf)}
 	defer r.end()
 	results, ok := r.runStages(updates, send)
 	if !ok || !r.awaitGrant(updates, send) {
@@ -81,9 +81,9 @@
 }
 
 // runStages runs the request's stages, if it has any, and returns their results.
-func (r *ownedRequest) runStages(news <-chan *pb.StagesNews, send func(*pb.StagesReply) error) (pipeline.Deliver, bool) {
+func (r *ownedRequest) runStages(updates <-chan *pb.StagesNews, send func(*pb.StagesReply) error) (pipeline.Deliver, bool) {
 	c, n := r.cell, r.cell.owner.node
-	job := pipelineJob(r.ask)
+	job := decodeJob(r.ask)
 	if !r.queueForGrant(send) {
 		return pipeline.Deliver{}, false
 	}
@@ -124,7 +124,7 @@
 	}
 	for {
 		select {
-		case _, open := <-news:
+		case _, open := <-updates:
 			if !open {
 				return pipeline.Deliver{}, false
 			}
@@ -178,7 +178,7 @@
 	reply := &pb.StagesReply{Handles: results.Handles}
 	r.request.RemoteCache = r.awaitRemotePrefix()
 	paused := n.ejectedReplicas()
-	w := n.world.Load()
+	snap := n.snapshot.Load()
 	now := n.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,9 +187,9 @@
 	r.request.ID = c.lastRequestID
 	r.request.ResultBytes = results.BytesByHall
 	r.request.Slack -= now - r.startedAt
-	choice, ok := r.chooseEngine(now, paused, w.excludedByRollout(r.request.Service, r.ask.Newer))
+	choice, ok := r.chooseEngine(now, paused, snap.excludedByRollout(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
-		choice, ok = r.chooseEngine(now, paused, w.excludedByRollout(r.request.Service, false))
+		choice, ok = r.chooseEngine(now, paused, snap.excludedByRollout(r.request.Service, false))
 	}
 	if !ok {
 		return reply
@@ -218,12 +218,12 @@
 	if choice, ok := engines.Place(now, r.request); ok {
 		return choice, true
 	}
-	r.request.Avoid = excluded // a paused replica is better than none
+	r.request.Avoid = excluded // an ejected replica is better than none
 	return engines.Place(now, r.request)
 }
 
-// recordFirstEvent handles the engine's first event: it has read the results, which can
-// be freed.
+// recordFirstEvent handles the engine's first event: the engine has read the results of
+// the stages, which can be freed.
 func (r *ownedRequest) recordFirstEvent() {
 	c := r.cell
 	c.mu.Lock()
@@ -255,9 +255,9 @@
 	r.cell.engines.End(r.cell.owner.node.now(), r.request.ID)
 }
 
-// placementRequest converts a peer's message. incarnationOf resolves the replica names
-// that a peer of an older build sends instead of incarnations.
-func placementRequest(ask *pb.StagesAsk, incarnationOf func(id string) string) *placement.Request {
+// decodePlacementRequest converts a peer's message. incarnationOf resolves the replica
+// names that a peer of an older build sends instead of incarnations.
+func decodePlacementRequest(ask *pb.StagesAsk, incarnationOf func(id string) string) *placement.Request {
 	r := &placement.Request{
 		Service:      ask.Engine,
 		OutputTokens: int(ask.TokensOut),
@@ -277,7 +277,7 @@
 	return r
 }
 
-func pipelineJob(ask *pb.StagesAsk) pipeline.Job {
+func decodeJob(ask *pb.StagesAsk) pipeline.Job {
 	j := pipeline.Job{
 		RequestID:   ask.RequestId,
 		Key:         ask.Key,
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -17,7 +17,7 @@
 
 const (
 	schedulerTickInterval = 50 * time.Millisecond // a quarter of the shortest call
-	ownershipClaimTTL     = 2 * time.Second       // time after its last request for which a cell is announced as owned
+	ownershipClaimTTL     = 2 * time.Second       // time for which a cell is announced as owned after its last request
 )
 
 // owner runs the schedulers of the cells whose requests this instance receives.
@@ -85,8 +85,8 @@
 	return c
 }
 
-// announceOwnedCells tells the other instances which cells this instance owns: those
-// that received a request within ownershipClaimTTL.
+// announceOwnedCells announces the cells that this instance owns: those that received a
+// request within ownershipClaimTTL.
 func (o *owner) announceOwnedCells() {
 	n := o.node
 	var cells []uint32
@@ -119,7 +119,7 @@
 	return out
 }
 
-// refreshCells passes the current world to the schedulers.
+// refreshCells passes the current snapshot to the schedulers.
 func (o *owner) refreshCells() {
 	for _, c := range o.allCells() {
 		c.refresh()
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -19,9 +19,8 @@
 	"quinceroad/transport/datagram"
 )
 
-// A task that crashes its owner would be sent to the next one, and crash up to three,
-// like a request that crashes the replicas that run it. No message of a peer with
-// another version or a bug may crash this process.
+// No message of a peer with another version or a bug may crash this process. A StagesAsk
+// that crashes its owner would be sent to the successors and crash up to three instances.
 func TestNoPeerMessageCrashesAnInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newTwoReplicaNode()
@@ -68,13 +67,13 @@
 		"llm":  {Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 1000}},
 	}}
 	config.Index()
-	w := &snapshot{config: config, replicasLoaded: true, regions: n.places, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int)}
+	snap := &snapshot{config: config, replicasLoaded: true, regionMap: n.regionMap, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int)}
 	for _, id := range []string{"pool-1", "pool-2", "llm-1", "llm-2"} {
 		r := catalog.Replica{ID: id, Service: id[:len(id)-2], Hall: "h1", Address: "127.0.0.1:1", Slots: 4}
-		w.eligibleByService[r.Service] = append(w.eligibleByService[r.Service], r)
-		w.replicas = append(w.replicas, r)
+		snap.eligibleByService[r.Service] = append(snap.eligibleByService[r.Service], r)
+		snap.replicas = append(snap.replicas, r)
 	}
-	n.world.Store(w)
+	n.snapshot.Store(snap)
 	return n
 }
 
@@ -161,23 +160,23 @@
 	}
 }
 
-// A task of four billion items exhausted the memory of its owner.
+// A StagesAsk of four billion items exhausted the memory of its owner.
 func TestOutOfBoundsTaskIsRejected(t *testing.T) {
 	is := is.New(t)
-	task := func(items uint32, bytes int64, after ...uint32) *pb.StagesAsk {
+	ask := func(items uint32, bytes int64, after ...uint32) *pb.StagesAsk {
 		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: items, Bytes: bytes, After: after}}}
 	}
-	is.NoErr(validateStagesAsk(task(platform.MaxStageItems, 1<<20)))
-	for _, task := range []*pb.StagesAsk{
-		task(math.MaxUint32, 1),
-		task(1, -1),
-		task(1, 1, 0),
+	is.NoErr(validateStagesAsk(ask(platform.MaxStageItems, 1<<20)))
+	for _, ask := range []*pb.StagesAsk{
+		ask(math.MaxUint32, 1),
+		ask(1, -1),
+		ask(1, 1, 0),
 		{Stages: make([]*pb.StageWork, maxStages+1)},
 		{Parts: make([]*pb.PromptPart, platform.MaxPromptParts+1)},
 		{Parts: []*pb.PromptPart{{Tokens: math.MaxUint32}}},
 		{TokensOut: math.MaxUint32},
 		{SlackUs: math.MinInt64},
 	} {
-		is.True(validateStagesAsk(task) != nil)
+		is.True(validateStagesAsk(ask) != nil)
 	}
 }
--- a/cmd/node/pick.go
+++ b/cmd/node/pick.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		return err
 	}
-	job.replicaEnds = int(ask.Ended)
+	job.crashes = int(ask.Ended)
 	s.job = job
-	s.stagesTook, s.forecast = s.elapsed(), job.forecast
+	s.stagesDuration, s.forecast = s.elapsed(), job.forecast
 	return nil
 }
 
@@ -54,8 +54,8 @@
 		TokensOut: uint32(s.req.TokensOut),
 		SlackUs:   (s.route.Objective - s.elapsed()).Microseconds(),
 		Again:     s.isClientRetry() || s.stageReruns > 0 || len(s.tried) > 0,
-		Newer:     s.allowsTarget(s.node.world.Load()),
-		Ended:     uint32(s.node.crashesUnder(s.fingerprint)),
+		Newer:     s.allowsTarget(s.node.snapshot.Load()),
+		Ended:     uint32(s.node.crashCount(s.fingerprint)),
 
 		Fingerprint: uint64(s.fingerprint),
 		Customer:    boundedCustomerName(s.customer),
@@ -101,13 +101,13 @@
 		return r, s.job.fetchFrom, nil
 	}
 	n := s.node
-	world := n.world.Load() // replicas may have left since the request arrived
+	snap := n.snapshot.Load() // replicas may have drained since the request arrived
 	now := n.now()
-	listed := replicasInRegions(s.allowedRegions(), world.eligibleByService[s.service.Name])
-	if len(listed) == 0 && len(world.eligibleByService[s.service.Name]) > 0 {
+	listed := replicasInRegions(s.allowedRegions(), snap.eligibleByService[s.service.Name])
+	if len(listed) == 0 && len(snap.eligibleByService[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoAllowedRegion
 	}
-	newer, older := s.splitByTarget(world, listed)
+	newer, older := s.splitByTarget(snap, listed)
 	allowedNew, backoffNew := s.sendableReplicas(now, s.withinWarmUpQuota(now, newer))
 	allowedOld, backoffOld := s.sendableReplicas(now, s.withinWarmUpQuota(now, older))
 	n.detectorMu.Lock()
@@ -117,13 +117,13 @@
 		candidates = s.healthyCandidates(now, allowedOld, len(older))
 	}
 	if len(candidates) == 0 {
-		return catalog.Replica{}, "", s.noReplicaError(world, append(allowedNew, allowedOld...), earlierBackoff(backoffNew, backoffOld))
+		return catalog.Replica{}, "", s.noReplicaError(snap, append(allowedNew, allowedOld...), earlierBackoff(backoffNew, backoffOld))
 	}
 	candidates = n.withoutSuspects(candidates)
 	if s.service.Engine == nil {
 		return n.loads.PickReplica(now, n.distanceTo, candidates, newRandom()), "", nil
 	}
-	if s.trial != nil { // at random: by cached prefix, the requests that ran concurrently would go to the same engine again
+	if s.trial != nil { // at random: a choice by cached prefix would put the same requests together at one engine again
 		r := candidates[newRandom().IntN(len(candidates))]
 		return r, "", nil
 	}
@@ -133,7 +133,7 @@
 
 // healthyCandidates returns the candidates that are untried and not ejected, and
 // the ejected ones too if they are the majority; listed is the number of all
-// replicas. The caller holds judgeMu.
+// replicas. The caller holds detectorMu.
 func (s *requestHandler) healthyCandidates(now time.Duration, candidates []catalog.Replica, listed int) []catalog.Replica {
 	var healthy, ejected []catalog.Replica
 	for _, r := range candidates {
@@ -153,15 +153,15 @@
 
 // noReplicaError returns why there is no replica for the request; backoff is the
 // advisory error, if any, of the candidates that would otherwise be eligible.
-func (s *requestHandler) noReplicaError(w *snapshot, candidates []catalog.Replica, backoff error) error {
-	switch listed := len(w.eligibleByService[s.service.Name]); {
+func (s *requestHandler) noReplicaError(snap *snapshot, candidates []catalog.Replica, backoff error) error {
+	switch listed := len(snap.eligibleByService[s.service.Name]); {
 	case backoff != nil:
 		return backoff
-	case listed == 0 && s.checkAllDraining(w) != nil:
+	case listed == 0 && s.checkAllDraining(snap) != nil:
 		return errAllDraining
 	case listed > 0 && len(candidates) == 0:
 		return errReplicasWarming
-	case listed == 0 && w.serviceSizes[s.service.Name] > 0:
+	case listed == 0 && snap.serviceSizes[s.service.Name] > 0:
 		return errHallsDrained
 	}
 	return errNoReplicaReached
@@ -187,21 +187,21 @@
 	if s.job == nil || s.job.engine == "" || s.tried[s.job.engine] || s.avoid[s.job.engine] {
 		return catalog.Replica{}, false
 	}
-	for _, r := range s.node.world.Load().eligibleByService[s.service.Name] {
+	for _, r := range s.node.snapshot.Load().eligibleByService[s.service.Name] {
 		if r.ID == s.job.engine {
-			return r, s.mayUseOwnerChoice()
+			return r, s.canSendToOwnerChoice()
 		}
 	}
 	return catalog.Replica{}, false
 }
 
-// mayUseOwnerChoice reports whether the advisories of the owner's choice allow a
-// send. A send grant that the owner has taken belongs to the request.
-func (s *requestHandler) mayUseOwnerChoice() bool {
+// canSendToOwnerChoice reports whether the advisories of the engine that the owner chose
+// allow a send. A send grant that the owner has consumed belongs to the request.
+func (s *requestHandler) canSendToOwnerChoice() bool {
 	n := s.node
 	ok := false
-	n.advisories.withTracker(func(b *advisory.Tracker) {
-		if ok, _ = b.CanSend(n.now(), s.job.engine); ok && !s.job.hasSendGrant {
+	n.advisories.withTracker(func(t *advisory.Tracker) {
+		if ok, _ = t.CanSend(n.now(), s.job.engine); ok && !s.job.hasSendGrant {
 			ok = n.advisories.rateLimits.NextGrant(n.now(), s.job.engine) <= n.now()
 		}
 	})
@@ -228,7 +228,7 @@
 	isEjected := n.detector.IsEjected(now, id)
 	n.detectorMu.Unlock()
 	switch {
-	case signal == health.Full: // a full replica reports it with each request
+	case signal == health.Full: // not logged, as a full replica signals it for each request
 	case isEjected && !wasEjected:
 		event.NodeLeavesAlone.Log(n.log, "replica", id, "why", signal, "usual", serviceRate, "by", n.settings.Name)
 	case wasEjected && !isEjected:
--- a/cmd/node/pull.go
+++ b/cmd/node/pull.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	pullTimeout = time.Second // of one call to a peer
+	pullTimeout = time.Second // timeout of one call to a peer
 
 	// Delay before pulling from another hall, as an instance of the local hall may soon
-	// have the data. A reader also waits for it before it pulls from its own hall.
+	// have the data. A reader also waits this long before it pulls from its own hall.
 	otherHallPullDelay = 300 * time.Millisecond
 
 	// Delay before pulling from another region, for the same reason. Together with a pull
@@ -26,14 +26,14 @@
 	remoteRegionPullDelay = 900 * time.Millisecond
 
 	initialPullDelay = time.Second     // for a reader without any data
-	behindExpiry     = 2 * time.Second // after which behindSince is out of date
+	behindExpiry     = 2 * time.Second // age at which behindSince is out of date
 )
 
 // peerPull limits the pulls of one topic from peers to one at a time.
 type peerPull struct {
 	mu          sync.Mutex
 	inProgress  bool
-	behindSince time.Duration // when this instance was first found to be behind; 0: it is not
+	behindSince time.Duration // time since which this instance is behind a peer; 0: it is not
 }
 
 // tryStart reports whether to pull from a peer with newer data now, and marks the pull
@@ -73,10 +73,10 @@
 	if have := n.configVersion(); from.Configured > have && n.configPull.tryStart(now, n.pullDelay(from, have > 0)) {
 		go n.pullConfig(from.Link, have)
 	}
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	behind, have := n.replicas.changeLog.IsBehind(h.Changed), n.replicas.changeLog.Revision()
-	n.followMu.Unlock()
-	if behind && n.listPull.tryStart(now, n.pullDelay(from, have > 0)) {
+	n.watchedMu.Unlock()
+	if behind && n.replicasPull.tryStart(now, n.pullDelay(from, have > 0)) {
 		go n.pullReplicas(from.Link, have)
 	}
 }
@@ -89,7 +89,7 @@
 	case !hasAny && n.storeFailed.Load(), from.Hall == n.settings.Hall && !n.isReader.Load():
 		return 0
 	case !hasAny && n.isReader.Load():
-		return initialPullDelay // its read of the store is in progress
+		return initialPullDelay // its read from the store is in progress
 	}
 	if from.Region != n.home {
 		return remoteRegionPullDelay
@@ -110,7 +110,7 @@
 		return
 	}
 	defer n.configPull.finish()
-	n.mergeEvacuations(addr, answer.Evacuations) // before the configuration, which allows requests to be sent
+	n.mergeDrainedHalls(addr, answer.Evacuations) // before the configuration, which allows requests to be sent
 	n.mergeRolloutOrders(addr, answer.Rollouts)
 	if len(answer.Declaration) == 0 {
 		return
@@ -120,7 +120,7 @@
 		event.NodeConfigBroken.Log(n.log, "from", addr, "error", err)
 		return
 	}
-	n.offerConfiguration(text, "peer")
+	n.applyConfiguration(text, "peer")
 }
 
 // countPullBytes counts the bytes of an answer from another region.
@@ -146,9 +146,9 @@
 
 // answerConfigPull returns the configuration in force.
 func (n *Node) answerConfigPull() proto.Message {
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	config, raw := n.config, n.rawConfig
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	if config == nil {
 		return &pb.Config{}
 	}
@@ -157,7 +157,7 @@
 		n.counters.busyReplies.Inc(1)
 		return &pb.Config{Busy: true}
 	}
-	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.evacuationUpdate(), Rollouts: n.rolloutUpdate()}
+	return &pb.Config{Revision: config.Version, Declaration: packed, Evacuations: n.drainedHallsUpdate(), Rollouts: n.rolloutUpdate()}
 }
 
 func (n *Node) pullReplicas(addr string, have uint64) {
@@ -168,22 +168,22 @@
 		answer, err = decompressChanges(answer)
 	}
 	if err != nil {
-		n.listPull.finish()
+		n.replicasPull.finish()
 		n.logSideCallFailure("replicas", addr, err)
 		return
 	}
 	if answer.Busy {
-		n.listPull.finishBusy()
+		n.replicasPull.finishBusy()
 		return
 	}
-	defer n.listPull.finish()
+	defer n.replicasPull.finish()
 	update := changes.Update{Full: answer.Whole, HasGap: answer.Gapped, Revision: answer.At, LastChange: answer.Changed}
 	for _, e := range answer.Entries {
 		update.Entries = append(update.Entries, changes.Entry{ID: e.Id, Value: e.Value, Revision: e.Revision, Deleted: e.Gone})
 	}
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	n.replicas.changeLog.ApplyUpdate(update)
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(update.Entries), "at", update.Revision)
 	n.publish()
 	if have == 0 {
@@ -198,9 +198,9 @@
 		event.NodeMessageBroken.Log(n.log, "what", "replica changes request", "from", "", "error", err)
 		return &pb.ReplicaChanges{}
 	}
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	changed := n.replicas.changeLog.LastChange()
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	answer, size := n.peerUpdates.cached(ask.Have, changed)
 	if answer == nil {
 		answer, size = n.buildReplicasAnswer(ask.Have)
@@ -216,9 +216,9 @@
 // buildReplicasAnswer returns the changes since a revision and their size in bytes. A
 // long answer is compressed.
 func (n *Node) buildReplicasAnswer(have uint64) (*pb.ReplicaChanges, int) {
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	update := n.replicas.changeLog.UpdateSince(have)
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	out := &pb.ReplicaChanges{Whole: update.Full, Gapped: update.HasGap, At: update.Revision, Changed: update.LastChange}
 	for _, e := range update.Entries {
 		out.Entries = append(out.Entries, &pb.ReplicaEntry{Id: e.ID, Value: e.Value, Revision: e.Revision, Gone: e.Deleted})
--- a/cmd/node/pull_test.go
+++ b/cmd/node/pull_test.go
@@ -12,7 +12,8 @@
 
 const ms = time.Millisecond
 
-// However many heartbeats announce newer data, only one peer is asked at a time.
+// However many heartbeats announce newer data, this instance pulls from only one peer at a
+// time.
 func TestOnePullAtATime(t *testing.T) {
 	is := is.New(t)
 	p := &peerPull{}
@@ -24,20 +25,20 @@
 	is.True(p.tryStart(1100*ms, 0))
 }
 
-// An instance of another hall is asked only after a delay, in which a local one may get
-// the data.
-func TestAPeerInAnotherHallIsAskedLater(t *testing.T) {
+// A pull from an instance of another hall starts only after a delay, in which a local
+// instance may receive the data.
+func TestPullFromAnotherHallIsDelayed(t *testing.T) {
 	is := is.New(t)
 	p := &peerPull{}
 	is.True(!p.tryStart(1000*ms, otherHallPullDelay))
 	is.True(!p.tryStart(1200*ms, otherHallPullDelay))
 	is.True(p.tryStart(1300*ms, otherHallPullDelay))
 	p.finish()
-	is.True(!p.tryStart(1400*ms, otherHallPullDelay)) // the next update waits again
+	is.True(!p.tryStart(1400*ms, otherHallPullDelay)) // the next update is delayed again
 	is.True(p.tryStart(1450*ms, 0))                   // unless a local instance announces it
 	p.finish()
 	is.True(!p.tryStart(5000*ms, otherHallPullDelay))
-	is.True(!p.tryStart(9000*ms, otherHallPullDelay)) // the time since a need that was met otherwise does not count
+	is.True(!p.tryStart(9000*ms, otherHallPullDelay)) // the time since an update that arrived in another way does not count
 }
 
 func TestPeersReceiveACompressedConfiguration(t *testing.T) {
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -19,7 +19,8 @@
 
 var errQuarantined = errors.New(event.WhyCondemned)
 
-// quarantineTracker holds what an instance knows of requests that crash replicas.
+// quarantineTracker tracks the requests that crash replicas, as observed by this instance
+// and reported by peers.
 type quarantineTracker struct {
 	mu          sync.Mutex
 	tracker     *quarantine.Tracker
@@ -27,7 +28,7 @@
 	probes      map[string]*livenessProbe                      // by incarnation
 	ends        map[string]*incarnationEnds                    // by listed incarnation
 	trials      map[quarantine.Fingerprint]chan struct{}       // trials that run with this instance as arbiter; closed at their end
-	suspects    map[string]map[quarantine.Fingerprint]struct{} // by replica: suspect requests that this instance runs there
+	suspects    map[string]map[quarantine.Fingerprint]struct{} // by replica ID: suspect requests that this instance runs there
 }
 
 func newQuarantineTracker(jitter float64) *quarantineTracker {
@@ -49,7 +50,7 @@
 }
 
 // crashesUnder returns how many replicas have crashed under a request.
-func (n *Node) crashesUnder(f quarantine.Fingerprint) int {
+func (n *Node) crashCount(f quarantine.Fingerprint) int {
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -58,7 +59,7 @@
 }
 
 // updateQuarantine applies an event to the tracker, logs the changes and announces them.
-func (n *Node) updateQuarantine(cause string, apply func(b *quarantine.Tracker, now time.Duration) []quarantine.Change) {
+func (n *Node) updateQuarantine(cause string, apply func(t *quarantine.Tracker, now time.Duration) []quarantine.Change) {
 	q := n.quarantine
 	q.mu.Lock()
 	changes := apply(q.tracker, n.now())
@@ -113,7 +114,7 @@
 
 // recordCompleteAnswer records that a request got a complete answer.
 func (n *Node) recordCompleteAnswer(f quarantine.Fingerprint) {
-	n.updateQuarantine(causeAnswer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.RecordSuccess(now, f) })
+	n.updateQuarantine(causeAnswer, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change { return t.RecordSuccess(now, f) })
 }
 
 // quarantineUpdate returns the suspect and quarantined requests for a heartbeat.
@@ -121,7 +122,7 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return caseMessages(q.tracker.Announce(n.now()))
+	return encodeCases(q.tracker.Announce(n.now()))
 }
 
 // quarantineSnapshot returns all cases, for an instance that has just started.
@@ -129,24 +130,24 @@
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return caseMessages(q.tracker.Snapshot(n.now()))
+	return encodeCases(q.tracker.Snapshot(n.now()))
 }
 
-func caseMessages(entries []quarantine.Entry) []*pb.QuarantineCase {
+func encodeCases(entries []quarantine.Entry) []*pb.QuarantineCase {
 	var out []*pb.QuarantineCase
 	for _, e := range entries {
-		out = append(out, caseMessage(e))
+		out = append(out, encodeCase(e))
 	}
 	return out
 }
 
 func (n *Node) mergeQuarantine(cases []*pb.QuarantineCase) {
 	for _, c := range cases {
-		n.updateQuarantine(causePeer, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Merge(now, entryOf(c)) })
+		n.updateQuarantine(causePeer, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change { return t.Merge(now, decodeCase(c)) })
 	}
 }
 
-func caseMessage(e quarantine.Entry) *pb.QuarantineCase {
+func encodeCase(e quarantine.Entry) *pb.QuarantineCase {
 	c := &pb.QuarantineCase{Fingerprint: uint64(e.Fingerprint), AgeS: uint32(e.Age.Seconds())}
 	for _, inc := range e.Ended {
 		c.Ended = append(c.Ended, uint32(inc))
@@ -157,7 +158,7 @@
 	return c
 }
 
-func entryOf(c *pb.QuarantineCase) quarantine.Entry {
+func decodeCase(c *pb.QuarantineCase) quarantine.Entry {
 	e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(c.GetFingerprint()), Age: time.Duration(c.GetAgeS()) * time.Second}
 	for _, inc := range c.GetEnded() {
 		e.Ended = append(e.Ended, quarantine.Incarnation(inc))
@@ -170,7 +171,7 @@
 
 // pruneQuarantine removes expired cases, probes and crash counts.
 func (n *Node) pruneQuarantine() {
-	n.updateQuarantine(causeAge, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change { return b.Expire(now) })
+	n.updateQuarantine(causeAge, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change { return t.Expire(now) })
 	q := n.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/cmd/node/quarantine_state.go
+++ b/cmd/node/quarantine_state.go
@@ -7,12 +7,12 @@
 	"quinceroad/coordination/quarantine"
 )
 
-// QuarantineState is what a node knows of a request that replicas crashed under.
+// QuarantineState is a node's record of a request under which replicas crashed.
 type QuarantineState struct {
 	Fingerprint   string
 	Verdict       string
-	Ended         int    // replicas that crashed under it
-	Cleared       int    // replicas that ended while running it, before a complete answer cleared the request
+	Ended         int    // number of replicas that crashed under it
+	Cleared       int    // number of replicas that ended while running it before a complete answer cleared the request
 	LastRequested string `json:"Asked"` // time since a caller last sent it or its entry changed
 }
 
@@ -38,8 +38,8 @@
 		return fmt.Errorf("%q is no fingerprint", fingerprint)
 	}
 	found := false
-	n.updateQuarantine(causeOperator, func(b *quarantine.Tracker, now time.Duration) []quarantine.Change {
-		changes := b.Release(now, f)
+	n.updateQuarantine(causeOperator, func(t *quarantine.Tracker, now time.Duration) []quarantine.Change {
+		changes := t.Release(now, f)
 		found = len(changes) > 0
 		return changes
 	})
--- a/cmd/node/quarantine_test.go
+++ b/cmd/node/quarantine_test.go
@@ -13,17 +13,17 @@
 )
 
 // Without crashes the quarantine adds nothing to a heartbeat. With a hundred quarantined
-// requests, only the bounded number of cases that are repeated in rotation.
+// requests, a heartbeat carries a bounded number of cases, which rotate.
 func TestQuarantineHeartbeatSize(t *testing.T) {
 	is := is.New(t)
 	n := newTwoReplicaNode()
 	size := func() int { return proto.Size(&pb.Heartbeat{Quarantine: n.quarantineUpdate()}) }
 	is.Equal(size(), 0)
 	for f := 1; f <= 100; f++ {
-		n.updateQuarantine(causePeer, func(b *quarantine.Tracker, now time.Duration) (out []quarantine.Change) {
+		n.updateQuarantine(causePeer, func(tracker *quarantine.Tracker, now time.Duration) (out []quarantine.Change) {
 			for replica := range 3 {
-				out = append(out, b.RecordBroken(now, quarantine.Fingerprint(f), quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
-				out = append(out, b.RecordEnd(now, quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
+				out = append(out, tracker.RecordBroken(now, quarantine.Fingerprint(f), quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
+				out = append(out, tracker.RecordEnd(now, quarantine.IncarnationOf(fmt.Sprint(f, replica)))...)
 			}
 			return out
 		})
@@ -36,7 +36,7 @@
 	for range 100 {
 		n.quarantineUpdate()
 	}
-	t.Logf("%d bytes for a hundred while they are news, %d then", initial, size())
+	t.Logf("%d bytes for a hundred new ones, %d later", initial, size())
 	is.True(initial <= 1000)
 	is.True(size() <= 300)
 }
--- a/cmd/node/rate_limits.go
+++ b/cmd/node/rate_limits.go
@@ -16,10 +16,10 @@
 	// reach 390 instances within a second.
 	limitAnnounceWindow = 3 * time.Second
 
-	maxAnnouncedLimits = 16 // in one heartbeat, which must fit into a datagram
+	maxAnnouncedLimits = 16 // per heartbeat, which must fit into a datagram
 )
 
-// recordAnswerLimit processes the rate limit that an answer states, or its absence.
+// recordAnswerLimit records the rate limit that an answer states, or its absence.
 func (n *Node) recordAnswerLimit(from answerSource, h *platform.ResponseHead) {
 	switch {
 	case h.InvalidLimit != "":
@@ -29,8 +29,9 @@
 	}
 }
 
-// recordLimit processes a rate limit that a replica stated to this instance or to the
-// named one. A change that this instance learned from the replica is announced at once.
+// recordLimit records a rate limit that a replica stated to this instance, or to the
+// instance named by source. A change that the replica stated to this instance is
+// announced at once.
 func (n *Node) recordLimit(report pace.Report, source string) {
 	var previous pace.Limit
 	change, shouldLog := pace.Unchanged, false
@@ -60,12 +61,13 @@
 	}
 }
 
-// sourceOwnAnswer is logged as the source of what a replica stated to this instance.
+// sourceOwnAnswer is logged as the source of advisories that replicas sent to this
+// instance.
 const sourceOwnAnswer = "its own"
 
 // replicaByIncarnation returns a listed replica.
-func (w *snapshot) replicaByIncarnation(incarnation string) (catalog.Replica, bool) {
-	for _, r := range w.replicas {
+func (snap *snapshot) replicaByIncarnation(incarnation string) (catalog.Replica, bool) {
+	for _, r := range snap.replicas {
 		if r.ID == incarnation {
 			return r, true
 		}
@@ -74,12 +76,12 @@
 }
 
 func (n *Node) serviceOfIncarnation(incarnation string) string {
-	r, _ := n.world.Load().replicaByIncarnation(incarnation)
+	r, _ := n.snapshot.Load().replicaByIncarnation(incarnation)
 	return r.Service
 }
 
-// limitMessage returns the message with what this instance knows of a replica's limit.
-func (n *Node) limitMessage(incarnation string) *pb.ReplicaLimit {
+// limitOf returns the message with this instance's record of a replica's limit.
+func (n *Node) limitOf(incarnation string) *pb.ReplicaLimit {
 	out := &pb.ReplicaLimit{Id: incarnation}
 	n.advisories.withRateLimits(func(t *pace.Tracker) {
 		for _, report := range t.Reports(n.now(), incarnation) {
@@ -104,7 +106,7 @@
 	return &pb.ReplicaLimit{Id: r.Incarnation, PerSecond: r.Limit.PerSecond, Ended: !r.Limit.Stated, AgeMs: uint32(r.Age.Milliseconds())}
 }
 
-// recordPeerLimits processes the limits that a peer sent; invalid ones are skipped.
+// recordPeerLimits records the limits that a peer sent; invalid ones are skipped.
 func (n *Node) recordPeerLimits(from string, all []*pb.ReplicaLimit) {
 	for _, l := range all {
 		if l.GetId() == "" || len(l.GetId()) > maxIncarnationLength || !pace.IsValidRate(l.GetPerSecond()) {
@@ -124,7 +126,7 @@
 // notifyGrantor sends a heartbeat with the current limits to a replica's grantor, which
 // issues grants according to them.
 func (n *Node) notifyGrantor(incarnation string) {
-	r, ok := n.world.Load().replicaByIncarnation(incarnation)
+	r, ok := n.snapshot.Load().replicaByIncarnation(incarnation)
 	if !ok || n.socket == nil {
 		return
 	}
@@ -135,8 +137,8 @@
 	n.announceSelf([]string{grantor.HeartbeatAddress})
 }
 
-// sweepLimits drops limits of replicas that are no longer listed, and applies changes of
-// grantors.
+// sweepLimits removes limits of replicas that are no longer listed, and updates for which
+// replicas this instance is the grantor.
 func (n *Node) sweepLimits() {
 	s := n.advisories
 	hadNone := s.hadNoLimits
@@ -144,9 +146,9 @@
 	if s.hadNoLimits && hadNone {
 		return
 	}
-	w, now := n.world.Load(), n.now()
-	listed := make(map[string]catalog.Replica, len(w.replicas))
-	for _, r := range w.replicas {
+	snap, now := n.snapshot.Load(), n.now()
+	listed := make(map[string]catalog.Replica, len(snap.replicas))
+	for _, r := range snap.replicas {
 		listed[r.ID] = r
 	}
 	var incarnations []string
@@ -170,16 +172,16 @@
 }
 
 // limitedStates returns the rate limits and the grantors of replicas for the state dump.
-func (n *Node) limitedStates(w *snapshot) map[string]string {
+func (n *Node) limitedStates(snap *snapshot) map[string]string {
 	var limited map[string]float64
 	n.advisories.withRateLimits(func(t *pace.Tracker) { limited = t.Limits() })
 	grantors := n.grantorLookup()
 	out := make(map[string]string, len(limited))
 	for incarnation, perSecond := range limited {
 		grantor := "nobody"
-		if r, ok := w.replicaByIncarnation(incarnation); ok {
-			if k, ok := grantors.grantorOf(&r); ok {
-				grantor = k.Name
+		if r, ok := snap.replicaByIncarnation(incarnation); ok {
+			if g, ok := grantors.grantorOf(&r); ok {
+				grantor = g.Name
 			}
 		}
 		out[incarnation] = fmt.Sprintf("%g a second, turns by %s", perSecond, grantor)
--- a/cmd/node/rate_limits_test.go
+++ b/cmd/node/rate_limits_test.go
@@ -18,8 +18,8 @@
 	"quinceroad/state/catalog"
 )
 
-// Peers forward limits to each other. If encoding changed a limit slightly, it would count
-// as updated each time it came back and be announced forever.
+// Peers forward limits to each other. A limit that encoding changes slightly would count as
+// updated each time it came back, and be announced forever.
 func TestAnEchoedLimitIsUnchanged(t *testing.T) {
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n1", Hall: "h1"}, hclog.NewNullLogger())
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -30,18 +30,18 @@
 	return regionTrackers{availability: regions.NewAvailability(), roundTrips: regions.NewRoundTrips()}
 }
 
-// allowedRegions returns the regions that may serve the request by the configuration
-// in force, which may have changed since the request arrived.
+// allowedRegions returns the regions that may serve the request according to the
+// configuration in force, which may have changed since the request arrived.
 func (s *requestHandler) allowedRegions() regions.Allowed {
-	if config := s.node.world.Load().config; config != s.cachedRegionsConfig {
+	if config := s.node.snapshot.Load().config; config != s.cachedRegionsConfig {
 		s.cachedRegionsConfig, s.cachedRegions = config, s.allowedRegionsIn(config)
 	}
 	return s.cachedRegions
 }
 
-// allowedRegionsIn returns the regions that may serve the request by a
-// configuration. A route or customer that it no longer has restricts the request
-// as before.
+// allowedRegionsIn returns the regions that may serve the request according to a
+// configuration. If the configuration no longer has the request's route or customer,
+// their previous restrictions apply.
 func (s *requestHandler) allowedRegionsIn(config *catalog.Configuration) regions.Allowed {
 	route := config.Match(s.req.Host, s.req.Path)
 	if route == nil {
@@ -49,7 +49,7 @@
 	}
 	customer := config.Customers[s.req.Key]
 	if customer == nil {
-		customer = s.world.config.Customers[s.req.Key]
+		customer = s.snapshot.config.Customers[s.req.Key]
 	}
 	if route.Anonymous || customer == nil {
 		return regions.Intersect(route.AllowedRegions)
@@ -71,8 +71,8 @@
 	return out
 }
 
-// preferStageRegion returns the replicas in the region that has run the request's
-// stages, or in this instance's region if it has no job; all if there are none.
+// preferStageRegion returns the replicas in the region where the request's stages ran,
+// or in this instance's region if it has no job. If there are none, it returns all.
 func (s *requestHandler) preferStageRegion(all []catalog.Replica) []catalog.Replica {
 	region := s.node.home
 	if s.job != nil {
@@ -93,15 +93,15 @@
 // regionOrder returns the regions whose owners may be asked to run the request's
 // stages, in the order in which they are asked.
 func (s *requestHandler) regionOrder() []string {
-	n, w, allowed := s.node, s.node.world.Load(), s.allowedRegions()
+	n, snap, allowed := s.node, s.node.snapshot.Load(), s.allowedRegions()
 	hasInstances := make(map[string]bool)
 	for _, i := range n.liveInstances() {
 		hasInstances[i.Region] = true
 	}
 	var all []regions.Candidate
-	for _, region := range w.regions.Names() {
-		if allowed.Allows(region) && (region != "" || n.home == "" || w.hasPooledReplicas("")) {
-			all = append(all, regions.Candidate{Region: region, HasReplicas: w.hasReplicasFor(region, s.route, s.service.Name), HasInstances: hasInstances[region]})
+	for _, region := range snap.regionMap.Names() {
+		if allowed.Allows(region) && (region != "" || n.home == "" || snap.hasPooledReplicas("")) {
+			all = append(all, regions.Candidate{Region: region, HasReplicas: snap.hasReplicasFor(region, s.route, s.service.Name), HasInstances: hasInstances[region]})
 		}
 	}
 	return regions.OrderCandidates(n.home, all, s.req.ID)
@@ -114,10 +114,10 @@
 	if len(order) == 0 {
 		return nil, errNoAllowedRegion
 	}
-	mayBeLate := s.node.settings.AllowsLate()
-	ask.LateToo = mayBeLate && len(order) == 1
+	allowsLate := s.node.settings.AllowsLate()
+	ask.LateToo = allowsLate && len(order) == 1
 	for i, region := range order {
-		if i > 0 && !s.isWorthAsking(region) {
+		if i > 0 && !s.canSpillOverTo(region) {
 			continue
 		}
 		askedAt := s.node.now()
@@ -139,34 +139,34 @@
 		}
 	}
 	var refused *refusedError
-	if !mayBeLate || ask.LateToo || !errors.As(err, &refused) {
+	if !allowsLate || ask.LateToo || !errors.As(err, &refused) {
 		return nil, err
 	}
-	ask.LateToo = true // no region can be in time: the first one may be late
+	ask.LateToo = true // no region can meet the objective: the first one may be late
 	return s.runStagesIn(ctx, ask, order[0])
 }
 
 // runStagesIn has the request's stages run in one region.
 func (s *requestHandler) runStagesIn(ctx context.Context, ask *pb.StagesAsk, region string) (*stageJob, error) {
 	n := s.node
-	ask.Cell = uint32(n.world.Load().cellOfRequest(s.req, region))
+	ask.Cell = uint32(n.snapshot.Load().cellOfRequest(s.req, region))
 	roundTrip := n.roundTripTo(region)
-	j := &stagesRequest{
+	req := &stagesRequest{
 		ask: ask, region: region, arrivedAt: s.req.Arrived, allowedRegions: s.allowedRegions,
 		objective: s.route.Objective - roundTrip,
 		deadline:  s.timeLimit() - roundTrip,
-		onAsk:     func(owner string) { s.lastOwner = owner },
+		onSubmit:  func(owner string) { s.lastOwner = owner },
 	}
-	return n.runStages(ctx, j)
+	return n.runStages(ctx, req)
 }
 
-// isWorthAsking reports whether another region should be asked: it has not refused
-// recently, and there is time for two round trips, one for the stages and one for
-// the request itself.
-func (s *requestHandler) isWorthAsking(region string) bool {
+// canSpillOverTo reports whether to request the stages from another region: it has not
+// refused recently, and there is time for two round trips, one for the stages and one
+// for the request itself.
+func (s *requestHandler) canSpillOverTo(region string) bool {
 	n := s.node
 	n.detectorMu.Lock()
-	likelyRefuses := n.spillover.availability.LikelyRefuses(n.now(), region, s.rank)
+	likelyRefuses := n.regionTrackers.availability.LikelyRefuses(n.now(), region, s.rank)
 	n.detectorMu.Unlock()
 	left := s.route.Objective - s.forecast.engine - s.elapsed()
 	return !likelyRefuses && left > 2*n.roundTripTo(region)
@@ -174,7 +174,7 @@
 
 // distanceTo returns the distance from this instance to a hall.
 func (n *Node) distanceTo(hall string) regions.Distance {
-	return n.places.Distance(n.settings.Hall, hall)
+	return n.regionMap.Distance(n.settings.Hall, hall)
 }
 
 // roundTripTo returns the estimated round-trip time to a region.
@@ -184,7 +184,7 @@
 	}
 	n.detectorMu.Lock()
 	defer n.detectorMu.Unlock()
-	return n.spillover.roundTrips.Estimate(region)
+	return n.regionTrackers.roundTrips.Estimate(region)
 }
 
 // recordRegionResult records how a region answered a request's stages.
@@ -195,18 +195,18 @@
 	n.detectorMu.Lock()
 	switch {
 	case isRefused:
-		n.spillover.availability.RecordRefusal(n.now(), region, s.rank)
-		n.spillover.roundTrips.Observe(region, took)
+		n.regionTrackers.availability.RecordRefusal(n.now(), region, s.rank)
+		n.regionTrackers.roundTrips.Observe(region, took)
 	case errors.Is(failure, errOwnerLost):
-		n.spillover.availability.RecordNoAnswer(n.now(), region)
+		n.regionTrackers.availability.RecordNoAnswer(n.now(), region)
 	case failure == nil:
-		n.spillover.availability.RecordAnswer(region)
+		n.regionTrackers.availability.RecordAnswer(region)
 	}
 	n.detectorMu.Unlock()
 	if region == n.home {
 		return
 	}
-	n.counters.spilloverAsks.Inc(1)
+	n.counters.spilloverRequests.Inc(1)
 	if isRefused {
 		n.counters.spilloverRefusals.Inc(1)
 	}
@@ -215,7 +215,7 @@
 
 // logHallsWithoutRegion logs each hall that belongs to no region, once.
 func (n *Node) logHallsWithoutRegion(all []catalog.Replica) {
-	if !n.places.HasRegions() {
+	if !n.regionMap.HasRegions() {
 		return
 	}
 	replicas := make(map[string]int)
@@ -225,13 +225,13 @@
 		}
 	}
 	for hall, count := range replicas {
-		if _, said := n.regionlessHalls.LoadOrStore(hall, true); !said {
+		if _, logged := n.regionlessHalls.LoadOrStore(hall, true); !logged {
 			event.NodeHallUnplaced.Log(n.log, "hall", hall, "replicas", count)
 		}
 	}
 }
 
-// recordRemoteHosts stores which hosts are known to be in other regions.
+// recordRemoteHosts records the hosts of live instances in other regions.
 func (n *Node) recordRemoteHosts(alive []gossip.Instance) {
 	remote := make(map[string]bool)
 	for _, i := range alive {
--- a/cmd/node/regions_test.go
+++ b/cmd/node/regions_test.go
@@ -9,10 +9,9 @@
 	"quinceroad/state/catalog"
 )
 
-// A request without a key is in flight, admitted while its route was anonymous, when
-// a configuration comes into force that requires a key. Only its route restricts its
-// regions then: looking up the regions of its missing customer panicked and closed
-// the connection.
+// A request without a key, admitted while its route was anonymous, is in flight when a
+// configuration that requires a key comes into force. Only its route restricts its regions
+// then. Looking up the regions of its missing customer panicked and closed the connection.
 func TestRequestWithoutKeyIsRestrictedByRouteOnly(t *testing.T) {
 	is := is.New(t)
 	route := func(anonymous bool) *catalog.Configuration {
@@ -22,7 +21,7 @@
 	}
 	before, after := &snapshot{config: route(true)}, &snapshot{config: route(false)}
 	n := &Node{}
-	n.world.Store(after)
-	s := &requestHandler{node: n, world: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
+	n.snapshot.Store(after)
+	s := &requestHandler{node: n, snapshot: before, route: &before.config.Routes[0], req: &exchange.Request{Host: "h", Path: "/x"}}
 	is.Equal(s.allowedRegions().Names(), []string{"north"})
 }
--- a/cmd/node/register.go
+++ b/cmd/node/register.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	registrationTTL           = 5 * time.Minute // of an instance's entry; exceeds the store's outages, so that the entry is still there afterwards
+	registrationTTL           = 5 * time.Minute // lifetime of an instance's entry without renewal; exceeds the store's outages, so that the entry still exists afterwards
 	registrationRenewInterval = time.Minute
-	discoveryTimeout          = 250 * time.Millisecond // from the start, until an instance that has discovered no peer relies on the store
-	discoveryInterval         = 30 * time.Millisecond  // until then, between messages to the seeds, which may start some ms later
-	registrationDelay         = 750 * time.Millisecond // after discovery; by then heartbeats have announced the other instances
+	discoveryTimeout          = 250 * time.Millisecond // time after the start until an instance that has discovered no peer relies on the store
+	discoveryInterval         = 30 * time.Millisecond  // interval between messages to the seeds until then; the seeds may start some ms later
+	registrationDelay         = 750 * time.Millisecond // delay after discovery; by then heartbeats have announced the other instances
 )
 
-// keepRegistered keeps the entry of a reader in the store, from which instances that
-// start later discover it, and reads the other entries when it registers.
+// keepRegistered keeps a reader's entry in the store, so that instances that start later
+// can discover it. It reads the other instances' entries when it registers.
 func (n *Node) keepRegistered(ctx context.Context) {
 	var lease uint64 // the store's lease ID; 0 if none is held
 	n.discoverPeers(ctx)
@@ -55,9 +55,9 @@
 
 // discoverPeers announces this instance to the seeds and to the instances registered in
 // the store until a peer is discovered or discoveryTimeout has passed. When all
-// instances start together, they can't serve before they have met, and the seeds may be
-// the last to start. The store's entries may stem from earlier incarnations, so they
-// don't prove that an instance is alive.
+// instances start together, they can't serve before they have discovered each other, and
+// the seeds may be the last to start. An entry in the store may stem from an earlier
+// incarnation, so it does not prove that its instance is alive.
 func (n *Node) discoverPeers(ctx context.Context) {
 	addresses := make(chan []string, 1)
 	go func() { addresses <- n.registeredAddresses() }()
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	minRemotePrefixTokens = 64                     // shared tokens not cached in the region, from which other regions are asked; the query costs about as much as computing so many
-	remoteCacheTimeout    = 150 * time.Millisecond // of a query to an owner in another region: two round trips between cities of one country
+	minRemotePrefixTokens = 64                     // minimum number of shared tokens not cached in this region for which other regions are queried; a query costs about as much as computing so many
+	remoteCacheTimeout    = 150 * time.Millisecond // timeout of a query to an owner in another region: two round trips between cities of one country
 )
 
 // queryRemoteCaches asks the owners in other regions which engine has cached the
 // longest prefix of the request's prompt, if the shared parts are not cached here.
 // Fetching them costs a tenth of computing them, also from another region. Each part
-// is thus computed once in the fleet and fetched once by each region. The stages run
-// concurrently.
+// is thus computed once in the fleet and fetched once by each region. The queries run
+// concurrently with the stages.
 func (r *ownedRequest) queryRemoteCaches() {
 	n := r.cell.owner.node
 	parts := r.request.Parts
-	if len(parts) < 2 || !n.places.HasRegions() {
+	if len(parts) < 2 || !n.regionMap.HasRegions() {
 		return
 	}
 	shared := parts[:len(parts)-1]
@@ -39,13 +39,13 @@
 	r.cell.mu.Lock()
 	local := r.cell.engines.LongestCachedPrefix(n.now(), r.request.Service, shared)
 	r.cell.mu.Unlock()
-	home, _ := n.places.RegionOfCell(r.cell.number)
+	home, _ := n.regionMap.RegionOfCell(r.cell.number)
 	if total-local.Tokens < minRemotePrefixTokens || !r.canAwaitRemotePrefix() {
 		return
 	}
 	allowed := regions.Intersect(r.ask.Regions)
 	var others []string
-	for _, region := range n.places.Names() {
+	for _, region := range n.regionMap.Names() {
 		if region != home && region != "" && allowed.Allows(region) && !n.isRegionUnresponsive(region) {
 			others = append(others, region)
 		}
@@ -55,8 +55,8 @@
 	}
 }
 
-// longestRemotePrefix queries regions concurrently, and sends the longest cached
-// prefix once all have answered.
+// longestRemotePrefix queries regions concurrently. The returned channel receives the
+// longest cached prefix once all have answered.
 func (n *Node) longestRemotePrefix(others []string, service string, shared []catalog.PromptPart) <-chan placement.CachedPrefix {
 	answers := make(chan placement.CachedPrefix, len(others))
 	for _, region := range others {
@@ -66,8 +66,8 @@
 	go func() {
 		var best placement.CachedPrefix
 		for range others {
-			if k := <-answers; k.Tokens > best.Tokens {
-				best = k
+			if prefix := <-answers; prefix.Tokens > best.Tokens {
+				best = prefix
 			}
 		}
 		longest <- best
@@ -84,13 +84,13 @@
 	wait := time.NewTimer(remoteCacheTimeout - (r.cell.owner.node.now() - r.startedAt))
 	defer wait.Stop()
 	select {
-	case k := <-r.remoteCache:
-		return k
+	case prefix := <-r.remoteCache:
+		return prefix
 	default:
 	}
 	select {
-	case k := <-r.remoteCache:
-		return k
+	case prefix := <-r.remoteCache:
+		return prefix
 	case <-wait.C:
 		return placement.CachedPrefix{}
 	}
@@ -99,16 +99,16 @@
 // canAwaitRemotePrefix reports whether the request can wait for other regions: it
 // has stages, which take longer, or enough slack.
 func (r *ownedRequest) canAwaitRemotePrefix() bool {
-	return len(pipelineJob(r.ask).Stages) > 0 || r.request.Slack > 2*remoteCacheTimeout
+	return len(decodeJob(r.ask).Stages) > 0 || r.request.Slack > 2*remoteCacheTimeout
 }
 
 // cachedPrefixIn asks the owner of a region's cell for the longest prefix of a
 // prompt that an engine there has cached.
 func (n *Node) cachedPrefixIn(region, service string, shared []catalog.PromptPart) placement.CachedPrefix {
-	w := n.world.Load()
-	cell := w.regions.CellNumber(region, int(platform.HashString(shared[len(shared)-1].ID)%uint64(w.cellCount(region))))
+	snap := n.snapshot.Load()
+	cell := snap.regionMap.CellNumber(region, int(platform.HashString(shared[len(shared)-1].ID)%uint64(snap.cellCount(region))))
 	owners := ownership.Rank(n.liveInstances(), cell, region)
-	if len(owners) == 0 || owners[0].Region != region { // no instance in that region owns the cell
+	if len(owners) == 0 || owners[0].Region != region { // no instance of that region owns the cell
 		return placement.CachedPrefix{}
 	}
 	ask := &pb.KeptAsk{Cell: uint32(cell), Engine: service}
@@ -133,7 +133,7 @@
 func (n *Node) isRegionUnresponsive(region string) bool {
 	n.detectorMu.Lock()
 	defer n.detectorMu.Unlock()
-	return n.spillover.availability.IsUnresponsive(n.now(), region)
+	return n.regionTrackers.availability.IsUnresponsive(n.now(), region)
 }
 
 // recordRegionResponse records whether a region answered.
@@ -141,10 +141,10 @@
 	n.detectorMu.Lock()
 	defer n.detectorMu.Unlock()
 	if answered {
-		n.spillover.availability.RecordAnswer(region)
+		n.regionTrackers.availability.RecordAnswer(region)
 		return
 	}
-	n.spillover.availability.RecordNoAnswer(n.now(), region)
+	n.regionTrackers.availability.RecordNoAnswer(n.now(), region)
 }
 
 // answerCacheQuery returns the longest prefix of a prompt that an engine of a cell
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -20,8 +20,8 @@
 const (
 	callConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below a call's fixed time
 	defaultCallConnIdle = 8 * time.Second        // idle time of a connection to a pool's replica
-	freeTimeout         = 500 * time.Millisecond // a lost call costs result memory until the results expire
-	maxCallAnswerBytes  = 1 << 20                // of an answer
+	freeTimeout         = 500 * time.Millisecond // timeout of a call that frees results; a lost one costs result memory until the results expire
+	maxCallAnswerBytes  = 1 << 20                // maximum size of an answer
 )
 
 // runBatch sends a batch of items to a replica.
@@ -31,7 +31,7 @@
 		event.NodeMessageBroken.Log(n.log, "what", "batch of items", "from", n.settings.Name, "error", err)
 		return nil, pipeline.Unreachable
 	}
-	if !n.replicaAcceptsWork(c.Replica) || !n.rollouts.tryRecordSend(n.world.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
+	if !n.replicaAcceptsWork(c.Replica) || !n.rollouts.tryRecordSend(n.snapshot.Load().rolloutByService[c.Service], "", c.Replica, len(c.Items)) {
 		return nil, pipeline.Refused
 	}
 	status, head, data, err := n.callReplica(ctx, replicaCall{address: c.Address, expectedReplica: c.Name, source: answerSource{incarnation: c.Replica, service: c.Service}, isWork: true, method: fasthttp.MethodPost, path: path, body: body})
@@ -59,8 +59,8 @@
 	return results, pipeline.Answered
 }
 
-// freeResults tells a replica which results are no longer read. A lost call costs
-// result memory until the results expire.
+// freeResults frees results at a replica that are no longer needed, now or later. A lost
+// call costs result memory until the results expire.
 func (n *Node) freeResults(f pipeline.Free) {
 	if !n.deferFree(f) {
 		n.sendFreeResults(f)
@@ -102,8 +102,8 @@
 	return platform.ParseReport(data)
 }
 
-// cacheReportTimeout bounds an engine's report of its cache: it answers between two
-// steps of its work.
+// cacheReportTimeout is the timeout of an engine's report of its cache. An engine answers
+// only between two steps of its work.
 const cacheReportTimeout = time.Second
 
 // fetchCachedParts asks an engine which prompt parts it has cached.
@@ -124,14 +124,14 @@
 type replicaCall struct {
 	address         string
 	expectedReplica string       // name of the replica that must answer; "" for any at the address
-	source          answerSource // incarnation and service whose advisories the answer carries
+	source          answerSource // incarnation and service to which the answer's advisories apply
 	isWork          bool         // refused for a draining replica, and counted against its send grants
 	method          string
 	path            string
 	body            []byte
 }
 
-// callReplica makes one such call.
+// callReplica calls a replica and reads its answer.
 func (n *Node) callReplica(ctx context.Context, c replicaCall) (int, platform.ResponseHead, []byte, error) {
 	cn, err := n.connectReplica(ctx, c.address, callConnectTimeout)
 	if err != nil {
@@ -170,7 +170,7 @@
 		x.Release(0)
 		return 0, platform.ResponseHead{}, nil, err
 	}
-	head := n.recordHead(c.source, advisoryAttempt, &x.Header)
+	head := n.recordAnswerHead(c.source, advisoryAttempt, &x.Header)
 	data, err := io.ReadAll(io.LimitReader(x, maxCallAnswerBytes))
 	if err == nil && !x.Whole() {
 		err = upstream.ErrCut
@@ -186,7 +186,7 @@
 	if c.isWork {
 		return n.advisories.beginAttempt(n.now(), c.source.incarnation)
 	}
-	if _, backsOff := n.advisories.backoffUntil(n.now(), c.source.incarnation); backsOff {
+	if _, inBackoff := n.advisories.backoffUntil(n.now(), c.source.incarnation); inBackoff {
 		return advisory.Attempt{}, false
 	}
 	n.countInternalCall(c.source.incarnation)
@@ -195,17 +195,17 @@
 
 // connectReplica returns a connection to a replica, a pooled one if there is one.
 func (n *Node) connectReplica(ctx context.Context, address string, within time.Duration) (*upstream.Conn, error) {
-	if cn := n.clients.Kept(address); cn != nil {
+	if cn := n.replicaClient.Kept(address); cn != nil {
 		return cn, nil
 	}
 	n.counters.connections.Inc(1)
 	if deadline, ok := ctx.Deadline(); ok {
 		within = min(within, time.Until(deadline))
 	}
-	return n.clients.Dial(address, max(within, time.Millisecond))
+	return n.replicaClient.Dial(address, max(within, time.Millisecond))
 }
 
-// idleTimeoutAfter returns how long a connection may be kept idle after an answer.
+// idleTimeoutAfter returns the time for which a connection may stay idle after an answer.
 func idleTimeoutAfter(h *platform.ResponseHead, defaultIdle time.Duration) time.Duration {
 	if h.ClosesConnection {
 		return 0
--- a/cmd/node/request_end.go
+++ b/cmd/node/request_end.go
@@ -18,7 +18,7 @@
 	if errors.Is(err, errClientGone) {
 		panic(http.ErrAbortHandler)
 	}
-	if errors.Is(err, errQuarantined) { // final: a refusal would invite a retry
+	if errors.Is(err, errQuarantined) { // not a refusal, which would invite a retry
 		s.node.writeError(s.w, s.req, &answerError{status: http.StatusBadRequest, text: err.Error()})
 		return
 	}
@@ -74,8 +74,8 @@
 		why = err.Error()
 	}
 	event.NodeRequest.Log(s.node.log, "request", s.req.ID, "customer", boundedCustomerName(s.customer), "fingerprint", s.fingerprint, "route", s.route.Name, "rank", s.route.Priority, "why", why,
-		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.world.config.Version, "owner", s.lastOwner,
-		"attempts", len(s.tried), "replica", s.lastReplica, "took", s.elapsed(), "staged", s.stagesTook, "expected", s.forecast.stages,
+		"objective", s.route.Objective, "deadline", s.req.Deadline, "version", s.snapshot.config.Version, "owner", s.lastOwner,
+		"attempts", len(s.tried), "replica", s.lastReplica, "took", s.elapsed(), "staged", s.stagesDuration, "expected", s.forecast.stages,
 		"engine_expected", s.forecast.engine, "reads", s.forecast.prefillTokens, "moves", s.forecast.transferTokens,
 		"first", s.timeToFirstEvent, "gap", s.maxEventGap, "tokens", s.req.TokensIn, "fetch", s.lastFetchFrom, "pieces", s.req.Pieces, "region", s.lastRegion,
 		"chosen", s.chosenBy, "leaves", s.lastReplicaDrains, "short", s.forecast.standing.Resource, "asked", s.forecast.standing.Demand, "share", s.forecast.standing.Share)
--- a/cmd/node/request_registry.go
+++ b/cmd/node/request_registry.go
@@ -8,8 +8,8 @@
 )
 
 // requestRegistry holds the requests of this instance in flight at replicas, by
-// incarnation, so that they can be cancelled when the incarnation has ended. Their
-// connections may otherwise never report an error.
+// incarnation, so that they can be cancelled when the incarnation has ended: their
+// connections may never report an error.
 type requestRegistry struct {
 	mu      sync.Mutex
 	cancels map[string]map[*func()]struct{}
@@ -52,13 +52,13 @@
 	return len(cancels)
 }
 
-// handleRestarts handles replicas that restarted under the same name: requests that
+// handleReplicaRestarts handles replicas that restarted under the same name: requests that
 // ran in the previous incarnation are lost and are cancelled at once.
-func (n *Node) handleRestarts(replicas []catalog.Replica) {
+func (n *Node) handleReplicaRestarts(replicas []catalog.Replica) {
 	for _, r := range replicas {
 		n.counters.replicaRestarts.Inc(1)
 		n.recordReplicaRestart(r.ID)
-		n.clients.Drop(r.Address)
+		n.replicaClient.Drop(r.Address)
 		event.NodeLifeOver.Log(n.log, "replica", r.ID, "ended", n.activeRequests.cancel(r.ID))
 	}
 }
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -24,9 +24,9 @@
 	ledger       *rollout.Ledger
 	orders       map[uint64]*rolloutProgress // by revision of the order
 	othersReady  map[string]bool             // services for which replicas of other versions than the target accept work
-	fullyShifted map[string]bool             // services whose requests all go to the target version in the current world
+	fullyShifted map[string]bool             // services whose requests all go to the target version in the current snapshot
 	batchAllowed map[string]bool             // pool services whose target replicas may get a full batch
-	inFlight     map[string]*replicaInFlight // by replica id
+	inFlight     map[string]*replicaInFlight // by replica ID
 }
 
 // rolloutProgress is the progress of one order as seen by this instance.
@@ -82,20 +82,20 @@
 	return ok
 }
 
-// recordRestarts records restarts of replicas that got requests in a rollout. w is
-// the world in which their previous incarnation served.
-func (r *rollouts) recordRestarts(now time.Duration, w *snapshot, replicas []catalog.Replica) {
+// recordRestarts records restarts of replicas that got requests in a rollout. snap is
+// the snapshot in which their previous incarnation served.
+func (r *rollouts) recordRestarts(now time.Duration, snap *snapshot, replicas []catalog.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range replicas {
 		x := &replicas[i]
-		if m := w.rolloutByService[x.Service]; m != nil && m.selected[x.ID] {
+		if shift := snap.rolloutByService[x.Service]; shift != nil && shift.selected[x.ID] {
 			r.view.RecordRestart(now, x.Service, x.Version)
 		}
 	}
 }
 
-// prune removes the progress of orders that are no longer known.
+// prune removes the progress of orders that the view no longer has.
 func (r *rollouts) prune() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // replaceRollouts applies a full list of the orders, read at a store revision. For
-// an entry that can't be parsed, the order known before stays in force.
+// an entry that can't be parsed, the previous order stays in force.
 func (n *Node) replaceRollouts(items []platform.Entry, at uint64) {
 	orders := make([]rollout.Order, 0, len(items))
 	for i := range items {
@@ -124,8 +124,8 @@
 	n.changeRollouts(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Replace(now, orders, at) })
 }
 
-// applyRollouts applies changes from a watch. Afterwards all changes up to a
-// revision are known.
+// applyRollouts applies the changes that a watch returned, which include all up to a
+// revision.
 func (n *Node) applyRollouts(items []platform.Entry, at uint64) {
 	var entries []rollout.Entry
 	for i := range items {
@@ -146,7 +146,7 @@
 	n.changeRollouts(fromStore, func(now time.Duration, v *rollout.View) []rollout.Change { return v.Apply(now, entries, at) })
 }
 
-// changeRollouts applies changes of rollout orders, publishes a new world and
+// changeRollouts applies changes of rollout orders, publishes a new snapshot and
 // announces the changes to peers.
 func (n *Node) changeRollouts(from string, apply func(now time.Duration, v *rollout.View) []rollout.Change) {
 	r := n.rollouts
@@ -179,7 +179,7 @@
 	}
 }
 
-// rolloutUpdate returns the rollout orders for heartbeats; nil until the first order.
+// rolloutUpdate returns the rollout orders for heartbeats, or nil if there was never one.
 func (n *Node) rolloutUpdate() *pb.Rollouts {
 	r := n.rollouts
 	r.mu.Lock()
@@ -215,7 +215,7 @@
 		if !r.view.Has(p.Order) {
 			continue // later reports contain all counts
 		}
-		r.progress(p.Order).reports.Merge(h.News[0].Name, h.News[0].Incarnation, reportOf(p))
+		r.progress(p.Order).reports.Merge(h.News[0].Name, h.News[0].Incarnation, decodeRolloutReport(p))
 	}
 }
 
@@ -241,8 +241,8 @@
 // packet. A row with answers in all latency buckets takes about 75 bytes.
 const maxReportRows = 12
 
-// reportMessages splits a report into messages.
-func reportMessages(order uint64, rep rollout.Report) []*pb.RolloutReport {
+// encodeRolloutReport encodes a report, split into messages that each fit one packet.
+func encodeRolloutReport(order uint64, rep rollout.Report) []*pb.RolloutReport {
 	var out []*pb.RolloutReport
 	var message *pb.RolloutReport
 	addMessage := func() {
@@ -257,12 +257,12 @@
 		if len(message.Rows) == maxReportRows {
 			addMessage()
 		}
-		message.Rows = append(message.Rows, rowMessage(k, t))
+		message.Rows = append(message.Rows, encodeRolloutRow(k, t))
 	}
 	return out
 }
 
-func rowMessage(k rollout.RowKey, t *rollout.Tally) *pb.RolloutRow {
+func encodeRolloutRow(k rollout.RowKey, t *rollout.Tally) *pb.RolloutRow {
 	used := 0
 	for b, c := range t.Latencies {
 		if c > 0 {
@@ -272,10 +272,10 @@
 	return &pb.RolloutRow{Route: k.Route, Replica: k.Replica, Failed: t.Failed, Ended: t.ReplicaEnds, Times: slices.Clone(t.Latencies[:used])}
 }
 
-// reportOf decodes a report. Its rows keep the replica names of the sender: if they
-// were mapped to the incarnation that is listed now, each restart of a replica would
-// count its answers again.
-func reportOf(p *pb.RolloutReport) rollout.Report {
+// decodeRolloutReport decodes a report. Its rows keep the replica IDs of the sender: if
+// names were mapped to the incarnation listed now, each restart of a replica would count
+// its answers again.
+func decodeRolloutReport(p *pb.RolloutReport) rollout.Report {
 	out := rollout.Report{
 		Sequence: p.Count, FullyShifted: p.Moved, Pinned: int(p.Bound), InFlight: int(p.InFlight),
 		LongestRequest: time.Duration(p.LongestMs) * time.Millisecond, Sent: int(p.Sent),
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -17,11 +17,11 @@
 	replica   *catalog.Replica
 	evidence  ending.VersionEvidence
 	latency   time.Duration // time until the response began
-	pinnedFor time.Duration // duration of a request that can't move to another replica; 0: it can
+	pinnedFor time.Duration // duration of a request that can't fail over to another replica; 0: it can
 }
 
 // recordRolloutAnswer counts an answer in the rollout of its service, if there is
-// one. Answers of warming replicas don't count, as these are slow whatever their
+// one. Answers of warming replicas don't count, as such replicas are slow in any
 // version.
 func (n *Node) recordRolloutAnswer(a *rolloutAnswer) {
 	r := n.rollouts
@@ -65,9 +65,9 @@
 	}
 }
 
-// canMove reports whether the request can continue at another replica after its
+// canFailOver reports whether the request can continue at another replica after its
 // connection broke.
-func (s *requestHandler) canMove() bool {
+func (s *requestHandler) canFailOver() bool {
 	return s.route.Kind == catalog.Repeatable || s.route.Kind == catalog.Stream && s.route.Resumable
 }
 
@@ -79,11 +79,11 @@
 		return
 	}
 	answer := &rolloutAnswer{route: a.route.Name, replica: &a.replica, evidence: kind.ForVersion(suspended), latency: latency}
-	if !a.canMove() {
+	if !a.canFailOver() {
 		answer.pinnedFor = latency
 	}
-	if a.answerBegan != 0 {
-		answer.latency = a.answerBegan - a.sentAt
+	if a.answerStartedAt != 0 {
+		answer.latency = a.answerStartedAt - a.sentAt
 	}
 	if kind != ending.ConnectionBroken {
 		n.recordRolloutAnswer(answer)
@@ -100,20 +100,20 @@
 
 // versionOf returns the software version of a replica, or "" if it is not known.
 func (n *Node) versionOf(id string) string {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	return n.replicas.byIncarnation[id].replica.Version
 }
 
-// releaseAfterResults releases a batch that has left results at its replica. In a
-// rollout the replica counts as in use for as long as these results are kept.
+// releaseAfterResults ends a batch that has left results at its replica. In a rollout
+// the replica counts as in use for as long as it stores these results.
 func (c *cell) releaseAfterResults(service string, release func()) {
-	w := c.owner.node.world.Load()
-	if w.rolloutByService[service] == nil || w.config == nil || w.config.Services[service] == nil || w.config.Services[service].Pool == nil {
+	snap := c.owner.node.snapshot.Load()
+	if snap.rolloutByService[service] == nil || snap.config == nil || snap.config.Services[service] == nil || snap.config.Services[service].Pool == nil {
 		release()
 		return
 	}
-	time.AfterFunc(w.config.Services[service].Pool.ResultTTL, release)
+	time.AfterFunc(snap.config.Services[service].Pool.ResultTTL, release)
 }
 
 // recordRolloutBatch counts the outcome of a batch in its pool's rollout.
@@ -137,7 +137,7 @@
 		return ending.Unreachable
 	case pipeline.Broken:
 		return ending.ConnectionBroken
-	case pipeline.Crashed: // also if the replica's end was reported before the connection broke
+	case pipeline.Crashed: // also if the crash was reported before the connection broke
 		return ending.ReplicaCrashed
 	}
 	return ending.ResponseTimeout
--- a/cmd/node/rollout_gate.go
+++ b/cmd/node/rollout_gate.go
@@ -9,14 +9,15 @@
 	"quinceroad/state/catalog"
 )
 
-// trafficShift is a rollout as applied to requests in a world. It is immutable.
+// trafficShift is the state of a rollout that a snapshot applies to requests. It is
+// immutable.
 type trafficShift struct {
 	order          uint64
 	target         string
 	share          float64         // share of this instance's requests that goes to the target version
 	targetReplicas map[string]bool // replicas of the target version
 	selected       map[string]bool // target replicas that get requests
-	otherCount     int             // listed replicas of other versions, except versions that get no requests
+	otherCount     int             // number of listed replicas of other versions, except versions that get no requests
 }
 
 // replicaInFlight counts the requests of this instance in flight at a replica.
@@ -24,60 +25,60 @@
 	service string
 	version string
 	total   int
-	pinned  int // requests that can't move to another replica
+	pinned  int // requests that can't fail over to another replica
 }
 
-// applyTo applies the rollouts to a world that is being built: the traffic share of
-// each service's target version, and the replicas that get no work.
-func (r *rollouts) applyTo(now time.Duration, w *snapshot) {
+// applyToSnapshot applies the rollouts to a snapshot that is being built: the traffic
+// share of each service's target version, and the replicas that get no work.
+func (r *rollouts) applyToSnapshot(now time.Duration, snap *snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.Empty() {
 		return
 	}
-	w.rolloutByService = make(map[string]*trafficShift)
+	snap.rolloutByService = make(map[string]*trafficShift)
 	clear(r.othersReady)
 	clear(r.fullyShifted)
 	for _, s := range r.view.Active() {
 		if s.IsFinished(now) {
 			continue
 		}
-		m := &trafficShift{order: s.Revision, target: s.Target, share: s.Share(now, r.canaryShare), targetReplicas: make(map[string]bool)}
+		shift := &trafficShift{order: s.Revision, target: s.Target, share: s.Share(now, r.canaryShare), targetReplicas: make(map[string]bool)}
 		var ready []string
-		for _, x := range w.replicas {
+		for _, x := range snap.replicas {
 			switch {
 			case x.Service != s.Service:
 			case x.Version == s.Target:
-				m.targetReplicas[x.ID] = true
+				shift.targetReplicas[x.ID] = true
 				if x.AcceptsWork() {
 					ready = append(ready, x.ID)
 				}
 			case !r.view.Withheld(x.Service, x.Version, false, false):
-				m.otherCount++
+				shift.otherCount++
 				r.othersReady[s.Service] = r.othersReady[s.Service] || x.AcceptsWork()
 			}
 		}
-		m.selected = s.SelectReplicas(now, r.canaryShare, ready)
-		w.rolloutByService[s.Service] = m
-		r.fullyShifted[s.Service] = m.share >= 1
+		shift.selected = s.SelectReplicas(now, r.canaryShare, ready)
+		snap.rolloutByService[s.Service] = shift
+		r.fullyShifted[s.Service] = shift.share >= 1
 	}
-	for i := range w.replicas {
-		x := &w.replicas[i]
-		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.othersReady[x.Service], r.fullyShifted[x.Service]) || r.isHeldFromPool(w, x)
+	for i := range snap.replicas {
+		x := &snap.replicas[i]
+		x.HeldByRollout = r.view.Withheld(x.Service, x.Version, r.othersReady[x.Service], r.fullyShifted[x.Service]) || r.isWithheldFromPool(snap, x)
 	}
 }
 
-// isHeldFromPool reports whether a pool's scheduler must not use a target replica for now.
-func (r *rollouts) isHeldFromPool(w *snapshot, x *catalog.Replica) bool {
-	m := w.rolloutByService[x.Service]
-	if m == nil || m.otherCount == 0 || m.share >= 1 || !m.targetReplicas[x.ID] || w.config == nil {
+// isWithheldFromPool reports whether a pool's scheduler must not use a target replica for now.
+func (r *rollouts) isWithheldFromPool(snap *snapshot, x *catalog.Replica) bool {
+	shift := snap.rolloutByService[x.Service]
+	if shift == nil || shift.otherCount == 0 || shift.share >= 1 || !shift.targetReplicas[x.ID] || snap.config == nil {
 		return false
 	}
-	s := w.config.Services[x.Service]
-	return s != nil && s.Pool != nil && (!m.selected[x.ID] || !r.batchAllowed[x.Service])
+	s := snap.config.Services[x.Service]
+	return s != nil && s.Pool != nil && (!shift.selected[x.ID] || !r.batchAllowed[x.Service])
 }
 
-// withholdsWork reports whether a rollout keeps all work from a replica.
+// withholdsWork reports whether a rollout withholds all work from a replica.
 func (r *rollouts) withholdsWork(x *catalog.Replica) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,32 +87,32 @@
 
 // allowsTarget reports whether count requests on a route may go to a service's
 // target version now.
-func (r *rollouts) allowsTarget(m *trafficShift, route string, count int) bool {
-	if m == nil || len(m.selected) == 0 {
+func (r *rollouts) allowsTarget(shift *trafficShift, route string, count int) bool {
+	if shift == nil || len(shift.selected) == 0 {
 		return false
 	}
-	if m.otherCount == 0 {
+	if shift.otherCount == 0 {
 		return true // no replicas of other versions exist
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Allows(m.order, route, m.share, count)
+	return r.ledger.Allows(shift.order, route, shift.share, count)
 }
 
 // tryRecordSend reports whether requests on a route may go to a replica, and counts
 // them if so. It is called right before they are sent.
-func (r *rollouts) tryRecordSend(m *trafficShift, route, replica string, count int) bool {
-	if m == nil {
+func (r *rollouts) tryRecordSend(shift *trafficShift, route, replica string, count int) bool {
+	if shift == nil {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	toTarget := m.targetReplicas[replica]
-	if toTarget && m.otherCount > 0 && !r.ledger.Allows(m.order, route, m.share, count) {
+	toTarget := shift.targetReplicas[replica]
+	if toTarget && shift.otherCount > 0 && !r.ledger.Allows(shift.order, route, shift.share, count) {
 		return false
 	}
-	r.ledger.Record(m.order, route, m.share, count, toTarget)
-	r.progress(m.order).ownReport.Sent += count
+	r.ledger.Record(shift.order, route, shift.share, count, toTarget)
+	r.progress(shift.order).ownReport.Sent += count
 	return true
 }
 
@@ -161,17 +162,17 @@
 
 // splitByTarget splits replicas of the request's service by its rollout: those of the
 // target version that the request may go to, and those of other versions.
-func (s *requestHandler) splitByTarget(w *snapshot, replicas []catalog.Replica) (target, others []catalog.Replica) {
-	m := w.rolloutByService[s.service.Name]
-	if m == nil {
+func (s *requestHandler) splitByTarget(snap *snapshot, replicas []catalog.Replica) (target, others []catalog.Replica) {
+	shift := snap.rolloutByService[s.service.Name]
+	if shift == nil {
 		return nil, replicas
 	}
-	allowed := s.allowsTarget(w)
+	allowed := s.allowsTarget(snap)
 	for _, r := range replicas {
 		switch {
-		case !m.targetReplicas[r.ID]:
+		case !shift.targetReplicas[r.ID]:
 			others = append(others, r)
-		case allowed && m.selected[r.ID]:
+		case allowed && shift.selected[r.ID]:
 			target = append(target, r)
 		}
 	}
@@ -181,29 +182,29 @@
 // allowsTarget reports whether the request may go to its service's target version.
 // Until all requests go there, a retry goes to a replica of another version if there is
 // one.
-func (s *requestHandler) allowsTarget(w *snapshot) bool {
-	m := w.rolloutByService[s.service.Name]
-	if m == nil {
+func (s *requestHandler) allowsTarget(snap *snapshot) bool {
+	shift := snap.rolloutByService[s.service.Name]
+	if shift == nil {
 		return false
 	}
-	if m.share < 1 && m.otherCount > 0 && len(s.tried)+len(s.avoid) > 0 {
+	if shift.share < 1 && shift.otherCount > 0 && len(s.tried)+len(s.avoid) > 0 {
 		return false
 	}
-	return s.node.rollouts.allowsTarget(m, s.route.Name, 1)
+	return s.node.rollouts.allowsTarget(shift, s.route.Name, 1)
 }
 
-// excludedByRollout returns the engines of a service that a rollout keeps a request from.
-func (w *snapshot) excludedByRollout(service string, allowTarget bool) []string {
-	m := w.rolloutByService[service]
-	if m == nil || m.otherCount == 0 {
+// excludedByRollout returns the engines of a service that a rollout excludes for a request.
+func (snap *snapshot) excludedByRollout(service string, allowTarget bool) []string {
+	shift := snap.rolloutByService[service]
+	if shift == nil || shift.otherCount == 0 {
 		return nil
 	}
 	if !allowTarget {
-		return slices.Collect(maps.Keys(m.targetReplicas))
+		return slices.Collect(maps.Keys(shift.targetReplicas))
 	}
 	var out []string
-	for _, r := range w.eligibleByService[service] {
-		if !m.selected[r.ID] {
+	for _, r := range snap.eligibleByService[service] {
+		if !shift.selected[r.ID] {
 			out = append(out, r.ID)
 		}
 	}
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -19,8 +19,8 @@
 
 const (
 	rolloutInterval      = 100 * time.Millisecond // interval of rollout updates: a quarter of the interval at which shares increase
-	maxJudges            = 3                      // instances that judge an order; a rollout survives the loss of two at once until the next heartbeat
-	leadTimeout          = 700 * time.Millisecond // time after which the next judge takes over from the one before it: three heartbeats
+	maxJudges            = 3                      // number of instances that judge an order; a rollout survives the loss of two at once until the next heartbeat
+	leadTimeout          = 700 * time.Millisecond // delay after which the next judge in rank acts instead of the one before it: three heartbeats
 	judgementLogInterval = time.Second            // interval between log lines of an unchanged verdict
 )
 
@@ -61,21 +61,21 @@
 	selected int
 }
 
-// sharesChanged reports whether the current world uses outdated shares.
+// sharesChanged reports whether the current snapshot uses outdated shares.
 func (n *Node) sharesChanged(active []rollout.OrderState, logged map[string]loggedShare) bool {
-	now, w := n.now(), n.world.Load()
+	now, snap := n.now(), n.snapshot.Load()
 	for i := range active {
-		m := w.rolloutByService[active[i].Service]
+		shift := snap.rolloutByService[active[i].Service]
 		if active[i].IsFinished(now) {
-			if m != nil {
+			if shift != nil {
 				return true
 			}
 			continue
 		}
-		if m == nil || m.order != active[i].Revision || m.share != active[i].Share(now, n.rollouts.canaryShare) {
+		if shift == nil || shift.order != active[i].Revision || shift.share != active[i].Share(now, n.rollouts.canaryShare) {
 			return true
 		}
-		if old := logged[active[i].Service]; old.order != m.order || old.share != m.share || old.selected != len(m.selected) {
+		if old := logged[active[i].Service]; old.order != shift.order || old.share != shift.share || old.selected != len(shift.selected) {
 			return true
 		}
 	}
@@ -83,25 +83,25 @@
 }
 
 func (n *Node) logShareChanges(active []rollout.OrderState, logged map[string]loggedShare) {
-	w := n.world.Load()
+	snap := n.snapshot.Load()
 	for i := range active {
-		m := w.rolloutByService[active[i].Service]
-		if m == nil {
+		shift := snap.rolloutByService[active[i].Service]
+		if shift == nil {
 			continue
 		}
-		now := loggedShare{order: m.order, share: m.share, selected: len(m.selected)}
+		now := loggedShare{order: shift.order, share: shift.share, selected: len(shift.selected)}
 		if logged[active[i].Service] != now {
 			logged[active[i].Service] = now
-			event.RolloutShare.Log(n.log, "service", active[i].Service, "target", m.target, "order", m.order, "share", m.share, "replicas", len(m.selected))
+			event.RolloutShare.Log(n.log, "service", active[i].Service, "target", shift.target, "order", shift.order, "share", shift.share, "replicas", len(shift.selected))
 		}
 	}
 }
 
-// updateBatchAllowed updates for which pools the target version may get a full
-// batch, and reports whether that has changed.
+// updateBatchAllowed updates the set of pools whose target version may get a full batch,
+// and reports whether it has changed.
 func (n *Node) updateBatchAllowed(active []rollout.OrderState) bool {
-	w := n.world.Load()
-	if w.config == nil {
+	snap := n.snapshot.Load()
+	if snap.config == nil {
 		return false
 	}
 	r := n.rollouts
@@ -109,11 +109,11 @@
 	defer r.mu.Unlock()
 	changed := false
 	for _, s := range active {
-		service, m := w.config.Services[s.Service], w.rolloutByService[s.Service]
-		if service == nil || service.Pool == nil || m == nil {
+		service, shift := snap.config.Services[s.Service], snap.rolloutByService[s.Service]
+		if service == nil || service.Pool == nil || shift == nil {
 			continue
 		}
-		allowed := r.ledger.Allows(m.order, "", m.share, service.Pool.MaxBatch)
+		allowed := r.ledger.Allows(shift.order, "", shift.share, service.Pool.MaxBatch)
 		changed = changed || allowed != r.batchAllowed[s.Service]
 		r.batchAllowed[s.Service] = allowed
 	}
@@ -135,7 +135,7 @@
 	self := encodeInstance(n.members.Self())
 	n.gossipMu.Unlock()
 	n.rollouts.mu.Lock()
-	messages := reportMessages(s.Revision, n.rollouts.buildReport(s))
+	messages := encodeRolloutReport(s.Revision, n.rollouts.buildReport(s))
 	n.rollouts.mu.Unlock()
 	for _, message := range messages {
 		h := &pb.Heartbeat{News: []*pb.InstanceNews{self}, Rollouts: &pb.Rollouts{Reports: []*pb.RolloutReport{message}}}
@@ -203,12 +203,12 @@
 
 // rolloutInputs collects the inputs for the decision on an order, and judges it.
 func (n *Node) rolloutInputs(now time.Duration, s *rollout.OrderState) *rollout.Inputs {
-	w := n.world.Load()
+	snap := n.snapshot.Load()
 	r := n.rollouts
 	alive := n.liveInstances()
 	in := &rollout.Inputs{Order: *s, Slack: r.canarySlack}
-	in.Configured = w.config != nil && w.config.Services[s.Service] != nil
-	for _, x := range w.replicas {
+	in.Configured = snap.config != nil && snap.config.Services[s.Service] != nil
+	for _, x := range snap.replicas {
 		switch {
 		case x.Service != s.Service || x.Draining || x.HallDrained:
 		case x.Version != s.Target:
--- a/cmd/node/rollout_state.go
+++ b/cmd/node/rollout_state.go
@@ -8,10 +8,10 @@
 	"quinceroad/coordination/rollout"
 )
 
-// RolloutState is what a node knows of an active rollout.
+// RolloutState is a node's state of an active rollout.
 type RolloutState struct {
 	Service    string
-	Target     string // version that the service moves to
+	Target     string // version that the rollout introduces
 	Order      uint64 // store revision of the order, which identifies it
 	Phase      string
 	Age        string
@@ -20,7 +20,7 @@
 	Sent       int     // requests that this node has sent to the service since the order
 	Rank       int     // rank of this node among the judges; -1: not a judge
 	Status     string  // status in the store when this node last read it
-	WaitReason string  `json:"Waits"` // why this node takes no further step
+	WaitReason string  `json:"Waits"` // reason for which this node takes no further step
 	Judgement  rollout.Judgement
 }
 
--- a/cmd/node/rollout_test.go
+++ b/cmd/node/rollout_test.go
@@ -14,12 +14,12 @@
 	"quinceroad/state/catalog"
 )
 
-func worldOf(versions ...string) *snapshot {
-	w := &snapshot{}
+func snapshotOfVersions(versions ...string) *snapshot {
+	snap := &snapshot{}
 	for i, v := range versions {
-		w.replicas = append(w.replicas, catalog.Replica{ID: fmt.Sprint("r", i), Service: "s", Version: v})
+		snap.replicas = append(snap.replicas, catalog.Replica{ID: fmt.Sprint("r", i), Service: "s", Version: v})
 	}
-	return w
+	return snap
 }
 
 // An order back to the running version during a rollout of another one: no other version
@@ -32,14 +32,14 @@
 	r.view.Replace(2, []rollout.Order{{Service: "s", Target: "v1", Revision: 5, TimeLimit: time.Minute}}, 5)
 	for _, phase := range []rollout.Phase{rollout.Pending, rollout.Canary, rollout.Promoted} {
 		r.view.SetPhase(3, 5, phase)
-		w := worldOf("v1", "v1", "v2")
-		r.applyTo(4, w)
-		for _, x := range w.replicas {
+		snap := snapshotOfVersions("v1", "v1", "v2")
+		r.applyToSnapshot(4, snap)
+		for _, x := range snap.replicas {
 			is.Equal(x.AcceptsWork(), x.Version == "v1")
 		}
 		for range 10 {
-			is.True(r.allowsTarget(w.rolloutByService["s"], "a", 1))
-			is.True(r.tryRecordSend(w.rolloutByService["s"], "a", "r0", 1))
+			is.True(r.allowsTarget(snap.rolloutByService["s"], "a", 1))
+			is.True(r.tryRecordSend(snap.rolloutByService["s"], "a", "r0", 1))
 		}
 	}
 }
@@ -51,12 +51,12 @@
 	r := newRollouts(&platform.Settings{CanaryShare: 0.1, CanarySlack: 50})
 	r.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	r.view.SetPhase(1, 3, rollout.Canary)
-	w := worldOf("v1", "v2", "v2")
-	w.replicas[0].HallDrained = true
-	r.applyTo(4, w)
+	snap := snapshotOfVersions("v1", "v2", "v2")
+	snap.replicas[0].HallDrained = true
+	r.applyToSnapshot(4, snap)
 	sent := 0
 	for range 100 {
-		if r.tryRecordSend(w.rolloutByService["s"], "a", "r1", 1) {
+		if r.tryRecordSend(snap.rolloutByService["s"], "a", "r1", 1) {
 			sent++
 		}
 	}
@@ -75,9 +75,9 @@
 		rep.Rows[rollout.RowKey{Route: "claim-dossier-review", Replica: fmt.Sprint("i-7f3a91c2-", i)}] = tally
 	}
 	reports := rollout.NewReports()
-	for _, p := range reportMessages(3, rep) {
+	for _, p := range encodeRolloutReport(3, rep) {
 		is.True(proto.Size(p) < compressFrom)
-		reports.Merge("n1", 1, reportOf(p))
+		reports.Merge("n1", 1, decodeRolloutReport(p))
 	}
 	rows, _, _ := reports.Sums()
 	is.Equal(len(rows), 200)
@@ -90,11 +90,11 @@
 	n := newTwoReplicaNode()
 	n.rollouts.view.Replace(0, []rollout.Order{{Service: "s", Target: "v2", Revision: 3, TimeLimit: time.Minute}}, 3)
 	rep := rollout.Report{Sequence: 1, Rows: map[rollout.RowKey]*rollout.Tally{{Route: "a", Replica: "v0"}: {Failed: 1}}}
-	heartbeat := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: reportMessages(3, rep)}}
+	heartbeat := &pb.Heartbeat{News: []*pb.InstanceNews{{Name: "n2", Incarnation: 1}}, Rollouts: &pb.Rollouts{Reports: encodeRolloutReport(3, rep)}}
 	for _, incarnation := range []string{"v0", "v0@1", "v0@2", "v0@3"} {
-		w := *n.world.Load()
-		w.incarnationByName = map[string]string{"v0": incarnation}
-		n.world.Store(&w)
+		snap := *n.snapshot.Load()
+		snap.incarnationByName = map[string]string{"v0": incarnation}
+		n.snapshot.Store(&snap)
 		n.mergeRollouts(heartbeat)
 	}
 	rows, _, _ := n.rollouts.progress(3).reports.Sums()
--- a/cmd/node/send_grants.go
+++ b/cmd/node/send_grants.go
@@ -22,13 +22,13 @@
 
 const (
 	grantTimeout     = 150 * time.Millisecond // grantors answer at once
-	grantorLostDelay = 300 * time.Millisecond // without requests to a replica whose grantor does not answer: one and a half heartbeats
+	grantorLostDelay = 300 * time.Millisecond // pause of requests to a replica whose grantor is not known or does not answer: one and a half heartbeats
 
 	// Minimum time between calls that free results, in grant intervals: each call uses up
 	// a grant that a request could have had.
 	freeIntervals = 4
 
-	minFreeInterval = time.Second // lower bound of the same
+	minFreeInterval = time.Second // lower bound of that time
 )
 
 var (
@@ -56,26 +56,26 @@
 
 // grantorLookup finds the grantors of replicas for one view of the instances.
 type grantorLookup struct {
-	node   *Node
-	world  *snapshot
-	alive  []gossip.Instance
-	owners map[int][]gossip.Instance // by cell: the first in rank, empty if there is none
+	node     *Node
+	snapshot *snapshot
+	alive    []gossip.Instance
+	owners   map[int][]gossip.Instance // by cell: the first instance in rank order, empty if there is none
 }
 
 func (n *Node) grantorLookup() *grantorLookup {
-	return &grantorLookup{node: n, world: n.world.Load(), alive: n.liveInstances(), owners: make(map[int][]gossip.Instance)}
+	return &grantorLookup{node: n, snapshot: n.snapshot.Load(), alive: n.liveInstances(), owners: make(map[int][]gossip.Instance)}
 }
 
-// grantorOf returns the grantor of a replica; false: there is none.
-func (k *grantorLookup) grantorOf(r *catalog.Replica) (gossip.Instance, bool) {
-	cell, pooled := k.world.cellOfReplica(r.ID)
+// grantorOf returns the grantor of a replica, or false if there is none.
+func (l *grantorLookup) grantorOf(r *catalog.Replica) (gossip.Instance, bool) {
+	cell, pooled := l.snapshot.cellOfReplica(r.ID)
 	if !pooled {
-		return pace.SelectGrantor(k.alive, r.ID, pace.Location{Hall: r.Hall, Region: r.Region})
+		return pace.SelectGrantor(l.alive, r.ID, pace.Location{Hall: r.Hall, Region: r.Region})
 	}
-	owners, cached := k.owners[cell]
+	owners, cached := l.owners[cell]
 	if !cached {
-		owners = ownership.Rank(k.alive, cell, r.Region)
-		k.owners[cell] = owners[:min(len(owners), 1)]
+		owners = ownership.Rank(l.alive, cell, r.Region)
+		l.owners[cell] = owners[:min(len(owners), 1)]
 	}
 	if len(owners) == 0 {
 		return gossip.Instance{}, false
@@ -83,14 +83,14 @@
 	return owners[0], true
 }
 
-// isSelf reports whether this instance is the grantor of a replica, either by its own
-// view or because the other instances treat it as the owner of the cell.
-func (k *grantorLookup) isSelf(r *catalog.Replica) bool {
-	if cell, ok := k.world.cellOfReplica(r.ID); ok && k.node.owner.ownedCell(cell) != nil {
+// isSelf reports whether this instance is the grantor of a replica, either according to
+// its own view or because other instances treat it as the owner of the cell.
+func (l *grantorLookup) isSelf(r *catalog.Replica) bool {
+	if cell, ok := l.snapshot.cellOfReplica(r.ID); ok && l.node.owner.ownedCell(cell) != nil {
 		return true
 	}
-	grantor, ok := k.grantorOf(r)
-	return ok && grantor.Name == k.node.settings.Name
+	grantor, ok := l.grantorOf(r)
+	return ok && grantor.Name == l.node.settings.Name
 }
 
 // acquireSendGrant reports whether the request may be sent to a replica under its rate
@@ -136,7 +136,7 @@
 // replica of a service.
 func (n *Node) reserveRetry(service string, backoff *backoffError) time.Duration {
 	perSecond := 0.0
-	replicas, instances := n.world.Load().eligibleByService[service], n.liveInstanceCount()
+	replicas, instances := n.snapshot.Load().eligibleByService[service], n.liveInstanceCount()
 	s := n.advisories
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 	answers := make(chan answer, 1)
 	go func() {
-		stream, err := n.links.Open(link, frame.Pace, &pb.PaceAsk{Limit: n.limitMessage(incarnation)})
+		stream, err := n.links.Open(link, frame.Pace, &pb.PaceAsk{Limit: n.limitOf(incarnation)})
 		if err != nil {
 			answers <- answer{err: err}
 			return
@@ -233,7 +233,7 @@
 		return &pb.PaceReply{Elsewhere: true}
 	}
 	n.recordPeerLimits(from, []*pb.ReplicaLimit{ask.Limit})
-	r, ok := n.world.Load().replicaByIncarnation(ask.GetLimit().GetId())
+	r, ok := n.snapshot.Load().replicaByIncarnation(ask.GetLimit().GetId())
 	if !ok || !n.grantorLookup().isSelf(&r) {
 		return &pb.PaceReply{Elsewhere: true}
 	}
--- a/cmd/node/serve.go
+++ b/cmd/node/serve.go
@@ -21,13 +21,13 @@
 	defaultTimeLimit   = 30 * time.Second       // for a request without a deadline
 	shortRetryAfter    = 300 * time.Millisecond // Retry-After without a better estimate: 1.5 heartbeat intervals
 	longRetryAfter     = time.Second            // Retry-After while no replica may accept the request; the limit of warming replicas is per second
-	maxUnexecutedSends = 4                      // sends of one request that no replica received or that were refused
+	maxUnexecutedSends = 4                      // sends of one request that reached no replica or were refused
 	maxStageWaits      = 6                      // waits for the stages of a broken stream; 1.8 s with shortRetryAfter, less than clients wait for an event
 	maxStageReruns     = 2                      // reruns of a request's stages
 	retryAfterDivisor  = 3                      // a client is asked to wait at most its remaining time divided by this
-	retryAfterMargin   = 0.95                   // part of that wait that is used, as the client's clock may differ slightly
-	retrySlackShare    = 0.6                    // used part of the retries that the deployment allows in addition to its ratio
-	retryRatioShare    = 0.75                   // used part of the retry ratio
+	retryAfterMargin   = 0.95                   // fraction of that wait that is stated, as the client's clock may differ slightly
+	retrySlackShare    = 0.6                    // fraction that is used of the retries that the deployment allows in addition to its ratio
+	retryRatioShare    = 0.75                   // fraction that is used of the retry ratio
 	failureRateWeight  = 0.05                   // weight of a new signal in a service's failure rate: about the last 20 count
 )
 
@@ -42,16 +42,16 @@
 	node        *Node
 	w           http.ResponseWriter
 	req         *exchange.Request
-	world       *snapshot
+	snapshot    *snapshot
 	route       *catalog.Route
 	service     *catalog.Service
 	customer    string
 	rank        int
 	record      *outcome.Record
 	deadline    time.Duration          // when the answer is due, by the process's clock
-	probe       *livenessProbe         // checks whether the replica of the last attempt has ended; nil: no check
-	trial       *trialLease            // trial lease of a suspect request
-	fingerprint quarantine.Fingerprint // of the parts that a caller repeats in a retry
+	probe       *livenessProbe         // probe of the last attempt's replica; nil: none
+	trial       *trialLease            // trial lease of a suspect request; nil: none
+	fingerprint quarantine.Fingerprint // identifies the request across a caller's retries
 
 	job                 *stageJob
 	tried               map[string]bool // replicas that may have run the request
@@ -63,15 +63,15 @@
 	lastRegion          string                 // region of lastReplica
 	cachedRegionsConfig *catalog.Configuration // configuration that cachedRegions was read from
 	cachedRegions       regions.Allowed
-	lastOwner           string // last owner that its stages were requested from
+	lastOwner           string // last owner that was asked to run its stages
 	stream              streamState
-	stagesTook          time.Duration   // time from its arrival until its stages were done
+	stagesDuration      time.Duration   // time from its arrival until its stages were done
 	forecast            requestForecast // the owner's estimates
 	timeToFirstEvent    time.Duration   // from the request's arrival
 	maxEventGap         time.Duration   // longest interval between two events
-	lastFetchFrom       string          // where the last engine was to fetch cached prompt parts from
-	chosenBy            chooser         // who chose the last replica
-	lastReplicaDrains   bool            // the last replica announced a drain in its answer
+	lastFetchFrom       string          // address from which the last engine was to fetch cached prompt parts
+	chosenBy            chooser         // party that chose the last replica
+	lastReplicaDrains   bool            // the last replica stated a drain in its answer
 }
 
 // chooser names the party that chose a replica for a request.
@@ -96,7 +96,7 @@
 	defer s.endTrial()
 	err = s.run(ctx)
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		err = errClientGone // whichever error the attempt ended with
+		err = errClientGone // whatever error the attempt ended with
 	}
 	s.node.customers.record(boundedCustomerName(s.customer), err, s.isOverShare(err))
 	s.logRequest(err)
@@ -107,23 +107,23 @@
 
 // admit finds the request's route, customer and service.
 func (n *Node) admit(w http.ResponseWriter, req *exchange.Request) (*requestHandler, error) {
-	world := n.world.Load()
-	if world.config == nil {
+	snap := n.snapshot.Load()
+	if snap.config == nil {
 		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoConfiguration.Error()}
 	}
-	route := world.config.Match(req.Host, req.Path)
+	route := snap.config.Match(req.Host, req.Path)
 	if route == nil {
 		return nil, &answerError{status: http.StatusNotFound, text: "no route for this host and path"}
 	}
 	s := &requestHandler{
-		node: n, w: w, req: req, world: world, route: route,
+		node: n, w: w, req: req, snapshot: snap, route: route,
 		record: outcome.NewRecord(),
 		tried:  make(map[string]bool),
 		avoid:  make(map[string]bool),
 		rank:   route.Priority*customerRankFactor + route.Priority,
 	}
 	if !route.Anonymous {
-		customer := world.config.Customers[req.Key]
+		customer := snap.config.Customers[req.Key]
 		if customer == nil {
 			return nil, &answerError{status: http.StatusUnauthorized, text: "the key is not known"}
 		}
@@ -135,8 +135,8 @@
 	if !n.acceptsRequest(route.Kind == catalog.Stream) {
 		return nil, &answerError{status: http.StatusServiceUnavailable, text: errStopping.Error()}
 	}
-	s.service = world.config.Services[route.PickService(platform.HashString(req.ID))]
-	if !world.replicasLoaded {
+	s.service = snap.config.Services[route.PickService(platform.HashString(req.ID))]
+	if !snap.replicasLoaded {
 		return nil, &answerError{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, text: errNoReplicas.Error()}
 	}
 	if s.service == nil {
@@ -171,7 +171,8 @@
 	return left
 }
 
-// withServiceRates runs f on the rates of the request's service, under judgeMu.
+// withServiceRates runs f on the rates of the request's service. It holds detectorMu
+// meanwhile.
 func (s *requestHandler) withServiceRates(f func(*serviceRates)) {
 	n := s.node
 	instances := float64(n.liveInstanceCount())
@@ -273,8 +274,8 @@
 	return nil
 }
 
-// endTrial returns the request's trial lease. If a probe of the replica is
-// running, it does so after its result, without delaying the client's answer.
+// endTrial releases the request's trial lease. If a probe of the replica is running, it
+// releases the lease after the probe's result, without delaying the client's answer.
 func (s *requestHandler) endTrial() {
 	t, p := s.trial, s.probe
 	switch {
@@ -305,7 +306,7 @@
 // with err.
 func (s *requestHandler) shouldRetry(err error) bool {
 	switch {
-	case errors.Is(err, errRateLimited): // the time of the next send grant is known now
+	case errors.Is(err, errRateLimited): // the denial has recorded the time of the next send grant
 		return true
 	case errors.Is(err, errNoReplicaReached):
 		s.avoid[s.lastReplica] = true
@@ -316,7 +317,7 @@
 		s.stageReruns++
 		return s.stageReruns <= maxStageReruns && s.consumeRetryBudget()
 	case errors.Is(err, errReplicaRefused):
-		if _, backsOff := s.node.advisories.backoffUntil(s.node.now(), s.lastReplica); !backsOff { // a replica that backs off may run the request afterwards
+		if _, inBackoff := s.node.advisories.backoffUntil(s.node.now(), s.lastReplica); !inBackoff { // a replica in backoff may run the request afterwards
 			s.avoid[s.lastReplica] = true
 		}
 		s.unexecutedSends++
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -13,30 +13,30 @@
 	"quinceroad/state/catalog"
 )
 
-// snapshot is a consistent view of the configuration and the replicas. It is not changed
+// snapshot is a consistent view of the configuration and the replicas. It is immutable
 // once it is in force.
 type snapshot struct {
 	config            *catalog.Configuration
 	replicasLoaded    bool                         // the list of replicas was read or received
-	eligibleByService map[string][]catalog.Replica // replicas that may get work
-	serviceSizes      map[string]int               // replicas by service, including those of halls that are being drained
+	eligibleByService map[string][]catalog.Replica // replicas that accept work
+	serviceSizes      map[string]int               // number of replicas by service, including those of drained halls
 	replicas          []catalog.Replica            // includes the draining ones
-	incarnationByName map[string]string            // of replicas that report their start time
+	incarnationByName map[string]string            // for replicas that report their start time
 	rolloutByService  map[string]*trafficShift
-	partsOnce         sync.Once
-	parts             cellPartition // of pools and engines; computed on first use
-	regions           *regions.Map
+	partitionOnce     sync.Once
+	partition         cellPartition // cells of the pools' and engines' replicas; computed on first use
+	regionMap         *regions.Map
 }
 
-// replicaSet holds the store's list of replicas and the observed signs that they are
-// draining, which take precedence.
+// replicaSet holds the store's list of replicas and the inferred drains, which take
+// precedence over it.
 type replicaSet struct {
-	changeLog     *changes.Log
-	byName        map[string]replicaRecord
-	byIncarnation map[string]replicaRecord
-	drainSigns    map[string]time.Duration // when a sign of draining was first seen, by incarnation
-	invalid       map[string]bool          // names of entries that can't be parsed and were logged
-	loggedWarming map[string]time.Duration // end of the warm-up that was logged, by ID
+	changeLog      *changes.Log
+	byName         map[string]replicaRecord
+	byIncarnation  map[string]replicaRecord
+	inferredDrains map[string]time.Duration // by incarnation: time at which the drain was first inferred
+	invalid        map[string]bool          // names of entries that can't be parsed and were logged
+	loggedWarming  map[string]time.Duration // end of the warm-up that was logged, by ID
 }
 
 // replicaRecord is a parsed entry of the store's list of replicas.
@@ -48,22 +48,22 @@
 
 func newReplicaSet() *replicaSet {
 	return &replicaSet{
-		changeLog:     changes.New(platform.EquivalentReplicas),
-		byName:        make(map[string]replicaRecord),
-		byIncarnation: make(map[string]replicaRecord),
-		drainSigns:    make(map[string]time.Duration),
+		changeLog:      changes.New(platform.EquivalentReplicas),
+		byName:         make(map[string]replicaRecord),
+		byIncarnation:  make(map[string]replicaRecord),
+		inferredDrains: make(map[string]time.Duration),
 	}
 }
 
 // replicaSetChanges describes what a refresh has changed.
 type replicaSetChanges struct {
 	invalid   []string          // names of entries that can't be parsed and were valid or absent before
-	removed   []catalog.Replica // incarnations that are no longer listed although none had announced a drain
+	removed   []catalog.Replica // incarnations that are no longer listed although no drain was stated or inferred
 	restarted []catalog.Replica // incarnations whose replica now runs a newer one
 }
 
 // refresh parses the entries that have changed. isDraining reports whether an
-// incarnation has announced its drain.
+// incarnation has stated a drain.
 func (s *replicaSet) refresh(now time.Duration, isDraining func(incarnation string) bool) (out replicaSetChanges) {
 	byName, byIncarnation := make(map[string]replicaRecord, len(s.byName)), make(map[string]replicaRecord, len(s.byName))
 	invalid := make(map[string]bool)
@@ -85,13 +85,13 @@
 	})
 	for incarnation, record := range s.byIncarnation {
 		_, listed := byIncarnation[incarnation]
-		_, hasDrainSign := s.drainSigns[incarnation]
+		_, drainInferred := s.inferredDrains[incarnation]
 		_, nameListed := byName[record.replica.Name]
 		switch {
 		case listed:
 		case nameListed:
 			out.restarted = append(out.restarted, record.replica)
-		case !hasDrainSign && !record.replica.Draining && !isDraining(incarnation):
+		case !drainInferred && !record.replica.Draining && !isDraining(incarnation):
 			out.removed = append(out.removed, record.replica)
 		}
 	}
@@ -119,27 +119,27 @@
 
 // publish puts a new snapshot of the current data in force.
 func (n *Node) publish() {
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	afterUnlock := n.replaceSnapshot()
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	afterUnlock()
 }
 
 // replaceSnapshot puts a new snapshot of the current data in force. The caller holds
-// followMu and calls afterUnlock once it has released it.
+// watchedMu and calls afterUnlock once it has released it.
 func (n *Node) replaceSnapshot() (afterUnlock func()) {
 	now := n.now()
 	changed := n.replicas.refresh(now, n.advisories.isDraining)
-	n.rollouts.recordRestarts(now, n.world.Load(), changed.restarted)
-	w := n.buildSnapshot()
-	warming := n.replicas.newlyWarming(now, w.replicas)
-	n.world.Store(w)
+	n.rollouts.recordRestarts(now, n.snapshot.Load(), changed.restarted)
+	snap := n.buildSnapshot()
+	warming := n.replicas.newlyWarming(now, snap.replicas)
+	n.snapshot.Store(snap)
 	return func() {
-		n.logHallsWithoutRegion(w.replicas)
+		n.logHallsWithoutRegion(snap.replicas)
 		for _, r := range changed.removed {
 			n.recordReplicaRemoval(r.ID)
 		}
-		n.handleRestarts(changed.restarted)
+		n.handleReplicaRestarts(changed.restarted)
 		for _, id := range changed.invalid {
 			n.counters.invalidEntries.Inc(1)
 			event.NodeEntryBroken.Log(n.log, "name", id)
@@ -152,75 +152,76 @@
 }
 
 // buildSnapshot returns a snapshot of the configuration, the replicas, the halls and the
-// rollouts. The caller holds followMu.
+// rollouts. The caller holds watchedMu.
 func (n *Node) buildSnapshot() *snapshot {
-	w := &snapshot{
-		config: n.config, replicasLoaded: n.replicas.changeLog.IsLoaded(), regions: n.places, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int),
+	snap := &snapshot{
+		config: n.config, replicasLoaded: n.replicas.changeLog.IsLoaded(), regionMap: n.regionMap, eligibleByService: make(map[string][]catalog.Replica), serviceSizes: make(map[string]int),
 		incarnationByName: make(map[string]string),
 	}
 	for id, record := range n.replicas.byIncarnation {
 		r := record.replica
-		if _, ok := n.replicas.drainSigns[id]; ok || n.advisories.isDraining(id) {
+		if _, ok := n.replicas.inferredDrains[id]; ok || n.advisories.isDraining(id) {
 			r.Draining = true
 		}
-		r.Region = n.places.RegionOf(r.Hall)
+		r.Region = n.regionMap.RegionOf(r.Hall)
 		r.HallDrained = n.drainedHalls.IsDrained(r.Hall)
-		r.WarmingUntil = n.warmingUntil(w.config, &record)
-		w.replicas = append(w.replicas, r)
+		r.WarmingUntil = n.warmingUntil(snap.config, &record)
+		snap.replicas = append(snap.replicas, r)
 		if r.StartMillis != 0 {
-			w.incarnationByName[r.Name] = r.ID
+			snap.incarnationByName[r.Name] = r.ID
 		}
 		if !r.Draining {
-			w.serviceSizes[r.Service]++
+			snap.serviceSizes[r.Service]++
 		}
 	}
-	n.rollouts.applyTo(n.now(), w)
-	for _, r := range w.replicas {
+	n.rollouts.applyToSnapshot(n.now(), snap)
+	for _, r := range snap.replicas {
 		if r.AcceptsWork() {
-			w.eligibleByService[r.Service] = append(w.eligibleByService[r.Service], r)
+			snap.eligibleByService[r.Service] = append(snap.eligibleByService[r.Service], r)
 		}
 	}
-	return w
+	return snap
 }
 
 // replicasLoaded reports whether the list of replicas was ever read or received.
 func (n *Node) replicasLoaded() bool {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	return n.replicas.changeLog.IsLoaded()
 }
 
-// replicasRevision returns the store's revision up to which the changes of the replicas
-// are known.
+// replicasRevision returns the store revision up to which this instance has all changes
+// of the replicas.
 func (n *Node) replicasRevision() uint64 {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	return n.replicas.changeLog.Revision()
 }
 
-// lastReplicaChange returns the store's revision of the newest known change of the
-// replicas.
+// lastReplicaChange returns the store revision of the newest change of the replicas that
+// this instance has received.
 func (n *Node) lastReplicaChange() uint64 {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	return n.replicas.changeLog.LastChange()
 }
 
-// drainSignTTL is how long a sign of draining is kept: a connection closed with a
-// refusal, or another replica at the address. The sign may be wrong, so the replica is
-// tried again afterwards. A drain that the replica announces itself holds for its whole
-// incarnation (see statements).
-const drainSignTTL = 2 * time.Minute
+// inferredDrainTTL is the time for which an inferred drain is in force. A drain is
+// inferred if the replica refuses a request and closes the connection, or if another
+// replica answers at its address. This may be wrong, so the replica is tried again
+// afterwards. A drain that the replica states itself lasts for its whole incarnation (see
+// recordStatedDrain).
+const inferredDrainTTL = 2 * time.Minute
 
-// recordDrainSign records a sign that a replica is draining, seen by this instance or a
-// peer.
-func (n *Node) recordDrainSign(id, sign string) {
-	n.followMu.Lock()
-	_, known := n.replicas.drainSigns[id]
+// recordInferredDrain records a drain that this instance or a peer has inferred from the
+// given sign.
+func (n *Node) recordInferredDrain(id, sign string) {
+	n.watchedMu.Lock()
+	_, known := n.replicas.inferredDrains[id]
 	if !known {
-		n.replicas.drainSigns[id] = n.now()
+		n.replicas.inferredDrains[id] = n.now()
 	}
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	if known {
 		return
 	}
@@ -228,26 +229,25 @@
 	n.publish()
 }
 
-// drainUpdates returns the draining replicas to announce to other instances. The first
-// declared of them have announced the drain themselves.
-func (n *Node) drainUpdates() (out []string, declared int) {
-	n.advisories.withTracker(func(b *advisory.Tracker) { out = b.Updates(n.now(), drainAnnounceTime, maxDrainsPerHeartbeat) })
-	declared = len(out)
-	out = append(out, n.recentDrainSigns(maxDrainsPerHeartbeat-declared)...)
-	return n.announcedReplicaIDs(out), declared
+// drainUpdates returns the draining replicas to announce to other instances. The drains
+// of the first stated ones were stated by the replicas, the others are inferred.
+func (n *Node) drainUpdates() (out []string, stated int) {
+	n.advisories.withTracker(func(t *advisory.Tracker) { out = t.Updates(n.now(), drainAnnounceWindow, maxDrainsPerHeartbeat) })
+	stated = len(out)
+	out = append(out, n.recentInferredDrains(maxDrainsPerHeartbeat-stated)...)
+	return n.announcedReplicaIDs(out), stated
 }
 
-// recentDrainSigns returns at most limit replicas that are draining according to recent
-// signs.
-func (n *Node) recentDrainSigns(limit int) []string {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+// recentInferredDrains returns at most limit replicas whose drain was inferred recently.
+func (n *Node) recentInferredDrains(limit int) []string {
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	var out []string
-	for id, at := range n.replicas.drainSigns {
+	for id, at := range n.replicas.inferredDrains {
 		switch age := n.now() - at; {
-		case age > drainSignTTL:
-			delete(n.replicas.drainSigns, id)
-		case age < drainAnnounceTime && len(out) < limit:
+		case age > inferredDrainTTL:
+			delete(n.replicas.inferredDrains, id)
+		case age < drainAnnounceWindow && len(out) < limit:
 			out = append(out, id)
 		}
 	}
@@ -255,6 +255,6 @@
 }
 
 const (
-	drainAnnounceTime     = 3 * time.Second // by then the platform's list of replicas, which lags by up to 3 s, shows it too
+	drainAnnounceWindow   = 3 * time.Second // time for which heartbeats carry a drain; by then the store's list of replicas, which lags by up to 3 s, shows it too
 	maxDrainsPerHeartbeat = 16              // keeps a heartbeat within one datagram
 )
--- a/cmd/node/speeds.go
+++ b/cmd/node/speeds.go
@@ -17,7 +17,7 @@
 	records speed.Records
 }
 
-// cellSpeed is what a cell has observed of a service's engines.
+// cellSpeed is the speed of a service's engines that a cell has observed.
 type cellSpeed struct {
 	origin  uint32
 	cell    int
@@ -100,13 +100,13 @@
 // combinedSpeeds returns the peers' combined speeds for the services in force.
 func (n *Node) combinedSpeeds() map[string]speed.Figures {
 	out := make(map[string]speed.Figures)
-	w, now := n.world.Load(), n.now()
-	if w.config == nil {
+	snap, now := n.snapshot.Load(), n.now()
+	if snap.config == nil {
 		return out
 	}
 	n.speeds.mu.Lock()
 	defer n.speeds.mu.Unlock()
-	for name, s := range w.config.Services {
+	for name, s := range snap.config.Services {
 		if s.Engine == nil {
 			continue
 		}
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	admissionTimeout    = 500 * time.Millisecond // for an owner to admit or refuse a job
-	ownerCheckInterval  = 150 * time.Millisecond // between checks whether the owner is alive
-	startupViewTimeout  = 700 * time.Millisecond // since the process's start, to wait for a view of the cells' owners
-	startupViewInterval = 20 * time.Millisecond  // between checks of that view
-	maxOwnersAsked      = 3                      // for one request
-	maxOwnerReplies     = 2                      // to one job: admission, then results
+	admissionTimeout    = 500 * time.Millisecond // timeout for an owner to admit or refuse a job
+	ownerCheckInterval  = 150 * time.Millisecond // interval between checks whether the owner is alive
+	startupViewTimeout  = 700 * time.Millisecond // time since the process's start after which requests no longer wait for a settled view of the owners
+	startupViewInterval = 20 * time.Millisecond  // interval between checks of that view
+	maxOwnersTried      = 3                      // per request
+	maxOwnerReplies     = 2                      // per job: admission, then results
 )
 
 // refusedError reports that the owner refused a request's stages.
@@ -53,32 +53,32 @@
 
 var errOwnerLost = errors.New("the owner is not heard of any more")
 
-// stageJob is a request's job at its cell's owner. reportFirstEvent tells the
-// owner that the results have been read; end must be called when the request ends.
+// stageJob is a request's job at its cell's owner. reportFirstEvent notifies the owner
+// that the results have been read; end must be called when the request ends.
 type stageJob struct {
 	handles            []string
 	engine             string // ID of the chosen replica; "" if the owner has none
 	fetchFrom          string
 	region             string    // region whose replicas run the stages
-	hasSendGrant       bool      // the owner has taken a send grant of the engine for the request
-	replicaEnds        int       // replicas that had ended during the request when its engine was chosen
-	concurrentSuspects int       // other suspects at the engine at that time
-	resultsJob         *stageJob // job that holds the results if the engine was chosen again; nil: this one
+	hasSendGrant       bool      // the owner has consumed a send grant of the engine for the request
+	crashes            int       // number of replicas that had crashed under the request when its engine was chosen
+	concurrentSuspects int       // number of other suspects at the engine at that time
+	resultsJob         *stageJob // job that holds the results if the engine was chosen again; nil: this job
 	engineJob          *stageJob // job that holds the engine in that case
 	forecast           requestForecast
 	notifyOwner        func(*pb.StagesNews)
 	end                func()
 }
 
-// requestForecast is an owner's estimate of a request's times: of its stages, then
-// of its engine until the first event.
+// requestForecast is an owner's estimate of a request's durations: that of its stages,
+// and the following time at its engine until the first event.
 type requestForecast struct {
 	stages, engine                time.Duration
 	prefillTokens, transferTokens uint32 // tokens of the prompt that the engine computes, and that it fetches from a cache
 	standing                      shares.Standing
 }
 
-func forecastOf(r *pb.StagesReply) requestForecast {
+func decodeForecast(r *pb.StagesReply) requestForecast {
 	return requestForecast{
 		stages:        time.Duration(r.ExpectedUs) * time.Microsecond,
 		engine:        time.Duration(r.EngineUs) * time.Microsecond,
@@ -127,29 +127,29 @@
 	arrivedAt      time.Duration          // arrival of the request
 	objective      time.Duration          // since the arrival
 	deadline       time.Duration          // since the arrival
-	onAsk          func(owner string)
+	onSubmit       func(owner string)
 }
 
 // runStages has the stages of a request run by the owner of its cell, or by the
-// next instance in rank order when that owner is lost.
-func (n *Node) runStages(ctx context.Context, w *stagesRequest) (*stageJob, error) {
-	ask := w.ask
-	n.awaitOwnerView(ctx, int(ask.Cell), w.region)
+// successor, which is the next instance in rank order, if that owner is lost.
+func (n *Node) runStages(ctx context.Context, req *stagesRequest) (*stageJob, error) {
+	ask := req.ask
+	n.awaitOwnerView(ctx, int(ask.Cell), req.region)
 	var err error
 	tried := make(map[string]bool)
-	for range maxOwnersAsked {
-		owner, ok := n.nextOwner(w, tried)
+	for range maxOwnersTried {
+		owner, ok := n.nextOwner(req, tried)
 		if !ok {
 			break
 		}
 		tried[owner.Name] = true
-		w.onAsk(owner.Name)
-		elapsed := n.now() - w.arrivedAt
-		ask.ObjectiveUs = (w.objective - elapsed).Microseconds()
-		ask.DeadlineUs = (w.deadline - elapsed).Microseconds()
+		req.onSubmit(owner.Name)
+		elapsed := n.now() - req.arrivedAt
+		ask.ObjectiveUs = (req.objective - elapsed).Microseconds()
+		ask.DeadlineUs = (req.deadline - elapsed).Microseconds()
 		var job *stageJob
-		if job, err = n.askOwner(ctx, owner, w); err == nil {
-			job.region = w.region
+		if job, err = n.submitToOwner(ctx, owner, req); err == nil {
+			job.region = req.region
 			return job, nil
 		}
 		var refused *refusedError
@@ -166,16 +166,16 @@
 	return nil, errors.Join(errOwnerLost, err)
 }
 
-// awaitOwnerView waits, right after the process's start, until the owner of a cell
-// is known: instances that decide by a partial view would elect many owners.
+// awaitOwnerView waits, right after the process's start, until the view suffices to
+// decide who owns a cell: with partial views, instances would choose different owners.
 func (n *Node) awaitOwnerView(ctx context.Context, cell int, region string) {
 	for n.now() < startupViewTimeout && !n.canDecideOwner(cell, region) && ctx.Err() == nil {
 		process.Pause(ctx, startupViewInterval)
 	}
 }
 
-// canDecideOwner reports whether the view of the members suffices to decide who
-// owns a cell.
+// canDecideOwner reports whether the view of the instances suffices to decide who owns
+// a cell.
 func (n *Node) canDecideOwner(cell int, region string) bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
@@ -184,11 +184,11 @@
 }
 
 // nextOwner returns the next instance in rank order that may own a cell. An owner
-// stores data of a request and its prompt, so it must be in an allowed region. If
-// no instance is, this one owns the cell, as the client has chosen it.
-func (n *Node) nextOwner(w *stagesRequest, tried map[string]bool) (gossip.Instance, bool) {
-	allowed := w.allowedRegions()
-	for _, i := range ownership.Rank(n.liveInstances(), int(w.ask.Cell), w.region) {
+// receives data of a request and its prompt, so it must be in an allowed region. If no
+// instance is, this instance acts as the owner, as the client has chosen it.
+func (n *Node) nextOwner(req *stagesRequest, tried map[string]bool) (gossip.Instance, bool) {
+	allowed := req.allowedRegions()
+	for _, i := range ownership.Rank(n.liveInstances(), int(req.ask.Cell), req.region) {
 		if !tried[i.Name] && allowed.Allows(i.Region) {
 			return i, true
 		}
@@ -200,15 +200,16 @@
 	return gossip.Instance{}, false
 }
 
-// askOwner runs a job at one owner: locally, or over a link.
-func (n *Node) askOwner(ctx context.Context, owner gossip.Instance, w *stagesRequest) (*stageJob, error) {
+// submitToOwner submits a job to one owner, locally or over a link, and waits for its
+// results.
+func (n *Node) submitToOwner(ctx context.Context, owner gossip.Instance, req *stagesRequest) (*stageJob, error) {
 	if owner.Name == n.settings.Name {
-		return n.askLocalOwner(ctx, w)
+		return n.submitToLocalOwner(ctx, req)
 	}
 	if owner.Region != n.home {
-		n.counters.remoteBytes.stages.Inc(int64(proto.Size(w.ask)))
+		n.counters.remoteBytes.stages.Inc(int64(proto.Size(req.ask)))
 	}
-	stream, err := n.links.Open(owner.PeerAddress, frame.Stages, w.ask)
+	stream, err := n.links.Open(owner.PeerAddress, frame.Stages, req.ask)
 	if err != nil {
 		return nil, err
 	}
@@ -225,24 +226,24 @@
 	}()
 	end := sync.OnceFunc(func() { _ = stream.Close() })
 	job := &stageJob{end: end, notifyOwner: func(m *pb.StagesNews) { _ = frame.Write(stream, frame.Stages, m) }}
-	return n.awaitResults(ctx, owner, w, replies, job)
+	return n.awaitResults(ctx, owner, req, replies, job)
 }
 
-func (n *Node) askLocalOwner(ctx context.Context, w *stagesRequest) (*stageJob, error) {
+func (n *Node) submitToLocalOwner(ctx context.Context, req *stagesRequest) (*stageJob, error) {
 	updates := make(chan *pb.StagesNews, 1)
 	replies := make(chan *pb.StagesReply, maxOwnerReplies)
 	job := &stageJob{end: sync.OnceFunc(func() { close(updates) }), notifyOwner: func(m *pb.StagesNews) { updates <- m }}
-	ask := proto.CloneOf(w.ask) // the local owner may still read it while runStages changes it for the next owner
+	ask := proto.CloneOf(req.ask) // the local owner may still read it while runStages changes it for the next owner
 	go n.owner.cell(int(ask.Cell)).serveRequest(ask, updates, func(r *pb.StagesReply) error {
 		replies <- r
 		return nil
 	})
-	return n.awaitResults(ctx, gossip.Instance{}, w, replies, job)
+	return n.awaitResults(ctx, gossip.Instance{}, req, replies, job)
 }
 
 // awaitResults waits for the admission and the results of a job, while its owner
 // is alive and the cell's region may serve the request.
-func (n *Node) awaitResults(ctx context.Context, owner gossip.Instance, w *stagesRequest, replies <-chan *pb.StagesReply, job *stageJob) (*stageJob, error) {
+func (n *Node) awaitResults(ctx context.Context, owner gossip.Instance, req *stagesRequest, replies <-chan *pb.StagesReply, job *stageJob) (*stageJob, error) {
 	admission := time.NewTimer(admissionTimeout)
 	defer admission.Stop()
 	ownerCheck := time.NewTicker(ownerCheckInterval)
@@ -260,7 +261,7 @@
 				return nil, errOwnerLost
 			case r.Refused:
 				job.end()
-				return nil, &refusedError{retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond, forecast: forecastOf(r)}
+				return nil, &refusedError{retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond, forecast: decodeForecast(r)}
 			case r.Failed != "":
 				job.end()
 				if r.Failed == reasonQuarantined {
@@ -269,7 +270,7 @@
 				return nil, &failedError{reason: r.Failed, retryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
 			case r.Admitted:
 				admitted = true
-				job.forecast = forecastOf(r)
+				job.forecast = decodeForecast(r)
 			default:
 				job.handles, job.engine, job.fetchFrom, job.concurrentSuspects = r.Handles, n.incarnationOf(r.Engine), r.Fetch, int(r.Beside)
 				job.hasSendGrant = r.Paced
@@ -281,7 +282,7 @@
 				return nil, errOwnerLost
 			}
 		case <-ownerCheck.C:
-			if !w.allowedRegions().Allows(w.region) {
+			if !req.allowedRegions().Allows(req.region) {
 				job.end()
 				return nil, errRegionDisallowed
 			}
@@ -293,7 +294,7 @@
 	}
 }
 
-// isInstanceAlive reports whether that incarnation of an instance is alive.
+// isInstanceAlive reports whether an incarnation of an instance is alive.
 func (n *Node) isInstanceAlive(i gossip.Instance) bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
--- a/cmd/node/stages_ask.go
+++ b/cmd/node/stages_ask.go
@@ -9,13 +9,12 @@
 	"quinceroad/protocol/pb"
 )
 
-// Bounds of a StagesAsk, beyond what a client's request and a configuration can
-// state. A message that crashes its owner would be sent to the next owner and
-// crash that too.
+// Bounds of a StagesAsk, which are above those of clients' requests and configurations.
+// A message that crashes an owner would be sent to the successor and crash that too.
 const (
-	maxStages      = 64             // of a request; far beyond what deployments configure
-	maxAskTime     = 24 * time.Hour // of any time, positive or negative; far beyond the longest deadline
-	maxResultBytes = 1 << 40        // of one result; more than a machine can hold
+	maxStages      = 64             // per request; far more than deployments configure
+	maxAskTime     = 24 * time.Hour // bound of any duration, positive or negative; far longer than the longest deadline
+	maxResultBytes = 1 << 40        // per result; more than a machine can hold
 )
 
 var errAskTimeOutOfRange = errors.New("a time is out of range")
