--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -17,8 +17,8 @@
 	"quinceroad/transport/web"
 )
 
-// State is the dump of a node's state for operators. It holds no keys. Renamed
-// fields keep their names in the JSON dump by tags.
+// State is the dump of a node's state for operators. It holds no customers' keys. Fields
+// whose Go name differs from their stable name in the JSON dump have tags.
 type State struct {
 	Name              string
 	Build             string
@@ -36,14 +36,14 @@
 	Routes            int
 	Replicas          map[string]int    // by service: replicas that accept work
 	StartTimes        int               `json:"Lives"`     // number of replicas that report a start time
-	Draining          []string          `json:"Leaving"`   // replicas that announced a drain or recently showed signs of one
-	Backoffs          map[string]string `json:"Resting"`   // replicas that asked this instance for a backoff, and the time left
+	Draining          []string          `json:"Leaving"`   // replicas that stated a drain, or whose drain was inferred recently
+	Backoffs          map[string]string `json:"Resting"`   // replicas in backoff for this instance, and the time left
 	RateLimited       map[string]string `json:"Limited"`   // replicas with a rate limit: requests per second and the grantor
 	DrainedHalls      []string          `json:"Emptied"`   // halls whose replicas get no new requests
 	Warming           []string          `json:"Cold"`      // warming replicas, whose load is limited
 	Ejected           []string          `json:"LeftAlone"` // replicas ejected by outlier detection
 	Rollouts          []RolloutState    // active rollouts
-	Quarantine        []QuarantineState // requests that replicas crashed under
+	Quarantine        []QuarantineState // requests under which replicas crashed
 	Instances         []gossip.Instance
 	Cells             []CellState
 	Region            string                   // region of this node; "": its hall belongs to no region
@@ -52,7 +52,7 @@
 	Customers         map[string]customerCount // outcomes of their requests at this node
 }
 
-// RegionState is what a node knows of a region.
+// RegionState is a node's view of a region.
 type RegionState struct {
 	Instances int
 	Replicas  map[string]int // by service: replicas that accept work
@@ -60,8 +60,8 @@
 	RoundTrip string `json:"Trip"` // recent round-trip time
 }
 
-// maxReportedShares limits the customers of a pool in the dump; throttled ones are
-// listed in addition.
+// maxReportedShares is the maximum number of customers of a pool in the dump; throttled
+// ones are listed in addition.
 const maxReportedShares = 10
 
 // CellState is a cell that this node has owned.
@@ -75,7 +75,7 @@
 	Shares  []shares.Row             // customers with the highest demand, and all throttled ones
 }
 
-// Reasons for which a node is not ready.
+// Errors that state why a node is not ready.
 var (
 	errNoConfiguration = errors.New("no configuration is known yet")
 	errNoReplicas      = errors.New("no list of replicas is known yet")
@@ -99,11 +99,11 @@
 	if n.stopping.Load() {
 		return errStopping
 	}
-	w := n.world.Load()
-	if w.config == nil {
+	snap := n.snapshot.Load()
+	if snap.config == nil {
 		return errNoConfiguration
 	}
-	if !w.replicasLoaded {
+	if !snap.replicasLoaded {
 		return errNoReplicas
 	}
 	return nil
@@ -111,7 +111,7 @@
 
 // State returns the current state.
 func (n *Node) State() State {
-	w := n.world.Load()
+	snap := n.snapshot.Load()
 	s := State{
 		Name:              n.settings.Name,
 		Build:             process.Build(),
@@ -123,7 +123,7 @@
 		Resumes:           n.counters.resumes.Count(),
 		StoreUnresponsive: n.storeMonitor.isUnresponsive(),
 		ListRevision:      n.replicasRevision(),
-		Replicas:          make(map[string]int, len(w.eligibleByService)),
+		Replicas:          make(map[string]int, len(snap.eligibleByService)),
 		Backoffs:          make(map[string]string),
 		Instances:         n.liveInstances(),
 		PeerLinks:         n.links.Len(),
@@ -135,16 +135,16 @@
 			s.Backoffs[incarnation] = (until - n.now()).Round(time.Millisecond).String()
 		}
 	})
-	s.RateLimited = n.limitedStates(w)
-	s.Draining = append(s.Draining, n.recentDrainSigns(maxDrainsPerHeartbeat)...)
+	s.RateLimited = n.limitedStates(snap)
+	s.Draining = append(s.Draining, n.recentInferredDrains(maxDrainsPerHeartbeat)...)
 	s.FleetLevel = n.level.inForce()
 	s.PendingFeatures = level.PendingFeatures(s.FleetLevel)
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	s.DrainedHalls = n.drainedHalls.Halls()
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	s.Rollouts = n.rolloutStates()
 	s.Quarantine = n.quarantineStates()
-	for _, r := range w.replicas {
+	for _, r := range snap.replicas {
 		if r.StartMillis != 0 {
 			s.StartTimes++
 		}
@@ -152,13 +152,13 @@
 			s.Warming = append(s.Warming, r.ID)
 		}
 	}
-	if w.config != nil {
-		s.ConfigVersion, s.Routes = w.config.Version, len(w.config.Routes)
+	if snap.config != nil {
+		s.ConfigVersion, s.Routes = snap.config.Version, len(snap.config.Routes)
 	}
-	for service, list := range w.eligibleByService {
+	for service, list := range snap.eligibleByService {
 		s.Replicas[service] = len(list)
 	}
-	s.Region, s.Regions = n.home, n.regionStates(w, s.Instances)
+	s.Region, s.Regions = n.home, n.regionStates(snap, s.Instances)
 	for id := range n.ejectedReplicas() {
 		s.Ejected = append(s.Ejected, id)
 	}
@@ -177,11 +177,11 @@
 	return s
 }
 
-func (n *Node) regionStates(w *snapshot, alive []gossip.Instance) map[string]RegionState {
+func (n *Node) regionStates(snap *snapshot, alive []gossip.Instance) map[string]RegionState {
 	out := make(map[string]RegionState)
-	for _, region := range w.regions.Names() {
-		r := RegionState{Cells: w.cellCount(region), RoundTrip: n.roundTripTo(region).String()}
-		r.Replicas = w.parts.available[region]
+	for _, region := range snap.regionMap.Names() {
+		r := RegionState{Cells: snap.cellCount(region), RoundTrip: n.roundTripTo(region).String()}
+		r.Replicas = snap.partition.available[region]
 		for _, i := range alive {
 			if i.Region == region {
 				r.Instances++
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -7,7 +7,7 @@
 	"quinceroad/platform"
 )
 
-// store is the part of the platform's store that a node uses. Tests replace it to
+// store is the interface of the platform's store that a node uses. Tests replace it to
 // simulate an unresponsive store under a fake clock.
 type store interface {
 	Probe(timeout time.Duration) error
--- a/cmd/node/store_monitor.go
+++ b/cmd/node/store_monitor.go
@@ -49,8 +49,7 @@
 	return changed
 }
 
-// abandonCalls makes all pending calls to the store end, as after an unresponsive
-// period.
+// abandonCalls makes all pending calls to the store end, as after an outage.
 func (m *storeMonitor) abandonCalls() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,11 +65,11 @@
 }
 
 // monitorStore probes the store regularly while this instance is a reader, and announces
-// the result to the other instances: a wait for changes reveals an unresponsive store
-// only at its end. An instance that could not reach the store goes on probing until it
+// the result to the other instances: a watch reveals an unresponsive store only at its
+// end. An instance that could not reach the store goes on probing until it
 // can, because it would otherwise never be selected as a reader again.
 func (n *Node) monitorStore(ctx context.Context) {
-	var silentSince time.Duration // start of the unresponsive period
+	var outageStart time.Duration // start of the current outage
 	process.Every(ctx, storeProbeInterval, func() {
 		if !n.isReader.Load() && !n.storeUnreachable() {
 			return
@@ -79,11 +78,11 @@
 		n.setStoreReachable(err == nil)
 		switch changed := n.storeMonitor.record(err == nil); {
 		case changed && err != nil:
-			silentSince = n.now()
+			outageStart = n.now()
 			n.counters.storeOutages.Inc(1)
 			event.NodeStoreSilent.Log(n.log, "error", err)
 		case changed:
-			event.NodeStoreAnswers.Log(n.log, "after", n.now()-silentSince)
+			event.NodeStoreAnswers.Log(n.log, "after", n.now()-outageStart)
 		}
 	})
 }
--- a/cmd/node/store_monitor_test.go
+++ b/cmd/node/store_monitor_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// A reader's watch that the store had missed in an outage lasted 8.7 s in total, longer
-// than the time in which a configuration must be in force.
+// A watch that the store had missed during an outage must end when the store recovers. It
+// lasted 8.7 s in total, longer than the time in which a configuration must be in force.
 func TestLostStoreCallIsAbandonedOnRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // a call that blocks forever fails the test at once
 		is := is.New(t)
-		p := newStoreMonitor()
+		m := newStoreMonitor()
 		hang := make(chan struct{})
 		defer close(hang)
-		f := &topicFollower{storeRecovery: p.recovery}
+		f := &topicFollower{storeRecovery: m.recovery}
 		started := make(chan struct{})
 		ended := make(chan error)
 		go func() {
@@ -26,15 +26,15 @@
 			})
 		}()
 		<-started
-		p.record(true) // responsive as before
+		m.record(true) // responsive as before
 		synctest.Wait()
 		select {
 		case err := <-ended:
 			t.Fatalf("abandoned although the store was responsive: %v", err)
 		default:
 		}
-		p.record(false)
-		p.record(true)
+		m.record(false)
+		m.record(true)
 		is.Equal(<-ended, errCallAbandoned)
 	})
 }
@@ -50,10 +50,10 @@
 // An unresponsive store and its recovery are logged once each, not with every probe.
 func TestStoreMonitorReportsOnlyChanges(t *testing.T) {
 	is := is.New(t)
-	p := newStoreMonitor()
+	m := newStoreMonitor()
 	var changes []bool
 	for _, answered := range []bool{true, false, false, true, true} {
-		changes = append(changes, p.record(answered))
+		changes = append(changes, m.record(answered))
 	}
 	is.Equal(changes, []bool{false, true, false, true, false})
 }
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// streamState is what the client has received of a stream, over all attempts.
+// streamState tracks the part of a stream that the client has received, over all
+// attempts.
 type streamState struct {
 	headersSent bool
 	lastEventID string // ID of the last complete event that has one
@@ -38,7 +39,7 @@
 		}
 		lastEventAt = a.node.now()
 		if isFirst {
-			a.answerBegan = lastEventAt
+			a.answerStartedAt = lastEventAt
 		}
 		if !a.stream.headersSent {
 			a.stream.headersSent = true
--- a/cmd/node/stream_test.go
+++ b/cmd/node/stream_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Events are forwarded byte for byte and complete, and a stream that breaks off is
-// not taken for a complete one.
+// Events are forwarded complete and unchanged, and a stream that breaks off is not taken
+// for a complete one.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2\nda"))
--- a/cmd/node/throttled.go
+++ b/cmd/node/throttled.go
@@ -6,14 +6,14 @@
 	"quinceroad/protocol/event"
 )
 
-// throttledCustomer is a customer that is throttled at a service of a cell.
+// throttledCustomer identifies a customer that is throttled at a service of a cell.
 type throttledCustomer struct{ customer, service string }
 
 // maxThrottledLogLines bounds the log lines of one check.
 const maxThrottledLogLines = 20
 
-// logThrottled logs which customers are throttled since the last check, and which no
-// longer are.
+// logThrottled logs the customers that have become throttled since the last check, and
+// those that are no longer throttled.
 func (c *cell) logThrottled(now time.Duration) {
 	c.mu.Lock()
 	rows := c.scheduler.ThrottledCustomers(now)
@@ -34,12 +34,12 @@
 		}
 		throttled[key] = since
 	}
-	for h, since := range c.throttledSince {
-		if _, still := throttled[h]; still {
+	for key, since := range c.throttledSince {
+		if _, still := throttled[key]; still {
 			continue
 		}
 		if lines++; lines <= maxThrottledLogLines {
-			event.NodeCustomerFree.Log(log, "cell", c.number, "customer", h.customer, "service", h.service, "after", now-since)
+			event.NodeCustomerFree.Log(log, "cell", c.number, "customer", key.customer, "service", key.service, "after", now-since)
 		}
 	}
 	c.throttledSince = throttled
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	replicaChangeDelay  = 250 * time.Millisecond // after a change of the replicas, so that changes that follow shortly are applied together
-	minStoreRetryDelay  = 100 * time.Millisecond // after a failed call; doubles with each failure
-	maxStoreRetryDelay  = 1 * time.Second        // the end of an outage is noticed within the 2 s in which a configuration must be in force
-	unwrittenTopicDelay = 250 * time.Millisecond // before a topic that was never written is read again
-	readerCheckInterval = 100 * time.Millisecond // between checks whether this instance is to be a reader
-	firstReadInterval   = 300 * time.Millisecond // between reads of a topic that is not loaded yet: 75 times the usual answer time
+	replicaChangeDelay  = 250 * time.Millisecond // pause after a change of the replicas, so that changes that follow shortly are applied together
+	minStoreRetryDelay  = 100 * time.Millisecond // pause after a failed call; doubles with each failure
+	maxStoreRetryDelay  = 1 * time.Second        // upper bound, so that the end of an outage is detected within the 2 s in which a configuration must be in force
+	unwrittenTopicDelay = 250 * time.Millisecond // pause before a topic that was never written is read again
+	readerCheckInterval = 100 * time.Millisecond // interval between checks whether this instance is a reader
+	firstReadInterval   = 300 * time.Millisecond // interval between reads of a topic that is not loaded yet: 75 times the usual answer time
 	maxFirstReads       = 5                      // concurrent reads of one topic; by then the first one has timed out
 )
 
-// Bounds of one wait for changes, and the part of a deployment's time limit that remains
-// for the changes when the wait has ended.
+// Bounds of the duration of a watch, and the time that is reserved for the changes after
+// its end.
 const (
-	minWatchTime          = 1 * time.Second // limits a reader to two calls a second, including the grace
-	maxWatchTime          = 8 * time.Second // upper bound whatever the settings allow
+	minWatchTime          = 1 * time.Second // limits a reader to two calls a second, including WatchGrace
+	maxWatchTime          = 8 * time.Second // upper bound, whatever the settings allow
 	changePropagationTime = 1 * time.Second // covers the next call, the pause before it and the propagation to peers: 0.6 s in simulations
 )
 
-// watchTimeFor returns how long a wait for changes may last. A connection may hang for
-// good while the store answers on others, which looks the same as a connection without
-// changes. A wait therefore ends early enough for the changes that it missed to be in
-// force within the deployment's time limits.
+// watchTimeFor returns the duration of a watch. A connection may hang for good while the
+// store answers on others, which can't be told from a topic without changes. A watch
+// therefore ends early enough for the changes that it missed to be in force within the
+// deployment's time limits.
 func watchTimeFor(s *platform.Settings) time.Duration {
 	allowed := s.RecoveryTime + min(s.ConfigApplyTime, s.DrainTime, s.HallDrainTime)
 	return min(max(allowed-platform.WatchGrace-changePropagationTime, minWatchTime), maxWatchTime)
@@ -42,45 +42,45 @@
 // noOutage is the start of an outage when there is none.
 const noOutage = time.Duration(-1)
 
-// errCallAbandoned means that a call was abandoned because the store was unresponsive
-// after the call began, and will not answer it.
+// errCallAbandoned reports that a call was abandoned because the store became
+// unresponsive after the call began, and will not answer it.
 var errCallAbandoned = errors.New("the store was unresponsive and will not answer the call")
 
 // topicFollower follows a topic of the store: it reads the whole topic once, and then
 // watches for changes while this instance is a reader.
 type topicFollower struct {
-	node              *Node
-	storeRecovery     func() <-chan struct{} // closed when the store answers again after it was unresponsive
-	name              string
-	isKnown           func() bool                                        // reports whether the topic was read, or received from a peer
-	continuesFromPeer bool                                               // a topic received from a peer needs no full read before its changes
-	read              func() (apply func(), err error)                   // reads the whole topic; apply applies the result
-	watch             func(wait time.Duration) (apply func(), err error) // asks for changes, and waits up to this long for the first one
+	node                   *Node
+	storeRecovery          func() <-chan struct{} // closed when the store answers again after it was unresponsive
+	name                   string
+	isLoaded               func() bool                                        // reports whether the topic was read or received from a peer
+	watchesAfterPeerUpdate bool                                               // a topic received from a peer is watched without a full read first
+	read                   func() (apply func(), err error)                   // reads the whole topic; apply applies the result
+	watch                  func(wait time.Duration) (apply func(), err error) // returns changes, and waits up to this long for the first one
 }
 
 func (f *topicFollower) run(ctx context.Context) {
 	n := f.node
 	retryDelay := minStoreRetryDelay
 	outageStart := noOutage
-	readWhole := !f.continuesFromPeer // the next call reads the whole topic
-	answered := false                 // the last call of this reader was answered
+	needsFullRead := !f.watchesAfterPeerUpdate // the next call must read the whole topic
+	answered := false                          // the last call of this reader was answered
 	for ctx.Err() == nil {
 		switch {
-		case f.isKnown() && !n.isReader.Load():
+		case f.isLoaded() && !n.isReader.Load():
 			answered = false
 			process.Pause(ctx, readerCheckInterval)
 			continue
-		case !f.isKnown() && n.defersFirstRead():
+		case !f.isLoaded() && n.defersFirstRead():
 			process.Pause(ctx, startupViewInterval)
 			continue
 		}
 		startedAt := n.now()
-		err := f.nextCall(readWhole, answered)
+		err := f.nextCall(needsFullRead, answered)
 		waited := n.now() - startedAt
 		answered = err == nil
 		switch {
 		case err == nil:
-			readWhole = false
+			needsFullRead = false
 			retryDelay = minStoreRetryDelay
 			if outageStart != noOutage {
 				event.NodeStoreBack.Log(n.log, "topic", f.name, "after", n.now()-outageStart)
@@ -93,7 +93,7 @@
 			event.NodeStoreGivenUp.Log(n.log, "topic", f.name, "waited", waited)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
-			readWhole = true
+			needsFullRead = true
 			continue
 		case errors.Is(err, platform.ErrNoKey): // the topic was never written
 			process.Pause(ctx, unwrittenTopicDelay)
@@ -112,12 +112,12 @@
 
 // nextCall makes the next call for the topic. It waits for changes only if the store has
 // answered the previous call: an unresponsive store never answers the calls that it
-// missed, and an instance that has just become a reader does not know the store's state.
-func (f *topicFollower) nextCall(readWhole, answered bool) error {
+// missed, and an instance that has just become a reader has not observed its state.
+func (f *topicFollower) nextCall(needsFullRead, answered bool) error {
 	switch {
-	case !f.isKnown():
+	case !f.isLoaded():
 		return f.firstRead()
-	case readWhole:
+	case needsFullRead:
 		return f.applyCall(f.read)
 	case answered:
 		return f.applyCall(func() (func(), error) { return f.watch(watchTimeFor(f.node.settings)) })
@@ -175,7 +175,7 @@
 				return r.err
 			}
 		case <-ticker.C:
-			if f.isKnown() { // received from a peer meanwhile
+			if f.isLoaded() { // received from a peer meanwhile
 				return nil
 			}
 			if started < maxFirstReads {
@@ -206,13 +206,13 @@
 // waits for updates from the readers instead of reading the store.
 func (n *Node) defersFirstRead() bool {
 	n.updateReaderRole(n.liveInstances())
-	startup := readers.Startup{Age: n.now(), KnowsPeers: n.knowsPeers(), IsReader: n.isReader.Load(), Jitter: n.jitter}
+	startup := readers.Startup{Age: n.now(), KnowsPeers: n.hasDiscoveredPeers(), IsReader: n.isReader.Load(), Jitter: n.jitter}
 	return !startup.ShouldRead()
 }
 
-// knowsPeers reports whether this instance has probably discovered its peers: no new one
+// hasDiscoveredPeers reports whether this instance has probably discovered its peers: no new one
 // has appeared for a moment, or none at all for a while.
-func (n *Node) knowsPeers() bool {
+func (n *Node) hasDiscoveredPeers() bool {
 	n.gossipMu.Lock()
 	defer n.gossipMu.Unlock()
 	now := n.now()
@@ -222,7 +222,7 @@
 // updateReaderRole decides whether this instance is a reader of the store, once it has
 // discovered its peers.
 func (n *Node) updateReaderRole(alive []gossip.Instance) {
-	if !n.knowsPeers() {
+	if !n.hasDiscoveredPeers() {
 		return
 	}
 	isReader := readers.IsReader(n.settings.Name, alive)
--- a/cmd/node/topic_follower_test.go
+++ b/cmd/node/topic_follower_test.go
@@ -9,13 +9,13 @@
 )
 
 // When all instances started while the store was unresponsive, each waited for the end
-// of a call that was never answered, and served 1.5 s later than the store.
+// of a call that was never answered, and began to serve 1.5 s after the store recovered.
 func TestTopicReadIsRepeatedWhileACallHangs(t *testing.T) {
 	is := is.New(t)
 	hang := make(chan struct{})
 	defer close(hang)
 	var calls, applied atomic.Int64
-	f := &topicFollower{isKnown: func() bool { return false }}
+	f := &topicFollower{isLoaded: func() bool { return false }}
 	f.read = func() (func(), error) {
 		if calls.Add(1) == 1 {
 			<-hang
@@ -32,7 +32,7 @@
 	hang := make(chan struct{})
 	defer close(hang)
 	var learned atomic.Bool
-	f := &topicFollower{isKnown: learned.Load}
+	f := &topicFollower{isLoaded: learned.Load}
 	f.read = func() (func(), error) {
 		learned.Store(true)
 		<-hang
@@ -44,6 +44,6 @@
 func TestFailedReadReturnsItsError(t *testing.T) {
 	is := is.New(t)
 	failure := errors.New("refused")
-	f := &topicFollower{isKnown: func() bool { return false }, read: func() (func(), error) { return nil, failure }}
+	f := &topicFollower{isLoaded: func() bool { return false }, read: func() (func(), error) { return nil, failure }}
 	is.Equal(f.firstRead(), failure)
 }
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -16,7 +16,7 @@
 // to be drained, and the ordered rollouts.
 func (n *Node) followIntent(ctx context.Context) {
 	var at atomic.Uint64
-	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "intent", isKnown: func() bool { return n.configVersion() > 0 }}
+	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "intent", isLoaded: func() bool { return n.configVersion() > 0 }}
 	f.read = func() (func(), error) {
 		intent, err := n.store.Intent()
 		return func() {
@@ -35,17 +35,17 @@
 }
 
 // applyIntent applies the operators' intent after it was read in full. Drained halls and
-// rollouts come first because no request is sent before a configuration is in force.
+// rollouts come first because requests are sent as soon as a configuration is in force.
 func (n *Node) applyIntent(i platform.Intent) {
 	n.changeDrainedHalls(fromStore, func(now time.Duration, v *evacuation.View) []evacuation.Change {
 		return v.Replace(now, i.DrainedHalls, i.Revision)
 	})
 	n.replaceRollouts(i.Rollouts, i.Revision)
-	n.offerConfiguration(i.Configuration, fromStore)
+	n.applyConfiguration(i.Configuration, fromStore)
 }
 
-// applyIntentChanges applies the changes that a watch returned. Afterwards all changes
-// up to the revision are known.
+// applyIntentChanges applies the changes that a watch returned, which include all up to a
+// revision.
 func (n *Node) applyIntentChanges(items []platform.Entry, at uint64) {
 	var entries []evacuation.Entry
 	for i := range items {
@@ -59,7 +59,7 @@
 	n.applyRollouts(items, at)
 	for i := range items {
 		if items[i].IsConfiguration() && !items[i].Deleted {
-			n.offerConfiguration(items[i].Value, fromStore)
+			n.applyConfiguration(items[i].Value, fromStore)
 		}
 	}
 }
@@ -70,17 +70,17 @@
 // configVersion returns the version of the configuration in force, or 0 if there is
 // none.
 func (n *Node) configVersion() uint64 {
-	n.followMu.Lock()
-	defer n.followMu.Unlock()
+	n.watchedMu.Lock()
+	defer n.watchedMu.Unlock()
 	if n.config == nil {
 		return 0
 	}
 	return n.config.Version
 }
 
-// offerConfiguration puts a configuration in force if it is newer than the current one.
+// applyConfiguration puts a configuration in force if it is newer than the current one.
 // The version never decreases while the process runs.
-func (n *Node) offerConfiguration(data []byte, from string) {
+func (n *Node) applyConfiguration(data []byte, from string) {
 	c, err := platform.ParseConfiguration(data)
 	if err != nil {
 		event.NodeConfigBroken.Log(n.log, "from", from, "error", err)
@@ -88,14 +88,14 @@
 			return
 		}
 	}
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	if n.config != nil && c.Version <= n.config.Version {
-		n.followMu.Unlock()
+		n.watchedMu.Unlock()
 		return
 	}
 	n.config, n.rawConfig = c, &rawConfig{text: data}
 	afterUnlock := n.replaceSnapshot() // together with the version: a caller that sees the new version must not be served by the old configuration
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	afterUnlock()
 	n.gossipMu.Lock()
 	n.members.SetConfigVersion(c.Version)
@@ -108,14 +108,14 @@
 }
 
 func (n *Node) followReplicas(ctx context.Context) {
-	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "replicas", isKnown: n.replicasLoaded, continuesFromPeer: true}
+	f := topicFollower{node: n, storeRecovery: n.storeMonitor.recovery, name: "replicas", isLoaded: n.replicasLoaded, watchesAfterPeerUpdate: true}
 	f.read = func() (func(), error) {
 		items, at, err := n.store.Replicas()
 		return func() {
-			n.followMu.Lock()
+			n.watchedMu.Lock()
 			first := !n.replicas.changeLog.IsLoaded()
 			n.replicas.changeLog.Replace(items, at)
-			n.followMu.Unlock()
+			n.watchedMu.Unlock()
 			event.NodeReplicas.Log(n.log, "from", fromStore, "at", at, "known", len(items))
 			n.publish()
 			if first {
@@ -136,9 +136,9 @@
 	for _, i := range items {
 		entries = append(entries, changes.Entry{ID: i.ReplicaName(), Value: i.Value, Revision: i.Revision, Deleted: i.Deleted})
 	}
-	n.followMu.Lock()
+	n.watchedMu.Lock()
 	changed := n.replicas.changeLog.ApplyChanges(entries, at)
-	n.followMu.Unlock()
+	n.watchedMu.Unlock()
 	if changed > 0 {
 		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", changed, "at", at)
 		n.publish()
--- a/cmd/node/trial.go
+++ b/cmd/node/trial.go
@@ -26,13 +26,13 @@
 // no guarantee is broken.
 
 const (
-	trialTimeout     = time.Second // wait for a trial lease: the usual duration of an answer; callers wait longer
-	maxArbitersAsked = 2           // arbiters asked for one trial lease
+	trialTimeout     = time.Second // maximum wait for a trial lease: the usual duration of an answer; callers wait longer
+	maxArbitersTried = 2           // per trial lease
 )
 
 var errNoTrial = errors.New("the request is being tried elsewhere, as replicas have ended under it")
 
-// trialLease is the right to run a suspect request; release returns it and reports
+// trialLease is the right to run a suspect request. release gives it back and reports
 // the result to the arbiter.
 type trialLease struct{ release func() }
 
@@ -43,7 +43,7 @@
 	err := errNoTrial
 	asked := 0
 	for _, arbiter := range n.arbiters(f) {
-		if asked == maxArbitersAsked || ctx.Err() != nil {
+		if asked == maxArbitersTried || ctx.Err() != nil {
 			break
 		}
 		if n.level.lacksTrialLeases(arbiter) {
@@ -53,7 +53,7 @@
 		if t, err = n.requestTrial(ctx, arbiter, f); err == nil {
 			return t, nil
 		}
-		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // builds without trials close unknown streams
+		if errors.Is(err, io.EOF) || errors.Is(err, frame.ErrUnknown) { // builds without trial leases close unknown streams
 			n.level.recordNoTrialLeases(arbiter)
 			continue
 		}
@@ -103,7 +103,7 @@
 	}
 	n.mergeQuarantine([]*pb.QuarantineCase{reply.Known})
 	return &trialLease{release: sync.OnceFunc(func() {
-		_ = frame.Write(stream, frame.Trial, n.quarantineCase(f)) // if it is lost, heartbeats carry the same result
+		_ = frame.Write(stream, frame.Trial, n.quarantineCase(f)) // if the message is lost, heartbeats carry the same result
 		_ = stream.Close()
 	})}, nil
 }
@@ -133,10 +133,10 @@
 	if !ok {
 		e.Fingerprint = f
 	}
-	return caseMessage(e)
+	return encodeCase(e)
 }
 
-// serveTrial grants the trial lease of a suspect request to a peer once no one else
+// serveTrial grants the trial lease of a suspect request to a peer once no other peer
 // holds it. The lease lasts until the peer's stream ends.
 func (n *Node) serveTrial(first []byte, stream net.Conn) {
 	ask := &pb.TrialAsk{}
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -16,12 +16,12 @@
 	"quinceroad/platform"
 )
 
-// The lowest limits of all deployments, and the resulting time from the end of a
-// disturbance until the changes acknowledged since must be in force.
+// The lowest limits of all deployments, and the resulting maximum time from the end of a
+// disturbance until the changes that were acknowledged since are in force.
 const (
-	contactFor    = 3 * time.Second // until an instance must meet its time limits again: settings of kld-windhoek and mfma-route
-	applyFor      = 2 * time.Second // until a configuration is in force: the same settings
-	inForceWithin = contactFor + applyFor
+	recoveryTime    = 3 * time.Second // after a disturbance, until an instance must meet its time limits again: settings of kld-windhoek and mfma-route
+	configApplyTime = 2 * time.Second // until a configuration is in force: the same settings
+	inForceWithin   = recoveryTime + configApplyTime
 )
 
 var errNoAnswer = errors.New("the store did not answer")
@@ -135,7 +135,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := &platform.Settings{
-			Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", RecoveryTime: contactFor, ConfigApplyTime: applyFor, DrainTime: applyFor,
+			Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", RecoveryTime: recoveryTime, ConfigApplyTime: configApplyTime, DrainTime: configApplyTime,
 		}
 		n := New(settings, hclog.NewNullLogger())
 		s := newFakeStore()
@@ -167,25 +167,25 @@
 }
 
 // All watches ended while the store was unresponsive, and the store missed the calls
-// that followed them.
-func TestChangeAfterStoreSilenceAppliesInTime(t *testing.T) {
-	for silence := 500 * time.Millisecond; silence < 12*time.Second; silence += 500 * time.Millisecond {
+// that followed. The change after the outage must be in force in time all the same.
+func TestChangeAfterStoreOutageAppliesInTime(t *testing.T) {
+	for outage := 500 * time.Millisecond; outage < 12*time.Second; outage += 500 * time.Millisecond {
 		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 			s.write(2)
 			time.Sleep(300 * time.Millisecond)
 			s.setUnresponsive(true)
-			time.Sleep(silence)
+			time.Sleep(outage)
 			s.setUnresponsive(false)
 			s.write(3)
-			expectVersion(t, n, 3, storeProbeInterval+storeProbeTimeout, silence.String()) // after a probe is answered
+			expectVersion(t, n, 3, storeProbeInterval+storeProbeTimeout, outage.String()) // after a probe is answered
 		})
 	}
 }
 
 // Four instances became readers 0.2 to 0.4 s before an unresponsive store recovered.
-// They had not noticed that it was unresponsive, and waited 8.7 s for answers to the
+// They had not detected that it was unresponsive, and waited 8.7 s for answers to the
 // calls that the store had missed.
-func TestNewReaderDuringStoreSilenceAppliesInTime(t *testing.T) {
+func TestNewReaderDuringStoreOutageAppliesInTime(t *testing.T) {
 	for phase := time.Duration(0); phase < storeProbeInterval; phase += 100 * time.Millisecond {
 		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 			n.isReader.Store(false)
@@ -200,7 +200,8 @@
 	}
 }
 
-// A connection may hang for good while the store answers on others.
+// A connection may hang for good while the store answers on others. The changes that a
+// watch misses because of that must be in force in time.
 func TestChangeAppliesInTimeAfterWatchStalls(t *testing.T) {
 	for waited := 500 * time.Millisecond; waited < 8*time.Second; waited += 500 * time.Millisecond {
 		withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
@@ -214,8 +215,8 @@
 
 func TestWatchTimeFollowsSettings(t *testing.T) {
 	is := is.New(t)
-	wait := func(contact, apply, drain, empty time.Duration) time.Duration {
-		return watchTimeFor(&platform.Settings{RecoveryTime: contact, ConfigApplyTime: apply, DrainTime: drain, HallDrainTime: empty})
+	wait := func(recovery, apply, drain, hallDrain time.Duration) time.Duration {
+		return watchTimeFor(&platform.Settings{RecoveryTime: recovery, ConfigApplyTime: apply, DrainTime: drain, HallDrainTime: hallDrain})
 	}
 	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, 5*time.Second), 3300*time.Millisecond)
 	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas has a limit as well
@@ -224,8 +225,8 @@
 	is.Equal(wait(0, 0, 0, 0), minWatchTime)
 }
 
-// A reader hands over an unresponsive store only once it announces that, and is
-// considered able to reach the store again only once it announces that too.
+// Another instance replaces a reader that can't reach the store only once the reader
+// announces that, and the reader becomes eligible again only once it announces that it can.
 func TestReaderAnnouncesStoreReachability(t *testing.T) {
 	withFollower(t, func(t *testing.T, n *Node, s *fakeStore) {
 		is := is.New(t)
--- a/cmd/node/update_server.go
+++ b/cmd/node/update_server.go
@@ -15,8 +15,8 @@
 )
 
 // updateServer limits the bandwidth of updates to peers that are behind, and caches the
-// updates. When all instances start together, hundreds ask the few that have the replica
-// list, and every instance that has received it can pass it on.
+// updates. When all instances start together, hundreds pull from the few that have the
+// replica list. A refused peer can pull from any instance that has received it meanwhile.
 type updateServer struct {
 	mu         sync.Mutex
 	lastChange uint64 // revision of the newest change that the cached updates contain
@@ -25,14 +25,14 @@
 	creditedAt time.Duration
 }
 
-// cachedUpdate is the update for peers that know all changes up to a certain revision.
+// cachedUpdate is the update for peers that have all changes up to a certain revision.
 type cachedUpdate struct {
 	message *pb.ReplicaChanges
 	size    int // bytes
 }
 
-// cached returns the update for a peer that has revision have, or nil if none was built
-// since the newest change.
+// cached returns the update for a peer that has the changes up to revision have, or nil
+// if none was built since the newest change.
 func (s *updateServer) cached(have, changed uint64) (*pb.ReplicaChanges, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,9 +53,9 @@
 	s.cache[have] = cachedUpdate{message, size}
 }
 
-// allow reports whether an update of that size may be sent over a link of so many bytes
-// a second, and charges it. An update larger than the credit is sent once the credit is
-// not negative.
+// allow reports whether an update of size bytes may be sent over a link of link bytes a
+// second, and charges its size to the credit. Any credit that is not negative suffices,
+// so an update may be larger than the credit.
 func (s *updateServer) allow(now time.Duration, size int, link float64) bool {
 	if size <= unmeteredUpdateSize {
 		return true
--- a/cmd/node/update_server_test.go
+++ b/cmd/node/update_server_test.go
@@ -18,9 +18,9 @@
 	"quinceroad/state/catalog"
 )
 
-const slowLink = 10e6 / 8 // bytes a second, the lowest that a deployment declares
+const slowLink = 10e6 / 8 // bytes a second, the lowest of all deployments
 
-// newNodeWithReplicas returns a node that knows the given number of replicas.
+// newNodeWithReplicas returns a node with the given number of replicas in its list.
 func newNodeWithReplicas(t testing.TB, replicas int) *Node {
 	n := New(&platform.Settings{Name: "n", Hall: "h", StoreAddress: "127.0.0.1:1", LinkBytesPerSecond: slowLink}, hclog.NewNullLogger())
 	values := make(map[string][]byte)
@@ -65,8 +65,8 @@
 	is.Equal(len(small.Entries), 1) // small updates are uncompressed and never refused
 }
 
-// Updates to peers that are behind leave most of the link to clients. A peer that is
-// refused asks another instance.
+// Updates to peers that are behind leave most of the link to clients. A refused peer may
+// pull from another instance at once.
 func TestUpdatesToPeersStayWithinTheirLinkShare(t *testing.T) {
 	is := is.New(t)
 	server := &updateServer{}
--- a/cmd/node/warmup.go
+++ b/cmd/node/warmup.go
@@ -22,20 +22,20 @@
 	return &warmUpLimiter{limit: warmup.Limit{Overrun: s.WarmUpOverrun, Slack: s.WarmUpSlack}, window: warmup.NewWindow()}
 }
 
-// warmingUntil returns until when a replica counts as warming: by its own report, or
-// because its hall has just returned from a drain: the replica may have begun to
-// warm up shortly before, which it reports up to a heartbeat later. The caller holds
-// followMu.
-func (n *Node) warmingUntil(c *catalog.Configuration, row *replicaRecord) time.Duration {
+// warmingUntil returns the time until which a replica counts as warming: the one that it
+// reports or, if its hall has just returned from a drain, a whole warm-up time after
+// that, as the replica reports the start of its warm-up up to a heartbeat late. The
+// caller holds watchedMu.
+func (n *Node) warmingUntil(c *catalog.Configuration, record *replicaRecord) time.Duration {
 	if c == nil {
 		return 0
 	}
-	s := c.Services[row.replica.Service]
+	s := c.Services[record.replica.Service]
 	if s == nil || s.WarmUp == nil {
 		return 0
 	}
-	until := row.warmingUntil
-	if at, ok := n.drainedHalls.ReturnedAt(row.replica.Hall); ok {
+	until := record.warmingUntil
+	if at, ok := n.drainedHalls.ReturnedAt(record.replica.Hall); ok {
 		until = max(until, at+s.WarmUp.Duration)
 	}
 	return until
@@ -60,10 +60,10 @@
 	return true
 }
 
-// mayReceive reports, right before the send, whether a replica may get a request: it
-// may have waited since its replica was chosen. Requests to warming replicas of
-// plain services are counted.
-func (n *Node) mayReceive(s *catalog.Service, id string) bool {
+// admitSend reports whether a request may be sent to a replica. It is called right before
+// the send, as the request may have waited since its replica was chosen. Requests to
+// warming replicas of plain services are counted.
+func (n *Node) admitSend(s *catalog.Service, id string) bool {
 	if !n.replicaAcceptsWork(id) {
 		return false
 	}
@@ -71,7 +71,7 @@
 		return true
 	}
 	now := n.now()
-	for _, r := range n.world.Load().eligibleByService[s.Name] {
+	for _, r := range n.snapshot.Load().eligibleByService[s.Name] {
 		if r.ID == id {
 			return r.WarmingUntil <= now || n.allowsWarmingReplica(now, s, id, n.acceptingInstances(), true)
 		}
