--- a/cmd/node/directory_test.go
+++ b/cmd/node/directory_test.go
@@ -72,7 +72,7 @@
 	is.Equal(len(selectAddresses(alive[15:], addressClient{hall: "q", name: "x"})), 30) // a hall of no region
 }
 
-// Clients of a host whose routes are restricted to regions get addresses only in these
+// HOME: clients of a host whose routes are restricted to regions get addresses only in these
 // regions and their own when their own region has too few instances.
 func TestRemoteAddressesAreInAllowedRegions(t *testing.T) {
 	is := is.New(t)
--- a/cmd/node/store.go
+++ b/cmd/node/store.go
@@ -19,5 +19,5 @@
 	RenewLease(lease uint64) error
 	Register(name string, entry []byte, lease uint64) error
 	RolloutStatus(o rollout.Order) (rollout.Status, error)
-	WriteRolloutStatus(o rollout.OrderState, read rollout.Status, state rollout.State) error
+	WriteRolloutStatus(o rollout.OrderState, last rollout.Status, state rollout.State) error
 }
