--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -130,7 +130,7 @@
 		return
 	}
 	event.NodeReplicaSaysLeaves.Log(n.log, "replica", incarnation, "by", source)
-	n.publish()
+	n.publishSnapshot()
 }
 
 // recordStatedBackoff records a backoff that an incarnation stated to this instance. Other
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -44,7 +44,7 @@
 	abortReason     atomic.Pointer[error] // reason for which this instance aborted it; nil: not aborted
 	sentAt          time.Duration
 	suspendedBefore time.Duration // total time that the machine was suspended before the send
-	answerStartedAt time.Duration // when the answer, or a stream's first event, arrived; 0: not yet
+	answerStartedAt time.Duration // arrival of the answer, or of a stream's first event; 0: not yet
 }
 
 // attempt sends the request to a replica and forwards the answer. It returns nil
@@ -338,7 +338,7 @@
 		return errStreamBroken
 	}
 	a.copyHeaders()
-	a.node.counters.answers(status).Inc(1)
+	a.node.counters.answersWithStatus(status).Inc(1)
 	a.w.WriteHeader(status)
 	_, _ = a.w.Write(body)
 	a.countRemoteBytes(len(body))
--- a/cmd/node/bench_test.go
+++ b/cmd/node/bench_test.go
@@ -32,7 +32,7 @@
 		})
 	}
 	n.replicas.changeLog.Replace(entries, 100)
-	n.publish()
+	n.publishSnapshot()
 	return n
 }
 
@@ -81,7 +81,7 @@
 				at++
 				value := replicaEntry(b, &catalog.Replica{Service: "s1", Address: "10.1.64.1:8080", Hall: "hall-1", Version: "v1", Slots: int(at%7 + 1)})
 				n.replicas.changeLog.ApplyUpdate(changes.Update{Revision: at, LastChange: at, Entries: []changes.Entry{{ID: "i-00000001", Value: value, Revision: at}}})
-				n.publish()
+				n.publishSnapshot()
 			}
 		})
 	}
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -104,13 +104,13 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer n.activeRequests.add(call.Replica, stop)()
-	finishRequest := n.rollouts.startRequest(&replica, false) // items can be sent to another replica
+	finishRequest := n.rollouts.startRequest(&replica, false) // not pinned: items can be sent to another replica
 	results, outcome := n.runBatch(ctx, call)
 	if outcome == pipeline.Broken || outcome == pipeline.TimedOut && n.quarantine.hasEnded(call.Replica) {
 		outcome = c.classifyBrokenCall(ctx, call, startedAt)
 	}
 	if outcome == pipeline.Answered {
-		c.releaseAfterResults(call.Service, finishRequest)
+		c.finishAfterResults(call.Service, finishRequest)
 	} else {
 		finishRequest()
 	}
--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -18,9 +18,9 @@
 // of cells grows with the fleet, so that the load of one owner does not.
 type cellPartition struct {
 	cellCounts map[string]int            // number of cells by region
-	replicas   map[int][]catalog.Replica // by cell number
+	replicas   map[int][]catalog.Replica // by cell number: its replicas
 	available  map[string]map[string]int // by region and service: number of replicas that accept work
-	cellOf     map[string]int            // by replica ID
+	cellOf     map[string]int            // by replica ID: number of its cell
 }
 
 // partitionCells assigns the replicas of pools and engines to cells.
--- a/cmd/node/compatibility_test.go
+++ b/cmd/node/compatibility_test.go
@@ -29,7 +29,7 @@
 	n.replicas.changeLog.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 7,
 	})}, 101)
-	n.publish()
+	n.publishSnapshot()
 	return n
 }
 
@@ -78,7 +78,7 @@
 	n.replicas.changeLog.Replace(map[string][]byte{"e1": replicaEntry(t, &catalog.Replica{
 		Service: "llm", Address: "10.0.0.1:80", Hall: "h", Version: "v", Slots: 1, StartMillis: 8,
 	})}, 102)
-	n.publish()
+	n.publishSnapshot()
 	is.True(n.replicaAcceptsWork("e1@8"))
 	is.Equal(len(n.snapshot.Load().eligibleByService["llm"]), 1)
 }
--- a/cmd/node/counters.go
+++ b/cmd/node/counters.go
@@ -128,7 +128,7 @@
 	metrics.GetOrRegisterGauge("node.customers_held."+strconv.Itoa(cell), c.registry).Update(int64(count))
 }
 
-// answers returns the counter of answers to clients with an HTTP status.
-func (c *counters) answers(code int) metrics.Counter {
+// answersWithStatus returns the counter of answers to clients with an HTTP status.
+func (c *counters) answersWithStatus(code int) metrics.Counter {
 	return metrics.GetOrRegisterCounter("node.answers."+strconv.Itoa(code), c.registry)
 }
--- a/cmd/node/customer_counts.go
+++ b/cmd/node/customer_counts.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// snapshot returns a copy of the counts.
-func (c *customerCounts) snapshot() map[string]customerCount {
+// counts returns a copy of the counts.
+func (c *customerCounts) counts() map[string]customerCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string]customerCount, len(c.byCustomer))
--- a/cmd/node/customer_share_test.go
+++ b/cmd/node/customer_share_test.go
@@ -47,7 +47,7 @@
 	}
 	c.record("customer-1", &failedError{reason: "share"}, true)
 	c.record("customer-1", errClientGone, false)
-	all := c.snapshot()
+	all := c.counts()
 	is.Equal(len(all), maxCountedCustomers+1)
 	one := all["customer-1"]
 	is.Equal([]int64{one.Sent, one.Served, one.NotServed, one.OverShare}, []int64{3, 1, 2, 1})
--- a/cmd/node/directory.go
+++ b/cmd/node/directory.go
@@ -63,7 +63,7 @@
 // are therefore left out while the client's own region has enough: a request that goes
 // to another region crosses between them twice, with its body.
 func selectAddresses(alive []gossip.Instance, c addressClient) []string {
-	var lists [3][]gossip.Instance // of the hall, of the region, of other regions
+	var lists [3][]gossip.Instance // instances of the hall, of the rest of the region, and of other regions
 	available, instanceRegions := 0, make(map[string]bool)
 	for _, i := range alive {
 		if i.Leaving {
--- a/cmd/node/drained_halls.go
+++ b/cmd/node/drained_halls.go
@@ -18,7 +18,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	n.publish()
+	n.publishSnapshot()
 	for _, c := range changes {
 		if c.Drained {
 			n.counters.drainedHalls.Inc(1)
--- a/cmd/node/fleet_level.go
+++ b/cmd/node/fleet_level.go
@@ -19,7 +19,7 @@
 type fleetLevel struct {
 	mu            sync.Mutex
 	tracker       level.Tracker
-	noTrialLeases map[string]uint64 // by instance name: the incarnation that ended the stream when it was asked for a trial lease
+	noTrialLeases map[string]uint64 // by instance name: the incarnation that closed the stream of a request for a trial lease
 }
 
 // observe updates the tracker with the levels of all live instances, and reports whether
--- a/cmd/node/isolation.go
+++ b/cmd/node/isolation.go
@@ -10,7 +10,7 @@
 
 const (
 	isolationTimeout  = 1500 * time.Millisecond // maximum wait of a trial for an engine without other suspects, so that its outcome is unambiguous; most suspects end by then
-	isolationInterval = 100 * time.Millisecond  // between requests for such an engine
+	isolationInterval = 100 * time.Millisecond  // interval between requests for such an engine
 )
 
 // isolateSuspect has a suspect's engine chosen again if the choice can't be used any
--- a/cmd/node/listeners.go
+++ b/cmd/node/listeners.go
@@ -98,7 +98,7 @@
 // answerError is an error that is answered to the client by this instance.
 type answerError struct {
 	status     int
-	retryAfter time.Duration // when the client may retry; 0: not stated, except with status 503
+	retryAfter time.Duration // delay after which the client may retry; 0: not stated, except with status 503
 	text       string
 }
 
@@ -131,7 +131,7 @@
 		platform.SetRetryAfter(w.Header(), own.retryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	n.counters.answers(own.status).Inc(1)
+	n.counters.answersWithStatus(own.status).Inc(1)
 	w.WriteHeader(own.status)
 	_, _ = io.WriteString(w, own.text+"\n")
 }
--- a/cmd/node/peer_pull.go
+++ b/cmd/node/peer_pull.go
@@ -25,7 +25,7 @@
 	// force.
 	remoteRegionPullDelay = 900 * time.Millisecond
 
-	initialPullDelay = time.Second     // for a reader without any data
+	initialPullDelay = time.Second     // delay before a reader without any data pulls
 	behindExpiry     = 2 * time.Second // age at which behindSince is out of date
 )
 
@@ -185,7 +185,7 @@
 	n.replicas.changeLog.ApplyUpdate(update)
 	n.watchedMu.Unlock()
 	event.NodeReplicas.Log(n.log, "from", addr, "changes", len(update.Entries), "at", update.Revision)
-	n.publish()
+	n.publishSnapshot()
 	if have == 0 {
 		n.sendHeartbeats() // other instances may have started at the same time and lack the list
 	}
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -49,7 +49,7 @@
 	return q.tracker.Check(n.now(), f)
 }
 
-// crashesUnder returns how many replicas have crashed under a request.
+// crashCount returns how many replicas have crashed under a request.
 func (n *Node) crashCount(f quarantine.Fingerprint) int {
 	q := n.quarantine
 	q.mu.Lock()
--- a/cmd/node/rate_limits_test.go
+++ b/cmd/node/rate_limits_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	n := New(&platform.Settings{Name: "n1", Hall: "h1"}, hclog.NewNullLogger())
 	n.replicas.changeLog.Replace(map[string][]byte{"r": replicaEntry(t, &catalog.Replica{Service: "s", Address: "10.1.1.1:1", Hall: "h1", Slots: 1})}, 1)
-	n.publish()
+	n.publishSnapshot()
 	gauge := func() int64 { return metrics.GetOrRegisterGauge("node.replicas_limited.s", n.registry).Value() }
 	n.recordLimit(pace.Report{Incarnation: "r", Limit: pace.Limit{PerSecond: 1, Stated: true}}, "peer")
 	n.sweepLimits()
--- a/cmd/node/request_handler.go
+++ b/cmd/node/request_handler.go
@@ -48,7 +48,7 @@
 	customer    string
 	rank        int
 	record      *outcome.Record
-	deadline    time.Duration          // when the answer is due, by the process's clock
+	deadline    time.Duration          // time at which the answer is due, by the process's clock
 	probe       *livenessProbe         // probe of the last attempt's replica; nil: none
 	trial       *trialLease            // trial lease of a suspect request; nil: none
 	fingerprint quarantine.Fingerprint // identifies the request across a caller's retries
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -157,7 +157,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	n.publish()
+	n.publishSnapshot()
 	for _, c := range changes {
 		n.logRolloutChange(now, from, &c)
 	}
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -105,15 +105,15 @@
 	return n.replicas.byIncarnation[id].replica.Version
 }
 
-// releaseAfterResults ends a batch that has left results at its replica. In a rollout
+// finishAfterResults ends a batch that has left results at its replica. In a rollout
 // the replica counts as in use for as long as it stores these results.
-func (c *cell) releaseAfterResults(service string, release func()) {
+func (c *cell) finishAfterResults(service string, finish func()) {
 	snap := c.owner.node.snapshot.Load()
 	if snap.rolloutByService[service] == nil || snap.config == nil || snap.config.Services[service] == nil || snap.config.Services[service].Pool == nil {
-		release()
+		finish()
 		return
 	}
-	time.AfterFunc(snap.config.Services[service].Pool.ResultTTL, release)
+	time.AfterFunc(snap.config.Services[service].Pool.ResultTTL, finish)
 }
 
 // recordRolloutBatch counts the outcome of a batch in its pool's rollout.
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -38,7 +38,7 @@
 			return
 		}
 		if n.updateBatchAllowed(active) || n.sharesChanged(active, loggedShares) {
-			n.publish()
+			n.publishSnapshot()
 			n.logShareChanges(active, loggedShares)
 		}
 		ticks++
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -117,8 +117,8 @@
 	return out
 }
 
-// publish puts a new snapshot of the current data in force.
-func (n *Node) publish() {
+// publishSnapshot puts a new snapshot of the current data in force.
+func (n *Node) publishSnapshot() {
 	n.watchedMu.Lock()
 	afterUnlock := n.replaceSnapshot()
 	n.watchedMu.Unlock()
@@ -226,7 +226,7 @@
 		return
 	}
 	event.NodeReplicaLeaves.Log(n.log, "replica", id, "sign", sign)
-	n.publish()
+	n.publishSnapshot()
 }
 
 // drainUpdates returns the draining replicas to announce to other instances. The drains
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -127,7 +127,7 @@
 		Backoffs:          make(map[string]string),
 		Instances:         n.liveInstances(),
 		PeerLinks:         n.links.Len(),
-		Customers:         n.customers.snapshot(),
+		Customers:         n.customers.counts(),
 	}
 	n.advisories.withTracker(func(t *advisory.Tracker) {
 		s.Draining = t.Draining()
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -45,7 +45,7 @@
 			a.stream.headersSent = true
 			a.timeToFirstEvent = a.elapsed()
 			a.copyHeaders()
-			a.node.counters.answers(a.exchange.Header.StatusCode()).Inc(1)
+			a.node.counters.answersWithStatus(a.exchange.Header.StatusCode()).Inc(1)
 			a.w.WriteHeader(a.exchange.Header.StatusCode())
 		}
 		if isFirst && a.job != nil {
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -117,7 +117,7 @@
 			n.replicas.changeLog.Replace(items, at)
 			n.watchedMu.Unlock()
 			event.NodeReplicas.Log(n.log, "from", fromStore, "at", at, "known", len(items))
-			n.publish()
+			n.publishSnapshot()
 			if first {
 				n.announceToHall() // other instances may be waiting for the list
 			}
@@ -141,7 +141,7 @@
 	n.watchedMu.Unlock()
 	if changed > 0 {
 		event.NodeReplicas.Log(n.log, "from", fromStore, "changes", changed, "at", at)
-		n.publish()
+		n.publishSnapshot()
 		n.announceToHall()
 		process.Pause(ctx, replicaChangeDelay)
 	}
