--- a/cmd/node/customer_counts.go
+++ b/cmd/node/customer_counts.go
@@ -9,18 +9,18 @@
 // customerCount counts the outcomes of a customer's requests at one instance.
 type customerCount struct {
 	Sent, Served, NotServed int64
-	Beyond                  int64 // refused because the customer is over its share; included in NotServed
+	OverShare               int64 `json:"Beyond"` // refused because the customer is over its share; included in NotServed
 
 	recent float64 // decayed number of requests, without those over the share
 }
 
-// customerCounts counts by customer, at most maxCountedCustomers of them; all others are
-// counted together.
+// customerCounts counts requests by customer. Customers beyond the first
+// maxCountedCustomers are counted together, to bound memory.
 type customerCounts struct {
 	mu         sync.Mutex
 	byCustomer map[string]*customerCount
 	recent     float64       // sum over all customers
-	decayedAt  time.Duration // when the recent counts last decayed
+	decayedAt  time.Duration // time of the last decay of the recent counts
 }
 
 const (
@@ -79,14 +79,14 @@
 		n.Served++
 	case overShare:
 		n.NotServed++
-		n.Beyond++
+		n.OverShare++
 	default:
 		n.NotServed++
 	}
 }
 
-// snapshot returns a copy of the counts.
-func (c *customerCounts) snapshot() map[string]customerCount {
+// counts returns a copy of the counts.
+func (c *customerCounts) counts() map[string]customerCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string]customerCount, len(c.byCustomer))
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// streamState is what the client has received of a stream, over all attempts.
+// streamState tracks the part of a stream that the client has received, over all
+// attempts.
 type streamState struct {
 	headersSent bool
 	lastEventID string // ID of the last complete event that has one
@@ -38,13 +39,13 @@
 		}
 		lastEventAt = a.node.now()
 		if isFirst {
-			a.answerBegan = lastEventAt
+			a.answerStartedAt = lastEventAt
 		}
 		if !a.stream.headersSent {
 			a.stream.headersSent = true
 			a.timeToFirstEvent = a.elapsed()
 			a.copyHeaders()
-			a.node.counters.answers(a.exchange.Header.StatusCode()).Inc(1)
+			a.node.counters.answersWithStatus(a.exchange.Header.StatusCode()).Inc(1)
 			a.w.WriteHeader(a.exchange.Header.StatusCode())
 		}
 		if isFirst && a.job != nil {
