--- a/cmd/node/advisories.go
+++ b/cmd/node/advisories.go
@@ -108,14 +108,14 @@
 }
 
 // recordUnknownField records a header or report field that this build doesn't understand.
-// The field may ask for a change of behavior, so operators should see it before its
-// disregard causes damage.
+// The field may ask for a change of behavior, so operators should see it before
+// ignoring it causes damage.
 func (n *Node) recordUnknownField(service, name, source string) {
 	n.counters.unknownFields.Inc(1)
-	s := n.advisories
-	s.mu.Lock()
-	logged, isNew := s.unknownFields.Record(service, name)
-	s.mu.Unlock()
+	a := n.advisories
+	a.mu.Lock()
+	logged, isNew := a.unknownFields.Record(service, name)
+	a.mu.Unlock()
 	if isNew {
 		event.NodeUnknownReplicaField.Log(n.log, "service", service, "word", logged, "in", source)
 	}
@@ -154,11 +154,11 @@
 
 // sweepAdvisories removes advisories that have expired or whose replicas are gone.
 func (n *Node) sweepAdvisories() {
-	s := n.advisories
+	a := n.advisories
 	n.sweepLimits()
-	hadNone := s.wasEmpty
-	s.withTracker(func(t *advisory.Tracker) { s.wasEmpty = t.Empty() })
-	if s.wasEmpty && hadNone {
+	hadNone := a.wasEmpty
+	a.withTracker(func(t *advisory.Tracker) { a.wasEmpty = t.Empty() })
+	if a.wasEmpty && hadNone {
 		return
 	}
 	now := n.now()
@@ -173,7 +173,7 @@
 			counts[service]++
 		}
 	}
-	s.withTracker(func(t *advisory.Tracker) {
+	a.withTracker(func(t *advisory.Tracker) {
 		changes = t.Expire(now, func(incarnation string) bool { return listed[incarnation] != "" })
 		for _, incarnation := range t.Draining() {
 			count(draining, incarnation)
@@ -215,22 +215,22 @@
 // to the same replica are merged into one.
 func (n *Node) deferFree(f pipeline.Free) bool {
 	now := n.now()
-	s := n.advisories
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	until, inBackoff := s.tracker.BackoffUntil(now, f.Replica)
+	a := n.advisories
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	until, inBackoff := a.tracker.BackoffUntil(now, f.Replica)
 	if !inBackoff {
-		interval := freeInterval(s.rateLimits.Interval(f.Replica))
+		interval := freeInterval(a.rateLimits.Interval(f.Replica))
 		if interval == 0 {
 			return false
 		}
 		until = now + interval
 	}
-	if deferred := s.deferredFrees[f.Replica]; deferred != nil {
+	if deferred := a.deferredFrees[f.Replica]; deferred != nil {
 		deferred.Handles = append(deferred.Handles, f.Handles...)
 		return true
 	}
-	s.deferredFrees[f.Replica] = &f
+	a.deferredFrees[f.Replica] = &f
 	if ttl := n.resultTTL(f.Service); until-now > ttl {
 		until = now + ttl // the replica has dropped them by then
 	}
@@ -240,12 +240,12 @@
 
 // sendDeferredFree sends a replica's deferred call that frees results.
 func (n *Node) sendDeferredFree(incarnation string) {
-	s := n.advisories
-	s.mu.Lock()
-	f := s.deferredFrees[incarnation]
-	delete(s.deferredFrees, incarnation)
-	_, inBackoff := s.tracker.BackoffUntil(n.now(), incarnation)
-	s.mu.Unlock()
+	a := n.advisories
+	a.mu.Lock()
+	f := a.deferredFrees[incarnation]
+	delete(a.deferredFrees, incarnation)
+	_, inBackoff := a.tracker.BackoffUntil(n.now(), incarnation)
+	a.mu.Unlock()
 	if inBackoff { // the backoff exceeds the results' lifetime, or a new one has begun
 		n.logSideCallFailure("free results", incarnation, errAdvisoryForbids)
 		return
--- a/cmd/node/attempt.go
+++ b/cmd/node/attempt.go
@@ -22,14 +22,20 @@
 )
 
 const (
-	replicaConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below the shortest wait of a client
-	defaultReplicaConnIdle = 6 * time.Second        // idle time of a connection to a replica that states none
+	// A running replica accepts a connection in a few ms. The timeout is below the shortest
+	// wait of a client.
+	replicaConnectTimeout  = 250 * time.Millisecond
+	defaultReplicaConnIdle = 6 * time.Second // idle time of a connection to a replica that states none
 	maxAnswerBytes         = 64 << 20
-	timeoutObjectiveShare  = 0.6                     // fraction of the objective that a repeatable request waits for one replica
-	timeoutMeanFactor      = 4                       // the wait is at least this multiple of the replica's mean answer time
-	eventGapFactor         = 5                       // multiple of the route's gap objective after which a resumable stream fails over to another replica
-	minEventGapTimeout     = 2500 * time.Millisecond // clients abandon a silent stream after 2 s or more; a resumable one fails over only when it would be lost anyway
-	clientWriteTimeout     = 5 * time.Second         // timeout for a client to read an event
+	timeoutObjectiveShare  = 0.6 // fraction of the objective that a repeatable request waits for one replica
+	timeoutMeanFactor      = 4   // the wait is at least this multiple of the replica's mean answer time
+	// Multiple of the route's gap objective after which a resumable stream fails over to
+	// another replica.
+	eventGapFactor = 5
+	// Lower bound of that time. Clients abandon a silent stream after 2 s or more; a
+	// resumable one fails over only when it would be lost anyway.
+	minEventGapTimeout = 2500 * time.Millisecond
+	clientWriteTimeout = 5 * time.Second // timeout for a client to read an event
 )
 
 // attempt is one send of a request to a replica.
@@ -49,8 +55,8 @@
 
 // attempt sends the request to a replica and forwards the answer. It returns nil
 // once the client has an answer.
-func (s *requestHandler) attempt(ctx context.Context, r catalog.Replica, fetch string) error {
-	s.lastReplica, s.lastRegion, s.lastFetchFrom = r.ID, r.Region, fetch
+func (s *requestHandler) attempt(ctx context.Context, r catalog.Replica, fetchFrom string) error {
+	s.lastReplica, s.lastRegion, s.lastFetchFrom = r.ID, r.Region, fetchFrom
 	n := s.node
 	if !s.acquireSendGrant(ctx, &r) {
 		return errRateLimited
@@ -62,7 +68,8 @@
 		}
 		return errNoReplicaReached
 	}
-	defer n.rollouts.startRequest(&r, !s.canFailOver())() // must precede the checks of whether the replica may receive the request
+	// The request is counted before the checks of whether the replica may receive it.
+	defer n.rollouts.startRequest(&r, !s.canFailOver())()
 	if !s.allowedRegions().Allows(r.Region) || !n.admitSend(s.service, r.ID) || !n.rollouts.tryRecordSend(n.snapshot.Load().rolloutByService[s.service.Name], s.route.Name, r.ID, 1) {
 		conn.Close()
 		return errNoReplicaReached
@@ -95,7 +102,7 @@
 	if n.crashCount(s.fingerprint) > 0 {
 		defer n.trackSuspect(s.fingerprint, r.ID)()
 	}
-	err = a.sendAndReceive(ctx, fetch)
+	err = a.sendAndReceive(ctx, fetchFrom)
 	a.finish(ctx, err)
 	return err
 }
@@ -139,9 +146,9 @@
 	return sendresult.ConnectionBroken
 }
 
-// finish records how the attempt ended: in the load table, the health detector,
-// the quarantine and the rollout. It may wait for the probe of a replica whose
-// answer broke off.
+// finish records how the attempt ended: in the balancer, the health detector, the
+// quarantine and the rollout. It may wait for the probe of a replica whose answer broke
+// off.
 func (a *attempt) finish(ctx context.Context, err error) {
 	n := a.node
 	took := n.now() - a.sentAt
@@ -190,8 +197,9 @@
 }
 
 // sendAndReceive sends the request and forwards the answer.
-func (a *attempt) sendAndReceive(ctx context.Context, fetch string) error {
-	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second)) // fallback: normally the context ends the attempt
+func (a *attempt) sendAndReceive(ctx context.Context, fetchFrom string) error {
+	// A fallback: normally the context ends the attempt.
+	_ = a.conn.SetDeadline(time.Now().Add(a.deadline - a.node.now() + time.Second))
 	stop := context.AfterFunc(ctx, a.conn.Close)
 	defer stop()
 	defer a.node.activeRequests.add(a.replica.ID, func() { a.abort(errReplicaRestarted) })()
@@ -199,7 +207,7 @@
 	defer timer.Stop()
 
 	req := fasthttp.AcquireRequest()
-	a.fillRequest(req, fetch)
+	a.fillRequest(req, fetchFrom)
 	x, err := a.conn.Begin(a.token, req)
 	if err != nil {
 		a.conn.Close()
@@ -250,7 +258,7 @@
 	return answerSource{incarnation: a.replica.ID, service: a.service.Name}
 }
 
-func (a *attempt) fillRequest(req *fasthttp.Request, fetch string) {
+func (a *attempt) fillRequest(req *fasthttp.Request, fetchFrom string) {
 	req.Header.DisableNormalizing()
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetMethod(a.req.Method)
@@ -260,7 +268,7 @@
 		Replica:   a.replica.Name,
 		Customer:  a.customer,
 		TimeLeft:  a.deadline - a.node.now(),
-		FetchFrom: fetch,
+		FetchFrom: fetchFrom,
 		Urgency:   -1,
 		LastEvent: a.req.LastEventID,
 	}
--- a/cmd/node/backoff.go
+++ b/cmd/node/backoff.go
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// latestUsefulAnswer returns the latest time at which an answer that begins is still of use.
+// latestUsefulAnswer returns the latest time at which an answer may begin and still be of
+// use.
 func (s *requestHandler) latestUsefulAnswer() time.Duration {
 	if s.route.Objective == 0 {
 		return s.deadline
@@ -134,7 +135,7 @@
 
 // waitForBackoff waits until a replica may receive the request again, if that is better
 // than refusing it, and reports whether to try again. A request whose stages are done, or
-// whose answer has begun, waits for as long as the answer is of use, other requests wait
+// whose answer has begun, waits for as long as the answer is of use; other requests wait
 // only briefly.
 func (s *requestHandler) waitForBackoff(ctx context.Context, err error) bool {
 	var backoff *backoffError
@@ -152,7 +153,7 @@
 	return process.Sleep(ctx, min(max(backoff.until-now, backoffPollInterval), maxBackoffPoll))
 }
 
-// replaceForbiddenEngine has the owner choose another engine if an advisory forbids the
+// replaceForbiddenEngine asks the owner to choose another engine if an advisory forbids the
 // chosen one: the advisory may be newer than the choice, or was sent only to this instance.
 // The owner chooses, as only it knows the load of all engines. It is asked once; the new
 // choice is checked in the same way.
--- a/cmd/node/cell.go
+++ b/cmd/node/cell.go
@@ -34,7 +34,9 @@
 	grantQueues   map[string]*pace.Queue            // by service: requests waiting for a send grant of its engines
 	fingerprints  map[string]quarantine.Fingerprint // by request ID, while the stages run
 
-	throttledSince map[throttledCustomer]time.Duration // start of each customer's throttling, as of the last check; used by the owner's ticks only
+	// Start of each customer's throttling, as of the last check. Only the owner's ticks use
+	// it.
+	throttledSince map[throttledCustomer]time.Duration
 }
 
 func (c *cell) refresh() {
--- a/cmd/node/cell_partition.go
+++ b/cmd/node/cell_partition.go
@@ -37,7 +37,9 @@
 			snap.partition.available[r.Region][service]++
 		}
 	}
-	pooled := make(map[string]map[string]int)   // by region and service: pool replicas that are not draining, which determine the number of cells
+	// By region and service: the number of pool replicas that are not draining. It
+	// determines the number of cells.
+	pooled := make(map[string]map[string]int)
 	ids := make(map[string]map[string][]string) // by region and service: IDs of all replicas of pools and engines
 	for _, region := range snap.regionMap.Names() {
 		pooled[region], ids[region] = make(map[string]int), make(map[string][]string)
--- a/cmd/node/compatibility_test.go
+++ b/cmd/node/compatibility_test.go
@@ -86,8 +86,8 @@
 // manualTime is a clock source that a test advances.
 type manualTime struct{ elapsed time.Duration }
 
-func (a *manualTime) Now() (steady, day time.Duration) { return a.elapsed, a.elapsed }
-func (a *manualTime) Boot() (time.Duration, error)     { return a.elapsed, nil }
+func (m *manualTime) Now() (steady, day time.Duration) { return m.elapsed, m.elapsed }
+func (m *manualTime) Boot() (time.Duration, error)     { return m.elapsed, nil }
 
 // An owner of an older build identifies an engine by name, and a peer of an older build asks
 // to avoid one by name. Answers identify replicas in the same way as the request.
--- a/cmd/node/counters.go
+++ b/cmd/node/counters.go
@@ -43,7 +43,7 @@
 	backoffs            metrics.Counter // backoffs stated by replicas
 	sendGrants          metrics.Counter // send grants obtained for replicas with a rate limit
 	sendGrantDenials    metrics.Counter // requests for send grants that were denied
-	localSendGrants     metrics.Counter // send grants from this instance's own fraction of a limit, as no grantor could be reached
+	localSendGrants     metrics.Counter // send grants from this instance's own fraction of a limit, if the grantor could not be asked
 	unknownFields       metrics.Counter // unknown fields in replicas' answers and reports
 }
 
--- a/cmd/node/deadlines.go
+++ b/cmd/node/deadlines.go
@@ -8,8 +8,8 @@
 type longestDeadlines map[string]time.Duration
 
 // minDeadlineGap is the minimum difference between the route's longest deadline and the
-// deadline of a retry. A refused client waits 100 ms or more (the scheduler's
-// MinRetryAfter), and a first connection takes 10 to 30 ms.
+// deadline of a retry. A refused client waits 100 ms or more (MinRetryAfter
+// of the pipeline scheduler), and a first connection takes 10 to 30 ms.
 const minDeadlineGap = 70 * time.Millisecond
 
 // isRetry records the deadline that a client states, and reports whether it is that
--- a/cmd/node/grant_queue.go
+++ b/cmd/node/grant_queue.go
@@ -38,7 +38,8 @@
 	}
 	n.counters.jobsRefused.Inc(1)
 	event.NodeSendGrantRefused.Log(n.log, "request", r.ask.RequestId, "customer", r.ask.Customer, "rank", r.ask.Rank, "wait", wait, "may_wait", r.maxGrantWait(), "per_second", supply.PerSecond)
-	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.maxGrantWait()).Microseconds()}) // if sending fails, the peer sees the stream end
+	// If sending fails, the peer sees the stream end.
+	_ = send(&pb.StagesReply{Refused: true, RetryAfterUs: (wait - r.maxGrantWait()).Microseconds()})
 	return false
 }
 
--- a/cmd/node/heartbeats.go
+++ b/cmd/node/heartbeats.go
@@ -190,7 +190,8 @@
 	before := n.members.Self().Incarnation
 	for i, entry := range h.News {
 		isNew := n.members.Merge(now, decodeInstance(entry))
-		if isNew && (i == 0 || entry.Region == n.home) { // instances of other regions receive the view from those that they contact
+		// Instances of other regions receive the view from those that they contact.
+		if isNew && (i == 0 || entry.Region == n.home) {
 			newPeers = append(newPeers, entry.Datagram)
 		}
 	}
@@ -208,7 +209,8 @@
 		n.sendHeartbeats()
 	}
 	if len(newPeers) > 0 {
-		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.quarantineSnapshot()) // a starting instance discovers the others at once
+		// A starting instance thus discovers the others at once.
+		n.sendHeartbeatTo(newPeers, fullView, n.speedUpdates(true), n.quarantineSnapshot())
 	}
 	n.mergeDrainedHalls(senderOf(h), h.Evacuations)
 	n.mergeRollouts(h)
@@ -320,7 +322,7 @@
 		_ = frame.Write(stream, frame.Reply, n.answerGrantRequest(first, stream.RemoteAddr().String()))
 	case frame.RunStages:
 		n.owner.serveStagesStream(first, stream)
-	default: // frame of a later build, which treats a refusal differently from a failure
+	default: // a frame kind of a later build; the reply lets it distinguish this from a failure
 		_ = frame.ReplyUnknownKind(stream)
 	}
 }
--- a/cmd/node/isolation.go
+++ b/cmd/node/isolation.go
@@ -9,13 +9,15 @@
 )
 
 const (
-	isolationTimeout  = 1500 * time.Millisecond // maximum wait of a trial for an engine without other suspects, so that its outcome is unambiguous; most suspects end by then
-	isolationInterval = 100 * time.Millisecond  // interval between requests for such an engine
+	// Maximum wait of a trial for an engine without other suspects, so that its outcome is
+	// unambiguous. Most suspects end by then.
+	isolationTimeout  = 1500 * time.Millisecond
+	isolationInterval = 100 * time.Millisecond // interval between requests for such an engine
 )
 
-// isolateSuspect has a suspect's engine chosen again if the choice can't be used any
-// more or further replicas have crashed under the request since. It then waits up to
-// isolationTimeout for an engine without other suspects. The owner makes the choice, as
+// isolateSuspect asks the owner to choose a suspect's engine again if the choice can't be
+// used any more or further replicas have crashed under the request since. It then waits up
+// to isolationTimeout for an engine without other suspects. The owner makes the choice, as
 // only it knows which requests run concurrently at an engine.
 func (s *requestHandler) isolateSuspect(ctx context.Context) {
 	if s.trial == nil || s.job == nil || s.service.Engine == nil {
--- a/cmd/node/liveness_probe.go
+++ b/cmd/node/liveness_probe.go
@@ -13,11 +13,20 @@
 )
 
 const (
-	livenessProbeTimeout = replicaConnectTimeout  // timeout for a replica's port to answer a probe
-	livenessProbeWait    = 150 * time.Millisecond // maximum wait of a request for the probe before it may be retried elsewhere; a port that refuses does so within a round trip
-	minConnectionTime    = 10 * time.Millisecond  // minimum time for which a connection must stay open to prove that its replica runs: a replica that is ending closes its port shortly after its connections, and may still accept one
-	maxProbeConnections  = 3                      // per probe; if none stays open, the replica runs but serves no more connections
-	livenessProbeTTL     = 300 * time.Millisecond // one probe covers all answers of an incarnation that break off within this time: a replica that ends is not back sooner
+	livenessProbeTimeout = replicaConnectTimeout // timeout for a replica's port to answer a probe
+	// Maximum wait of a request for the probe before it may be retried elsewhere. A port
+	// that refuses connections does so within a round trip.
+	livenessProbeWait = 150 * time.Millisecond
+	// Minimum time for which a connection must stay open to prove that its replica runs. A
+	// replica that is ending closes its port shortly after its connections, and may still
+	// accept one.
+	minConnectionTime = 10 * time.Millisecond
+	// Connections per probe. If none stays open, the replica runs but serves no more
+	// connections.
+	maxProbeConnections = 3
+	// One probe covers all answers of an incarnation that break off within this time. A
+	// replica that ends is not back sooner.
+	livenessProbeTTL = 300 * time.Millisecond
 )
 
 // livenessProbe checks whether a replica's incarnation has ended.
--- a/cmd/node/owned_request.go
+++ b/cmd/node/owned_request.go
@@ -177,7 +177,7 @@
 	c, n := r.cell, r.cell.owner.node
 	reply := &pb.StagesReply{Handles: results.Handles}
 	r.request.RemoteCache = r.awaitRemotePrefix()
-	paused := n.ejectedReplicas()
+	ejected := n.ejectedReplicas()
 	snap := n.snapshot.Load()
 	now := n.now()
 	c.mu.Lock()
@@ -187,9 +187,9 @@
 	r.request.ID = c.lastRequestID
 	r.request.ResultBytes = results.BytesByHall
 	r.request.Slack -= now - r.startedAt
-	choice, ok := r.chooseEngine(now, paused, snap.excludedByRollout(r.request.Service, r.ask.Newer))
+	choice, ok := r.chooseEngine(now, ejected, snap.excludedByRollout(r.request.Service, r.ask.Newer))
 	if !ok && r.ask.Newer {
-		choice, ok = r.chooseEngine(now, paused, snap.excludedByRollout(r.request.Service, false))
+		choice, ok = r.chooseEngine(now, ejected, snap.excludedByRollout(r.request.Service, false))
 	}
 	if !ok {
 		return reply
@@ -205,7 +205,7 @@
 
 // chooseEngine chooses an engine, leaving out those that a rollout excludes for the
 // request. The caller must hold the cell's lock.
-func (r *ownedRequest) chooseEngine(now time.Duration, paused map[string]bool, excludedByRollout []string) (placement.Choice, bool) {
+func (r *ownedRequest) chooseEngine(now time.Duration, ejected map[string]bool, excludedByRollout []string) (placement.Choice, bool) {
 	engines := r.cell.engines
 	avoid := r.request.Avoid
 	defer func() { r.request.Avoid = avoid }()
@@ -214,7 +214,7 @@
 		excluded[id] = true
 	}
 	r.request.Avoid = maps.Clone(excluded)
-	maps.Copy(r.request.Avoid, paused)
+	maps.Copy(r.request.Avoid, ejected)
 	if choice, ok := engines.Place(now, r.request); ok {
 		return choice, true
 	}
--- a/cmd/node/owner.go
+++ b/cmd/node/owner.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	schedulerTickInterval = 50 * time.Millisecond // a quarter of the shortest call
+	schedulerTickInterval = 50 * time.Millisecond // a quarter of the shortest call that was observed
 	ownershipClaimTTL     = 2 * time.Second       // time for which a cell is announced as owned after its last request
 )
 
--- a/cmd/node/peer_messages_test.go
+++ b/cmd/node/peer_messages_test.go
@@ -161,7 +161,7 @@
 }
 
 // A StagesAsk of four billion items exhausted the memory of its owner.
-func TestOutOfBoundsTaskIsRejected(t *testing.T) {
+func TestOutOfBoundsStagesAskIsRejected(t *testing.T) {
 	is := is.New(t)
 	ask := func(items uint32, bytes int64, after ...uint32) *pb.StagesAsk {
 		return &pb.StagesAsk{Stages: []*pb.StageWork{{Service: "pool", Pieces: items, Bytes: bytes, After: after}}}
--- a/cmd/node/peer_pull_test.go
+++ b/cmd/node/peer_pull_test.go
@@ -38,7 +38,7 @@
 	is.True(p.tryStart(1450*ms, 0))                   // unless a local instance announces it
 	p.finish()
 	is.True(!p.tryStart(5000*ms, otherHallPullDelay))
-	is.True(!p.tryStart(9000*ms, otherHallPullDelay)) // the time since an update that arrived in another way does not count
+	is.True(!p.tryStart(9000*ms, otherHallPullDelay)) // an earlier update, which arrived in another way, does not shorten the delay
 }
 
 func TestPeersReceiveACompressedConfiguration(t *testing.T) {
--- a/cmd/node/quarantine.go
+++ b/cmd/node/quarantine.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	quarantineAnnounceInterval = 20 * time.Millisecond // minimum interval between extra announcements: a replica's end causes several changes within a few ms
+	// Minimum interval between extra announcements. A replica's end causes several changes
+	// within a few ms.
+	quarantineAnnounceInterval = 20 * time.Millisecond
 
 	quarantineOffsets = 1000 // number of offsets among which instances start their repeated announcements
 )
@@ -27,7 +29,7 @@
 	announcedAt time.Duration                                  // time of the last extra announcement
 	probes      map[string]*livenessProbe                      // by incarnation
 	ends        map[string]*incarnationEnds                    // by listed incarnation
-	trials      map[quarantine.Fingerprint]chan struct{}       // trials that run with this instance as arbiter; closed at their end
+	trials      map[quarantine.Fingerprint]chan struct{}       // trials with this instance as arbiter; closed at their end
 	suspects    map[string]map[quarantine.Fingerprint]struct{} // by replica ID: suspect requests that this instance runs there
 }
 
--- a/cmd/node/rate_limits.go
+++ b/cmd/node/rate_limits.go
@@ -140,10 +140,10 @@
 // sweepLimits removes limits of replicas that are no longer listed, and updates for which
 // replicas this instance is the grantor.
 func (n *Node) sweepLimits() {
-	s := n.advisories
-	hadNone := s.hadNoLimits
-	s.withRateLimits(func(t *pace.Tracker) { s.hadNoLimits = t.Empty() })
-	if s.hadNoLimits && hadNone {
+	a := n.advisories
+	hadNone := a.hadNoLimits
+	a.withRateLimits(func(t *pace.Tracker) { a.hadNoLimits = t.Empty() })
+	if a.hadNoLimits && hadNone {
 		return
 	}
 	snap, now := n.snapshot.Load(), n.now()
@@ -152,8 +152,8 @@
 		listed[r.ID] = r
 	}
 	var incarnations []string
-	s.withRateLimits(func(t *pace.Tracker) {
-		s.retrySchedule.Expire(now)
+	a.withRateLimits(func(t *pace.Tracker) {
+		a.retrySchedule.Expire(now)
 		t.Expire(now, func(incarnation string) bool { _, ok := listed[incarnation]; return ok })
 		incarnations = t.LimitedIncarnations()
 	})
@@ -166,7 +166,7 @@
 		}
 		limited[r.Service]++
 		isGrantor := grantors.isSelf(&r)
-		s.withRateLimits(func(t *pace.Tracker) { t.SetGrantor(now, incarnation, isGrantor) })
+		a.withRateLimits(func(t *pace.Tracker) { t.SetGrantor(now, incarnation, isGrantor) })
 	}
 	n.counters.setReplicaGauges("limited", limited)
 }
--- a/cmd/node/regions.go
+++ b/cmd/node/regions.go
@@ -107,8 +107,8 @@
 	return regions.OrderCandidates(n.home, all, s.req.ID)
 }
 
-// runStages has the request's stages run in the local region or, if that refuses,
-// in another one that can run them in time.
+// runStages requests the stages from the owner in the local region or, if that refuses or
+// is lost, from one in another region that can run them in time.
 func (s *requestHandler) runStages(ctx context.Context, ask *pb.StagesAsk) (job *stageJob, err error) {
 	order := s.regionOrder()
 	if len(order) == 0 {
@@ -146,7 +146,7 @@
 	return s.runStagesIn(ctx, ask, order[0])
 }
 
-// runStagesIn has the request's stages run in one region.
+// runStagesIn requests the stages from the cell's owner in one region.
 func (s *requestHandler) runStagesIn(ctx context.Context, ask *pb.StagesAsk, region string) (*stageJob, error) {
 	n := s.node
 	ask.Cell = uint32(n.snapshot.Load().cellOfRequest(s.req, region))
--- a/cmd/node/registration.go
+++ b/cmd/node/registration.go
@@ -16,11 +16,17 @@
 )
 
 const (
-	registrationTTL           = 5 * time.Minute // lifetime of an instance's entry without renewal; exceeds the store's outages, so that the entry still exists afterwards
+	// Lifetime of an instance's entry without renewal. It exceeds the store's outages, so
+	// that the entry still exists afterwards.
+	registrationTTL           = 5 * time.Minute
 	registrationRenewInterval = time.Minute
-	discoveryTimeout          = 250 * time.Millisecond // time after the start until an instance that has discovered no peer relies on the store
-	discoveryInterval         = 30 * time.Millisecond  // interval between messages to the seeds until then; the seeds may start some ms later
-	registrationDelay         = 750 * time.Millisecond // delay after discovery; by then heartbeats have announced the other instances
+	// Time after the start until an instance that has discovered no peer relies on the
+	// store.
+	discoveryTimeout = 250 * time.Millisecond
+	// Interval between messages to the seeds until then. The seeds may start some ms later.
+	discoveryInterval = 30 * time.Millisecond
+	// Delay after discovery. By then heartbeats have announced the other instances.
+	registrationDelay = 750 * time.Millisecond
 )
 
 // keepRegistered keeps a reader's entry in the store, so that instances that start later
--- a/cmd/node/remote_cache.go
+++ b/cmd/node/remote_cache.go
@@ -16,8 +16,12 @@
 )
 
 const (
-	minRemotePrefixTokens = 64                     // minimum number of shared tokens not cached in this region for which other regions are queried; a query costs about as much as computing so many
-	remoteCacheTimeout    = 150 * time.Millisecond // timeout of a query to an owner in another region: two round trips between cities of one country
+	// Minimum number of shared tokens not cached in this region for which other regions are
+	// queried. A query costs about as much as computing this many tokens.
+	minRemotePrefixTokens = 64
+	// Timeout of a query to an owner in another region: two round trips between cities of
+	// one country.
+	remoteCacheTimeout = 150 * time.Millisecond
 )
 
 // queryRemoteCaches asks the owners in other regions which engine has cached the
--- a/cmd/node/replica_calls.go
+++ b/cmd/node/replica_calls.go
@@ -18,10 +18,14 @@
 )
 
 const (
-	callConnectTimeout  = 250 * time.Millisecond // a running replica accepts a connection in a few ms; below a call's fixed time
-	defaultCallConnIdle = 8 * time.Second        // idle time of a connection to a pool's replica
-	freeTimeout         = 500 * time.Millisecond // timeout of a call that frees results; a lost one costs result memory until the results expire
-	maxCallAnswerBytes  = 1 << 20                // maximum size of an answer
+	// A running replica accepts a connection in a few ms. The timeout is below a call's
+	// fixed time.
+	callConnectTimeout  = 250 * time.Millisecond
+	defaultCallConnIdle = 8 * time.Second // idle time of a connection to a pool's replica
+	// Timeout of a call that frees results. A lost one costs result memory until the
+	// results expire.
+	freeTimeout        = 500 * time.Millisecond
+	maxCallAnswerBytes = 1 << 20 // maximum size of an answer
 )
 
 // runBatch sends a batch of items to a replica.
@@ -125,7 +129,7 @@
 	address         string
 	expectedReplica string       // name of the replica that must answer; "" for any at the address
 	source          answerSource // incarnation and service to which the answer's advisories apply
-	isWork          bool         // refused for a draining replica, and counted against its send grants
+	isWork          bool         // not sent to a draining replica, and counted in the ramp after a backoff
 	method          string
 	path            string
 	body            []byte
--- a/cmd/node/replica_choice.go
+++ b/cmd/node/replica_choice.go
@@ -13,8 +13,8 @@
 	"quinceroad/state/catalog"
 )
 
-// prepareStages has the request's stages run and its engine chosen by the cell's
-// owner, unless it has a job already.
+// prepareStages asks the cell's owner to run the request's stages and to choose its engine,
+// unless the request has a job already.
 func (s *requestHandler) prepareStages(ctx context.Context) error {
 	if s.job != nil && !s.allowedRegions().Allows(s.job.region) {
 		s.endJob()
@@ -107,17 +107,17 @@
 	if len(listed) == 0 && len(snap.eligibleByService[s.service.Name]) > 0 {
 		return catalog.Replica{}, "", errNoAllowedRegion
 	}
-	newer, older := s.splitByTarget(snap, listed)
-	allowedNew, backoffNew := s.sendableReplicas(now, s.withinWarmUpQuota(now, newer))
-	allowedOld, backoffOld := s.sendableReplicas(now, s.withinWarmUpQuota(now, older))
+	targets, others := s.splitByTarget(snap, listed)
+	sendableTargets, targetsBackoff := s.sendableReplicas(now, s.withinWarmUpQuota(now, targets))
+	sendableOthers, othersBackoff := s.sendableReplicas(now, s.withinWarmUpQuota(now, others))
 	n.detectorMu.Lock()
 	defer n.detectorMu.Unlock()
-	candidates := s.healthyCandidates(now, allowedNew, len(newer))
+	candidates := s.healthyCandidates(now, sendableTargets, len(targets))
 	if len(candidates) == 0 {
-		candidates = s.healthyCandidates(now, allowedOld, len(older))
+		candidates = s.healthyCandidates(now, sendableOthers, len(others))
 	}
 	if len(candidates) == 0 {
-		return catalog.Replica{}, "", s.noReplicaError(snap, append(allowedNew, allowedOld...), earlierBackoff(backoffNew, backoffOld))
+		return catalog.Replica{}, "", s.noReplicaError(snap, append(sendableTargets, sendableOthers...), earlierBackoff(targetsBackoff, othersBackoff))
 	}
 	candidates = n.withoutSuspects(candidates)
 	if s.service.Engine == nil {
--- a/cmd/node/request_handler.go
+++ b/cmd/node/request_handler.go
@@ -18,17 +18,24 @@
 )
 
 const (
-	defaultTimeLimit   = 30 * time.Second       // for a request without a deadline
-	shortRetryAfter    = 300 * time.Millisecond // Retry-After without a better estimate: 1.5 heartbeat intervals
-	longRetryAfter     = time.Second            // Retry-After while no replica may accept the request; the limit of warming replicas is per second
-	maxUnexecutedSends = 4                      // sends of one request that reached no replica or were refused
-	maxStageWaits      = 6                      // waits for the stages of a broken stream; 1.8 s with shortRetryAfter, less than clients wait for an event
-	maxStageReruns     = 2                      // reruns of a request's stages
-	retryAfterDivisor  = 3                      // a client is asked to wait at most its remaining time divided by this
-	retryAfterMargin   = 0.95                   // fraction of that wait that is stated, as the client's clock may differ slightly
-	retrySlackShare    = 0.6                    // fraction that is used of the retries that the deployment allows in addition to its ratio
-	retryRatioShare    = 0.75                   // fraction that is used of the retry ratio
-	failureRateWeight  = 0.05                   // weight of a new signal in a service's failure rate: about the last 20 count
+	defaultTimeLimit = 30 * time.Second       // for a request without a deadline
+	shortRetryAfter  = 300 * time.Millisecond // Retry-After without a better estimate: 1.5 heartbeat intervals
+	// Retry-After while no replica may accept the request. The limit of warming replicas is
+	// per second.
+	longRetryAfter     = time.Second
+	maxUnexecutedSends = 4 // sends of one request that reached no replica or were refused
+	// Waits for the stages of a broken stream. With shortRetryAfter they last 1.8 s, less
+	// than clients wait for an event.
+	maxStageWaits     = 6
+	maxStageReruns    = 2 // reruns of a request's stages
+	retryAfterDivisor = 3 // a client is asked to wait at most its remaining time divided by this
+	// Fraction of that wait that is stated, as the client's clock may differ slightly.
+	retryAfterMargin = 0.95
+	// Fraction that is used of the retries that the deployment allows in addition to its
+	// ratio.
+	retrySlackShare   = 0.6
+	retryRatioShare   = 0.75 // fraction that is used of the retry ratio
+	failureRateWeight = 0.05 // weight of a new signal in a service's failure rate: about the last 20 count
 )
 
 // serviceRates holds this instance's retry budget and failure rate of a service.
@@ -236,14 +243,14 @@
 		}
 		s.isolateSuspect(ctx)
 		s.replaceForbiddenEngine(ctx)
-		engine, fetch, err := s.pickReplica()
+		replica, fetchFrom, err := s.pickReplica()
 		if err != nil {
 			if s.waitForBackoff(ctx, err) {
 				continue
 			}
 			return err
 		}
-		err = s.attempt(ctx, engine, fetch)
+		err = s.attempt(ctx, replica, fetchFrom)
 		if err == nil {
 			return nil
 		}
@@ -317,7 +324,8 @@
 		s.stageReruns++
 		return s.stageReruns <= maxStageReruns && s.consumeRetryBudget()
 	case errors.Is(err, errReplicaRefused):
-		if _, inBackoff := s.node.advisories.backoffUntil(s.node.now(), s.lastReplica); !inBackoff { // a replica in backoff may run the request afterwards
+		// A replica in backoff may run the request afterwards.
+		if _, inBackoff := s.node.advisories.backoffUntil(s.node.now(), s.lastReplica); !inBackoff {
 			s.avoid[s.lastReplica] = true
 		}
 		s.unexecutedSends++
--- a/cmd/node/rollout.go
+++ b/cmd/node/rollout.go
@@ -21,7 +21,7 @@
 
 	mu           sync.Mutex
 	view         *rollout.View
-	ledger       *rollout.TrafficSplitter
+	splitter     *rollout.TrafficSplitter
 	orders       map[uint64]*rolloutProgress // by revision of the order
 	othersReady  map[string]bool             // services for which replicas of other versions than the target accept work
 	fullyShifted map[string]bool             // services whose requests all go to the target version in the current snapshot
@@ -49,7 +49,7 @@
 		canaryShare:  s.CanaryShare,
 		canarySlack:  s.CanarySlack,
 		view:         rollout.NewView(),
-		ledger:       rollout.NewTrafficSplitter(newRandom().Float64()),
+		splitter:     rollout.NewTrafficSplitter(newRandom().Float64()),
 		orders:       make(map[uint64]*rolloutProgress),
 		othersReady:  make(map[string]bool),
 		fullyShifted: make(map[string]bool),
@@ -99,7 +99,7 @@
 func (r *rollouts) prune() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ledger.Prune(r.view.Has)
+	r.splitter.Prune(r.view.Has)
 	maps.DeleteFunc(r.orders, func(order uint64, _ *rolloutProgress) bool { return !r.view.Has(order) })
 }
 
--- a/cmd/node/rollout_answers.go
+++ b/cmd/node/rollout_answers.go
@@ -16,7 +16,7 @@
 	route     string
 	replica   *catalog.Replica
 	evidence  sendresult.VersionEvidence
-	latency   time.Duration // time until the response began
+	latency   time.Duration // time until the answer began
 	pinnedFor time.Duration // duration of a request that can't fail over to another replica; 0: it can
 }
 
--- a/cmd/node/rollout_lead.go
+++ b/cmd/node/rollout_lead.go
@@ -18,10 +18,16 @@
 )
 
 const (
-	rolloutInterval      = 100 * time.Millisecond // interval of rollout updates: a quarter of the interval at which shares increase
-	maxJudges            = 3                      // number of instances that judge an order; a rollout survives the loss of two at once until the next heartbeat
-	leadTimeout          = 700 * time.Millisecond // delay after which the next judge in rank acts instead of the one before it: three heartbeats
-	judgementLogInterval = time.Second            // interval between log lines of an unchanged verdict
+	// Interval of rollout updates: a quarter of the interval at which shares increase.
+	rolloutInterval = 100 * time.Millisecond
+	// Number of instances that judge an order. If two are lost at once, the rollout
+	// continues at the next heartbeat.
+	maxJudges = 3
+	// Delay after which the next judge in rank acts instead of the one before it: more than
+	// three heartbeat intervals.
+	leadTimeout = 700 * time.Millisecond
+	// Interval between log lines of an unchanged verdict.
+	judgementLogInterval = time.Second
 )
 
 // followRollouts drives the active rollouts: it updates shares that change with
@@ -113,7 +119,7 @@
 		if service == nil || service.Pool == nil || shift == nil {
 			continue
 		}
-		allowed := r.ledger.Allows(shift.order, "", shift.share, service.Pool.MaxBatch)
+		allowed := r.splitter.Allows(shift.order, "", shift.share, service.Pool.MaxBatch)
 		changed = changed || allowed != r.batchAllowed[s.Service]
 		r.batchAllowed[s.Service] = allowed
 	}
--- a/cmd/node/rollout_traffic.go
+++ b/cmd/node/rollout_traffic.go
@@ -96,7 +96,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Allows(shift.order, route, shift.share, count)
+	return r.splitter.Allows(shift.order, route, shift.share, count)
 }
 
 // tryRecordSend reports whether requests on a route may go to a replica, and counts
@@ -108,10 +108,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	toTarget := shift.targetReplicas[replica]
-	if toTarget && shift.otherCount > 0 && !r.ledger.Allows(shift.order, route, shift.share, count) {
+	if toTarget && shift.otherCount > 0 && !r.splitter.Allows(shift.order, route, shift.share, count) {
 		return false
 	}
-	r.ledger.Record(shift.order, route, shift.share, count, toTarget)
+	r.splitter.Record(shift.order, route, shift.share, count, toTarget)
 	r.progress(shift.order).ownReport.Sent += count
 	return true
 }
--- a/cmd/node/send_grants.go
+++ b/cmd/node/send_grants.go
@@ -21,8 +21,10 @@
 // in the replica's hall, selected by rendezvous hashing.
 
 const (
-	grantTimeout     = 150 * time.Millisecond // grantors answer at once
-	grantorLostDelay = 300 * time.Millisecond // pause of requests to a replica whose grantor is not known or does not answer: one and a half heartbeats
+	grantTimeout = 150 * time.Millisecond // grantors answer at once
+	// Pause of requests to a replica whose grantor is not known or does not answer: one and
+	// a half heartbeat intervals.
+	grantorLostDelay = 300 * time.Millisecond
 
 	// Minimum time between calls that free results, in grant intervals: each call uses up
 	// a grant that a request could have had.
@@ -137,13 +139,13 @@
 func (n *Node) reserveRetry(service string, backoff *backoffError) time.Duration {
 	perSecond := 0.0
 	replicas, instances := n.snapshot.Load().eligibleByService[service], n.liveInstanceCount()
-	s := n.advisories
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	a := n.advisories
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for _, r := range replicas {
-		perSecond += s.rateLimits.Limit(r.ID).PerSecond
+		perSecond += a.rateLimits.Limit(r.ID).PerSecond
 	}
-	return max(s.retrySchedule.Reserve(service, backoff.until, perSecond, instances, newRandom().Float64())-backoff.now, shortRetryAfter)
+	return max(a.retrySchedule.Reserve(service, backoff.until, perSecond, instances, newRandom().Float64())-backoff.now, shortRetryAfter)
 }
 
 // tryLocalGrant takes a grant from this instance's own fraction of a rate limit.
--- a/cmd/node/snapshot.go
+++ b/cmd/node/snapshot.go
@@ -255,6 +255,8 @@
 }
 
 const (
-	drainAnnounceWindow   = 3 * time.Second // time for which heartbeats carry a drain; by then the store's list of replicas, which lags by up to 3 s, shows it too
-	maxDrainsPerHeartbeat = 16              // keeps a heartbeat within one datagram
+	// Time for which heartbeats carry a drain. By then the store's list of replicas, which
+	// lags by up to 3 s, shows it too.
+	drainAnnounceWindow   = 3 * time.Second
+	maxDrainsPerHeartbeat = 16 // keeps a heartbeat within one datagram
 )
--- a/cmd/node/speeds_test.go
+++ b/cmd/node/speeds_test.go
@@ -25,7 +25,7 @@
 	return n, n.owner.cell(0)
 }
 
-func (c *cell) speedFigures() speed.Estimate {
+func (c *cell) speedEstimate() speed.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engines.Speeds()["llm"].Estimate()
@@ -65,14 +65,14 @@
 	newOwner, cell := newOwningNode("begun")
 	cell.prepare()
 	newOwner.mergeSpeeds(announcedSpeeds(t, relay))
-	is.True(cell.speedFigures().Median.PerToken < 10*time.Microsecond)
+	is.True(cell.speedEstimate().Median.PerToken < 10*time.Microsecond)
 
 	lateOwner, _ := newOwningNode("late")
 	lateOwner.mergeSpeeds(announcedSpeeds(t, relay))
 	cell = lateOwner.owner.cell(1)
 	cell.prepare()
-	is.True(cell.speedFigures().Median.PerToken < 10*time.Microsecond)
-	is.True(cell.speedFigures().LongestPrompt > 20_000)
+	is.True(cell.speedEstimate().Median.PerToken < 10*time.Microsecond)
+	is.True(cell.speedEstimate().LongestPrompt > 20_000)
 }
 
 // A heartbeat fits one datagram whatever the number of owners and services.
--- a/cmd/node/stages.go
+++ b/cmd/node/stages.go
@@ -20,12 +20,14 @@
 )
 
 const (
-	admissionTimeout    = 500 * time.Millisecond // timeout for an owner to admit or refuse a job
-	ownerCheckInterval  = 150 * time.Millisecond // interval between checks whether the owner is alive
-	startupViewTimeout  = 700 * time.Millisecond // time since the process's start after which requests no longer wait for a settled view of the owners
-	startupViewInterval = 20 * time.Millisecond  // interval between checks of that view
-	maxOwnersTried      = 3                      // per request
-	maxOwnerReplies     = 2                      // per job: admission, then results
+	admissionTimeout   = 500 * time.Millisecond // timeout for an owner to admit or refuse a job
+	ownerCheckInterval = 150 * time.Millisecond // interval between checks whether the owner is alive
+	// Time since the process's start after which requests no longer wait for a settled view
+	// of the owners.
+	startupViewTimeout  = 700 * time.Millisecond
+	startupViewInterval = 20 * time.Millisecond // interval between checks of that view
+	maxOwnersTried      = 3                     // per request
+	maxOwnerReplies     = 2                     // per job: admission, then results
 )
 
 // refusedError reports that the owner refused a request's stages.
@@ -125,13 +127,13 @@
 	region         string                 // region of the cell
 	allowedRegions func() regions.Allowed // regions that may serve the request, by the configuration in force
 	arrivedAt      time.Duration          // arrival of the request
-	objective      time.Duration          // since the arrival
-	deadline       time.Duration          // since the arrival
-	onSubmit       func(owner string)
+	objective      time.Duration          // relative to the arrival
+	deadline       time.Duration          // relative to the arrival
+	onSubmit       func(owner string)     // called with the name of each owner that is tried
 }
 
-// runStages has the stages of a request run by the owner of its cell, or by the
-// successor, which is the next instance in rank order, if that owner is lost.
+// runStages submits the stages of a request to the owner of its cell, or to the successor,
+// which is the next instance in rank order, if that owner is lost.
 func (n *Node) runStages(ctx context.Context, req *stagesRequest) (*stageJob, error) {
 	ask := req.ask
 	n.awaitOwnerView(ctx, int(ask.Cell), req.region)
--- a/cmd/node/state.go
+++ b/cmd/node/state.go
@@ -22,8 +22,8 @@
 type State struct {
 	Name              string
 	Build             string
-	Level             uint32   // protocol level of this build
-	FleetLevel        uint32   // protocol level that all live instances support
+	Level             uint32   // feature level of this build
+	FleetLevel        uint32   // feature level that all live instances support
 	PendingFeatures   []string `json:"Waiting"` // features that need a higher fleet level
 	Uptime            string
 	Stopping          bool
--- a/cmd/node/topic_follower.go
+++ b/cmd/node/topic_follower.go
@@ -13,25 +13,33 @@
 )
 
 const (
-	replicaChangeDelay  = 250 * time.Millisecond // pause after a change of the replicas, so that changes that follow shortly are applied together
-	minStoreRetryDelay  = 100 * time.Millisecond // pause after a failed call; doubles with each failure
-	maxStoreRetryDelay  = 1 * time.Second        // upper bound, so that the end of an outage is detected within the 2 s in which a configuration must be in force
+	// Pause after a change of the replicas, so that changes that follow shortly are applied
+	// together.
+	replicaChangeDelay = 250 * time.Millisecond
+	minStoreRetryDelay = 100 * time.Millisecond // pause after a failed call; doubles with each failure
+	// Upper bound of that pause, so that the end of an outage is detected within the 2 s in
+	// which a configuration must be in force.
+	maxStoreRetryDelay  = 1 * time.Second
 	unwrittenTopicDelay = 250 * time.Millisecond // pause before a topic that was never written is read again
 	readerCheckInterval = 100 * time.Millisecond // interval between checks whether this instance is a reader
-	firstReadInterval   = 300 * time.Millisecond // interval between reads of a topic that is not loaded yet: 75 times the usual answer time
-	maxFirstReads       = 5                      // concurrent reads of one topic; by then the first one has timed out
+	// Interval between reads of a topic that is not loaded yet: 75 times the usual answer
+	// time.
+	firstReadInterval = 300 * time.Millisecond
+	maxFirstReads     = 5 // concurrent reads of one topic; by then the first one has timed out
 )
 
 // Bounds of the duration of a watch, and the time that is reserved for the changes after
 // its end.
 const (
-	minWatchTime          = 1 * time.Second // limits a reader to two calls a second, including WatchGrace
-	maxWatchTime          = 8 * time.Second // upper bound, whatever the settings allow
-	changePropagationTime = 1 * time.Second // covers the next call, the pause before it and the propagation to peers: 0.6 s in simulations
+	minWatchTime = 1 * time.Second // limits a reader to two calls a second, including WatchGrace
+	maxWatchTime = 8 * time.Second // upper bound, whatever the settings allow
+	// Covers the next call, the pause before it and the propagation to peers: 0.6 s in
+	// simulations.
+	changePropagationTime = 1 * time.Second
 )
 
 // watchTimeFor returns the duration of a watch. A connection may hang for good while the
-// store answers on others, which can't be told from a topic without changes. A watch
+// store answers on others, which can't be distinguished from a topic without changes. A watch
 // therefore ends early enough for the changes that it missed to be in force within the
 // deployment's time limits.
 func watchTimeFor(s *platform.Settings) time.Duration {
@@ -49,13 +57,17 @@
 // topicFollower follows a topic of the store: it reads the whole topic once, and then
 // watches for changes while this instance is a reader.
 type topicFollower struct {
-	node                   *Node
-	storeRecovery          func() <-chan struct{} // closed when the store answers again after it was unresponsive
-	name                   string
-	isLoaded               func() bool                                        // reports whether the topic was read or received from a peer
-	watchesAfterPeerUpdate bool                                               // a topic received from a peer is watched without a full read first
-	read                   func() (apply func(), err error)                   // reads the whole topic; apply applies the result
-	watch                  func(wait time.Duration) (apply func(), err error) // returns changes, and waits up to this long for the first one
+	node          *Node
+	storeRecovery func() <-chan struct{} // closed when the store answers again after it was unresponsive
+	name          string
+	// isLoaded reports whether the topic was read or received from a peer.
+	isLoaded func() bool
+	// A topic received from a peer is watched without a full read first.
+	watchesAfterPeerUpdate bool
+	// read reads the whole topic; apply applies the result.
+	read func() (apply func(), err error)
+	// watch returns changes, and waits up to the given time for the first one.
+	watch func(wait time.Duration) (apply func(), err error)
 }
 
 func (f *topicFollower) run(ctx context.Context) {
--- a/cmd/node/topics.go
+++ b/cmd/node/topics.go
@@ -94,7 +94,9 @@
 		return
 	}
 	n.config, n.rawConfig = c, &rawConfig{text: data}
-	afterUnlock := n.replaceSnapshot() // together with the version: a caller that sees the new version must not be served by the old configuration
+	// Replaced together with the version: a caller that sees the new version must not be
+	// served by the old configuration.
+	afterUnlock := n.replaceSnapshot()
 	n.watchedMu.Unlock()
 	afterUnlock()
 	n.gossipMu.Lock()
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -19,8 +19,11 @@
 // The lowest limits of all deployments, and the resulting maximum time from the end of a
 // disturbance until the changes that were acknowledged since are in force.
 const (
-	recoveryTime    = 3 * time.Second // after a disturbance, until an instance must meet its time limits again: settings of kld-windhoek and mfma-route
-	configApplyTime = 2 * time.Second // until a configuration is in force: the same settings
+	// Time after a disturbance until an instance must meet its time limits again: settings
+	// of kld-windhoek and mfma-route.
+	recoveryTime = 3 * time.Second
+	// Time until a configuration is in force: the same settings.
+	configApplyTime = 2 * time.Second
 	inForceWithin   = recoveryTime + configApplyTime
 )
 
--- a/cmd/node/update_server.go
+++ b/cmd/node/update_server.go
@@ -47,7 +47,8 @@
 func (s *updateServer) store(have, changed uint64, message *pb.ReplicaChanges, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cache == nil || s.lastChange != changed || len(s.cache) >= maxCachedUpdates { // the cache is nil if a peer asks before any list is loaded
+	// The cache is nil if a peer asks before any list is loaded.
+	if s.cache == nil || s.lastChange != changed || len(s.cache) >= maxCachedUpdates {
 		s.lastChange, s.cache = changed, make(map[uint64]cachedUpdate)
 	}
 	s.cache[have] = cachedUpdate{message, size}
