--- a/cmd/node/replica_choice.go
+++ b/cmd/node/replica_choice.go
@@ -183,6 +183,8 @@
 	return out
 }
 
+// ownerChoice returns the engine that the owner chose, and whether the request may be sent
+// to it now. An engine that was tried or refused the request may not be used.
 func (s *requestHandler) ownerChoice() (catalog.Replica, bool) {
 	if s.job == nil || s.job.engine == "" || s.tried[s.job.engine] || s.avoid[s.job.engine] {
 		return catalog.Replica{}, false
--- a/cmd/node/stream.go
+++ b/cmd/node/stream.go
@@ -73,6 +73,7 @@
 	return nil
 }
 
+// canResumeElsewhere reports whether a broken stream may continue at another replica.
 func (a *attempt) canResumeElsewhere() bool {
 	return a.route.Resumable && len(a.tried) < a.route.MaxAttempts
 }
--- a/cmd/node/trial_lease.go
+++ b/cmd/node/trial_lease.go
@@ -125,6 +125,8 @@
 	return clientEnd, nil
 }
 
+// quarantineCase returns the message with this instance's record of a request, which has
+// only the fingerprint if there is no record.
 func (n *Node) quarantineCase(f quarantine.Fingerprint) *pb.QuarantineCase {
 	q := n.quarantine
 	q.mu.Lock()
