--- a/cmd/entry/announcement.go
+++ b/cmd/entry/announcement.go
@@ -16,7 +16,7 @@
 // which either admits the stage or refuses it.
 type announcement struct {
 	service string
-	id      uint64
+	id      uint64       // of the announced task
 	owner   *ownerStream // nil if announced to the local scheduler
 	ch      chan slotAnswer
 }
@@ -25,50 +25,50 @@
 // waits for the response.
 func (c *slotClient) announce(service string, task scheduler.Task, ready, left time.Duration) *announcement {
 	task.ID = c.nextID.Add(1)
-	b := &announcement{service: service, id: task.ID, owner: c.ownerOf(service)}
-	if b.owner != nil {
+	a := &announcement{service: service, id: task.ID, owner: c.ownerOf(service)}
+	if a.owner != nil {
 		f := buildAsk(service, &task, left)
 		f.Announce, f.ReadyUs = true, convert.Micros(ready)
-		b.ch = b.owner.submit(f, task.ID)
-		return b
+		a.ch = a.owner.submit(f, task.ID)
+		return a
 	}
-	b.ch = make(chan slotAnswer, 1)
+	a.ch = make(chan slotAnswer, 1)
 	task.Deadline = c.local.Now() + left
-	c.pending.Put(task.ID, b.ch)
+	c.pending.Put(task.ID, a.ch)
 	if !c.local.Announce(service, task, ready) {
-		b.ch <- slotAnswer{Action: scheduler.Action{Reason: scheduler.NoReplica}}
+		a.ch <- slotAnswer{Action: scheduler.Action{Reason: scheduler.NoReplica}}
 	}
-	return b
+	return a
 }
 
 // awaitAdmission returns the response to an announcement. If the owner is unresponsive or
-// knows no replica yet, the stage counts as admitted: its slot will be acquired from the
+// has no replicas yet, the stage counts as admitted: its slot will be acquired from the
 // local scheduler.
-func (c *slotClient) awaitAdmission(b *announcement) scheduler.Action {
+func (c *slotClient) awaitAdmission(a *announcement) scheduler.Action {
 	admitted := scheduler.Action{Admitted: true}
 	t := time.NewTimer(ownerTimeout)
 	defer t.Stop()
 	select {
-	case ans := <-b.ch:
-		if ans.disconnected || (b.owner != nil && ans.Reason == scheduler.NoReplica) {
+	case ans := <-a.ch:
+		if ans.disconnected || (a.owner != nil && ans.Reason == scheduler.NoReplica) {
 			return admitted
 		}
 		return ans.Action
 	case <-t.C:
-		c.withdraw(b)
-		b.owner.markUnresponsive(b.service)
+		c.withdraw(a)
+		a.owner.markUnresponsive(a.service)
 		return admitted
 	}
 }
 
 // withdraw cancels an announcement.
-func (c *slotClient) withdraw(b *announcement) {
-	if b.owner != nil {
-		b.owner.cancel(b.service, b.id)
+func (c *slotClient) withdraw(a *announcement) {
+	if a.owner != nil {
+		a.owner.cancel(a.service, a.id)
 		return
 	}
-	c.pending.Delete(b.id)
-	c.local.Cancel(b.service, b.id, "")
+	c.pending.Delete(a.id)
+	c.local.Cancel(a.service, a.id, "")
 }
 
 // announceStages announces the later stages that take a large part of the run's
@@ -94,11 +94,11 @@
 // awaitAdmissions waits for the responses to a run's announcements. No stage may start
 // before all of them are admitted.
 func (e *Entry) awaitAdmissions(r *run) *runResult {
-	for i, b := range r.announcements {
-		if b == nil {
+	for i, a := range r.announcements {
+		if a == nil {
 			continue
 		}
-		if act := e.slots.awaitAdmission(b); !act.Admitted {
+		if act := e.slots.awaitAdmission(a); !act.Admitted {
 			return e.refuseForSlot(r, &r.pipeline.Stages[i], act)
 		}
 	}
@@ -107,16 +107,16 @@
 
 // withdrawUnused cancels the announcements whose stages were not reached.
 func (e *Entry) withdrawUnused(r *run) {
-	for _, b := range r.announcements {
-		if b != nil {
-			e.slots.withdraw(b)
+	for _, a := range r.announcements {
+		if a != nil {
+			e.slots.withdraw(a)
 		}
 	}
 }
 
 // takeAnnouncement returns the announcement of a stage and removes it from the run.
 func (r *run) takeAnnouncement(i int) *announcement {
-	b := r.announcements[i]
+	a := r.announcements[i]
 	r.announcements[i] = nil
-	return b
+	return a
 }
--- a/cmd/entry/entry.go
+++ b/cmd/entry/entry.go
@@ -55,7 +55,7 @@
 
 	ledgerMu            sync.Mutex
 	ledger              *ledger.Ledger
-	adoptedIncarnations []uint64
+	adoptedIncarnations []uint64      // of the stopped entries whose ledgers this entry adopted
 	watchChanged        chan struct{} // signals that the registration sent to the coord is outdated
 	pendingHandovers    *table.Table[uint64, *pendingHandover]
 
@@ -65,7 +65,9 @@
 	estimates *table.Table[stageKey, *stageEstimate]
 	slots     *slotClient
 
-	coordIsolated atomic.Bool                     // the coord receives nothing from other instances, so drain advisories do not spread
+	// coordIsolated is set while the coord receives nothing from other instances, so that
+	// drain advisories do not spread.
+	coordIsolated atomic.Bool
 	lastAnswered  *table.Table[string, time.Time] // replica ID -> time of its last response that announced no drain
 	draining      atomic.Bool                     // announced to peers; address responses leave this instance out
 	refusing      atomic.Bool                     // new requests are refused
@@ -84,7 +86,9 @@
 	latency, queue                                                                        metrics.Histogram // microseconds
 }
 
-const histogramSampleSize = 512 // values kept per histogram; the library's default of about 1000 takes twice the memory
+// histogramSampleSize is the number of values kept per histogram. The library's default
+// of about 1000 takes twice the memory.
+const histogramSampleSize = 512
 
 func newCounters(r metrics.Registry) counters {
 	c := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) }
--- a/cmd/entry/handover.go
+++ b/cmd/entry/handover.go
@@ -21,10 +21,10 @@
 const (
 	successionPrefix       = "succession/"
 	handoverTimeout        = 2 * time.Second
-	handoverAttempts       = 3
+	handoverAttempts       = 3 // writes of the succession
 	successionPollInterval = 100 * time.Millisecond
-	successionTimeout      = 15 * time.Second
-	successionDelay        = 300 * time.Millisecond // time for the successor to read the succession before this entry stops
+	successionTimeout      = 15 * time.Second       // after this a received ledger is discarded
+	successionDelay        = 300 * time.Millisecond // for the successor to read the succession before this entry exits
 )
 
 // pendingHandover is a ledger that was received from a stopping entry and whose
--- a/cmd/entry/limits.go
+++ b/cmd/entry/limits.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	limitInterval    = 500 * time.Millisecond
-	limitTimeout     = 400 * time.Millisecond
-	limitOwnerCount  = 8               // owners among which customers are distributed; bounds the connections of an entry
-	limitIdleTimeout = 5 * time.Second // a customer without requests for this long is no longer reported
+	limitInterval    = 500 * time.Millisecond // between reports of the demand
+	limitTimeout     = 400 * time.Millisecond // of one report
+	limitOwnerCount  = 8                      // owners that customers are distributed among; bounds the connections of an entry
+	limitIdleTimeout = 5 * time.Second        // a customer without requests for this long is no longer reported
 )
 
 // limits holds the customers' token buckets of this entry. Each customer has one rate
@@ -34,9 +34,9 @@
 
 type limitRow struct {
 	bucket      limit.Bucket
-	requests    int // requests since the last report
-	lastRequest time.Duration
-	rate        float64 // allocated share in requests per second; 0 before the first report
+	requests    int           // requests since the last report
+	lastRequest time.Duration // on the entry's clock
+	rate        float64       // allocated share in requests per second; 0 before the first report
 }
 
 func newLimits(e *Entry) *limits { return &limits{entry: e, rows: make(map[string]*limitRow)} }
--- a/cmd/entry/requests.go
+++ b/cmd/entry/requests.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxAddresses  = 3
+	maxAddresses  = 3  // entries named in an address response
 	maxLabelBytes = 64 // request id chosen by the client
 	minDeadlineMS = 1
 )
--- a/cmd/entry/run.go
+++ b/cmd/entry/run.go
@@ -14,26 +14,28 @@
 
 // run is the state of one request while its pipeline is executed.
 type run struct {
-	id              string
-	view            *view
-	customer        *fleet.Customer
-	pipeline        *fleet.Pipeline
-	class           fleet.Class
-	input           []byte
-	body            []byte // unparsed request body, for forwarding
-	stream          bool
-	received        time.Time
-	deadline        time.Time
-	record          *outcome.Record
-	onToken         func(string) // nil unless the response is streamed
-	disconnected    atomic.Bool  // the client disconnected
-	probeConnection func() bool  // reports whether the client disconnected; nil for streamed runs and for numbered ones, which continue without their client
+	id           string
+	view         *view
+	customer     *fleet.Customer
+	pipeline     *fleet.Pipeline
+	class        fleet.Class
+	input        []byte // of the first stage
+	body         []byte // unparsed request body, for forwarding
+	stream       bool
+	received     time.Time
+	deadline     time.Time
+	record       *outcome.Record
+	onToken      func(string) // nil unless the response is streamed
+	disconnected atomic.Bool  // the client disconnected
+	// probeConnection reports whether the client disconnected. It is nil for streamed
+	// runs and for numbered ones, which continue without their client.
+	probeConnection func() bool
 
 	announcements     []*announcement // by stage; nil if not announced or already taken
 	admissionsAwaited bool            // the owners' responses to the announcements were awaited
 	reports           []api.Stage
-	cost              float64
-	atMostOnceSent    bool // an at-most-once stage was sent and its outcome is unknown
+	cost              float64 // cost units of all attempts
+	atMostOnceSent    bool    // an at-most-once stage was sent and its outcome is unknown
 }
 
 // abandon records that the client disconnected; no further stage starts.
--- a/cmd/entry/slots.go
+++ b/cmd/entry/slots.go
@@ -31,7 +31,7 @@
 	nextID  atomic.Uint64
 	pending *table.Table[uint64, chan slotAnswer]
 	owners  *table.Table[string, *ownerStream]
-	exact   atomic.Bool
+	exact   atomic.Bool // the policy is permits (scheduler.Exact): owners grant the slots
 }
 
 // slotAnswer is a response to a submitted or announced task.
@@ -154,7 +154,7 @@
 }
 
 // acquireFromOwner requests a slot from the owner. The last result is false if the owner
-// is unresponsive, disconnected or knows no replica, and the local scheduler has to
+// is unresponsive, disconnected or has no replicas, and the local scheduler has to
 // decide.
 func (c *slotClient) acquireFromOwner(o *ownerStream, service string, task scheduler.Task, left time.Duration) (*slot, scheduler.Action, bool) {
 	ch := o.submit(buildAsk(service, &task, left), task.ID)
@@ -167,7 +167,7 @@
 		case ans := <-ch:
 			switch {
 			case ans.disconnected, ans.Reason == scheduler.NoReplica:
-				// An owner that has just started knows no replicas yet.
+				// An owner that has just started has not received the replicas yet.
 				return nil, scheduler.Action{}, false
 			case ans.queued:
 				timeout.Stop()
--- a/cmd/entry/tickets.go
+++ b/cmd/entry/tickets.go
@@ -22,8 +22,10 @@
 )
 
 const (
-	forwardGrace          = 300 * time.Millisecond // added to the deadline, so that the home's own timeout response can arrive
-	successorPollInterval = 50 * time.Millisecond  // interval of checks for the successor of a stopping home
+	// forwardGrace is added to the deadline of a forwarded request, so that the home's
+	// own timeout response can arrive.
+	forwardGrace          = 300 * time.Millisecond
+	successorPollInterval = 50 * time.Millisecond // between checks for the successor of a stopping home
 )
 
 // numberedRun is a run that is identified by a ticket and a number, so that repeated
--- a/cmd/entry/view.go
+++ b/cmd/entry/view.go
@@ -28,7 +28,9 @@
 	members    []membership.Member
 	replicas   map[string]replicas.Replica
 	slotOwners map[string]string // service -> coord address of the owner of its slots
-	liveCount  int               // instances that are alive and not draining, at least 1; customers' rates are divided among them
+	// liveCount is the number of instances that are alive and not draining, at least 1.
+	// Customers' rates are divided among them.
+	liveCount int
 
 	limitOwners [limitOwnerCount]string // coord addresses of the owners of customers' rate limits
 }
