--- a/cmd/coord/config.go
+++ b/cmd/coord/config.go
@@ -19,14 +19,14 @@
 
 const (
 	configKey    = "config/current"
-	watchTimeout = 10 * time.Second
-	minBackoff   = 200 * time.Millisecond
+	watchTimeout = 10 * time.Second       // maximum time that a watch waits for a change
+	minBackoff   = 200 * time.Millisecond // before jitter, after the first failed watch; doubled by each further one
 	maxBackoff   = 5 * time.Second
 )
 
 // configLoop keeps the configuration up to date: the hall's reader watches the
-// platform; the other coords learn of a new revision from heartbeats and pull it
-// from a peer.
+// platform; the other coords receive the number of a new revision with heartbeats and
+// pull it from a peer.
 func (c *Coord) configLoop(ctx context.Context) {
 	version := c.loadInitialConfig(ctx)
 	var downSince time.Time
@@ -68,8 +68,8 @@
 	err error
 }
 
-// watchPlatform waits for a newer configuration, or until ctx ends; the call to the
-// platform then ends by its own timeout.
+// watchPlatform waits for a newer configuration, watchTimeout, or the end of ctx. In the
+// last case the call to the platform continues in the background until its own timeout.
 func (c *Coord) watchPlatform(ctx context.Context, version uint64) (api.KV, error) {
 	ch := make(chan watchResult, 1)
 	go func() {
@@ -84,7 +84,7 @@
 	}
 }
 
-// loadInitialConfig asks the seeds, which know the configuration in force, and then
+// loadInitialConfig asks the seeds, which have the configuration in force, and then
 // the platform, which may answer with older data; the highest revision wins. It
 // returns the platform's version of the key.
 func (c *Coord) loadInitialConfig(ctx context.Context) uint64 {
--- a/cmd/coord/coord.go
+++ b/cmd/coord/coord.go
@@ -28,7 +28,7 @@
 )
 
 // Coord is one instance's coordination process. Lock order: configMu, membersMu,
-// replicasMu, the slots host's, watchers.mu (docs/ARCHITECTURE.md).
+// replicasMu, the locks of slots, watchers.mu (docs/ARCHITECTURE.md).
 type Coord struct {
 	settings *settings.Instance
 	log      hclog.Logger
@@ -42,7 +42,7 @@
 	configMu sync.RWMutex
 	inForce  revision.InForce
 	pullMu   sync.Mutex   // serializes pulls; locked before any other
-	fleet    *fleet.Fleet // parsed from inForce; nil before the first configuration configuration
+	fleet    *fleet.Fleet // parsed from inForce; nil before the first configuration
 
 	membersMu     sync.RWMutex
 	view          *membership.View
@@ -84,7 +84,7 @@
 	}
 }
 
-// New returns a coord that is not running.
+// New returns a coord that is not started yet.
 func New(s *settings.Instance, l hclog.Logger) *Coord {
 	r := metrics.NewRegistry()
 	t := &link.Traffic{}
@@ -158,7 +158,7 @@
 	return err
 }
 
-// now is the coord's monotonic clock.
+// now returns the time since the coord's start on a monotonic clock.
 func (c *Coord) now() time.Duration { return time.Since(c.start) }
 
 var errNoConfig = errors.New("no configuration yet")
@@ -170,7 +170,8 @@
 	return nil
 }
 
-// config returns the configuration in force; the fleet is nil before the first.
+// config returns the configuration in force, with its declaration parsed: nil before the
+// first one.
 func (c *Coord) config() (revision.Config, *fleet.Fleet) {
 	c.configMu.RLock()
 	defer c.configMu.RUnlock()
--- a/cmd/coord/heartbeats.go
+++ b/cmd/coord/heartbeats.go
@@ -16,13 +16,14 @@
 
 const (
 	heartbeatInterval = time.Second
-	heartbeatTimeout  = 700 * time.Millisecond
-	gossipRounds      = 3 // heartbeats in which a change is repeated
-	reconnectRounds   = 5 // rounds between attempts to reach a dead member or the seeds
-	pullTimeout       = 2 * time.Second
+	heartbeatTimeout  = 700 * time.Millisecond // a member that has not answered by then is suspected
+	gossipRounds      = 3                      // rounds of heartbeats that carry a change
+	reconnectRounds   = 5                      // rounds between attempts to reach a dead member or the seeds
+	pullTimeout       = 2 * time.Second        // of a pull of the configuration or the members
 )
 
-// heartbeatLoop sends heartbeats every second, and at once when there are updates to pass on.
+// heartbeatLoop sends heartbeats every heartbeatInterval, and at once when there are
+// updates to pass on.
 func (c *Coord) heartbeatLoop(ctx context.Context) {
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
@@ -49,7 +50,7 @@
 	}
 }
 
-// expireSuspects declares suspects dead that did not refute in time.
+// expireSuspects declares suspects dead that did not refute the suspicion in time.
 func (c *Coord) expireSuspects() {
 	c.membersMu.Lock()
 	dead := c.view.Tick(c.now())
--- a/cmd/coord/orders.go
+++ b/cmd/coord/orders.go
@@ -21,9 +21,9 @@
 const (
 	leaseKey      = "orders/lease"
 	leaseTTL      = 3 * time.Second
-	leaseMargin   = 500 * time.Millisecond
+	leaseMargin   = 500 * time.Millisecond // the holder treats the lease as expired this long before its end
 	renewInterval = 800 * time.Millisecond
-	orderTimeout  = 600 * time.Millisecond // of one order, including its answer
+	orderTimeout  = 600 * time.Millisecond // maximum duration of an order, including its answer
 )
 
 // orders sends each replica of a model engine the order to serve its service's
@@ -66,8 +66,8 @@
 }
 
 // isCandidate reports whether the declaration has a model to order and this instance
-// is its hall's candidate for the lease. More candidates would only cost calls to the
-// platform.
+// is its hall's candidate for the lease. More candidates would only cause more calls to
+// the platform.
 func (o *orders) isCandidate() bool {
 	_, f := o.coord.config()
 	if f == nil || !o.coord.isReader("orders") {
@@ -100,7 +100,8 @@
 	c.counters.platformWrites.Inc(1)
 	newVersion, err := c.platform.Put(leaseKey, api.KVPut{Value: []byte(c.leaseHolderID()), IfVersion: version, LeaseMS: leaseTTL.Milliseconds()})
 	if err != nil {
-		// Refused, or unknown: a lease that is held expires by this process's clock.
+		// Refused, or the outcome is unknown: a lease that is held expires by this
+		// process's clock.
 		return
 	}
 	o.lease.RecordGrant(sent, newVersion)
--- a/cmd/coord/plans.go
+++ b/cmd/coord/plans.go
@@ -16,7 +16,7 @@
 	"quinceroad/transport/platform"
 )
 
-// The states of a plan and of its confirmation.
+// States of a plan and of its confirmation.
 const (
 	statePlanned      = "planned"
 	stateUnchanged    = "unchanged"
@@ -64,8 +64,8 @@
 	p.coord.counters.platformWrites.Inc(1)
 	put := api.KVPut{Value: b, LeaseMS: planTTL.Milliseconds()}
 	if _, err := p.coord.platform.Put(planPrefix+out.ID, put); err != nil {
-		// The id is new, so even if the write took effect only this operator
-		// could confirm the plan, and gets an error instead.
+		// Even if the write took effect, nobody can confirm the plan: its id is
+		// new, and this operator gets an error instead of it.
 		return nil, err
 	}
 	event.PlanMade.Log(p.coord.log, "plan", out.ID, "by", by, "base", out.Base)
--- a/cmd/coord/replicalist.go
+++ b/cmd/coord/replicalist.go
@@ -16,7 +16,7 @@
 const (
 	listInterval    = time.Second
 	maxListAge      = 3 * time.Second // after this time without the reader's views, any coord reads the platform
-	listBytesPerSec = 12_000.0        // bytes per second that a reader reads from the platform
+	listBytesPerSec = 12_000.0        // maximum mean rate at which a reader reads from the platform; see pollList
 )
 
 // listLoop keeps the list of replicas up to date: the hall's reader polls the
@@ -47,7 +47,7 @@
 
 // pollList reads the list from the platform and returns the time to wait before the
 // next read. A longer list is read less often, so that the bytes per second stay the
-// same. Urgent changes, that a replica is leaving, arrive by gossip instead.
+// same. The urgent change, that a replica is leaving, arrives by gossip instead.
 func (c *Coord) pollList() time.Duration {
 	c.counters.platformReads.Inc(1)
 	list, size, err := c.platform.ListReplicas()
--- a/cmd/coord/slotowner.go
+++ b/cmd/coord/slotowner.go
@@ -18,14 +18,14 @@
 
 // slotOwner schedules the slots of the services that this coord owns and keeps the
 // streams of the entries that request them. It is soft state: while two coords both
-// act as owner, the replicas are only loaded a little more.
+// act as owner, the only effect is that the replicas get a little more load.
 type slotOwner struct {
 	coord       *Coord
 	holders     *table.Table[string, *holder]
 	streamCount atomic.Int64 // number of streams served, which distinguishes two streams of one address
 }
 
-// holder is one entry's stream.
+// holder is the stream of one entry, which holds permits.
 type holder struct {
 	mu     sync.Mutex // held for the write of one frame
 	stream net.Conn
--- a/cmd/coord/status.go
+++ b/cmd/coord/status.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	statusConcurrency = 16 // coords queried at a time for a status
-	statusTimeout     = time.Second
+	statusConcurrency = 16          // coords queried at a time for a status
+	statusTimeout     = time.Second // of a call to another coord
 )
 
 // status returns this coord's view of the fleet, with the revision that each instance
@@ -73,7 +73,7 @@
 	return ok && c.links.Call(m.CoordAddress, frame.Drain, &pb.Noted{}, &pb.Noted{}, statusTimeout) == nil
 }
 
-// dump is the coord's state for operators, without secrets.
+// dump is the body of the coord's state dump. It contains no secrets.
 type dump struct {
 	Status   api.Status   `json:"status"`
 	Fleet    *fleet.Fleet `json:"fleet"`
@@ -94,7 +94,7 @@
 	_, f := c.config()
 	if f != nil {
 		redacted := *f
-		redacted.Customers = nil // contain key digests
+		redacted.Customers = nil // they contain digests of keys
 		f = &redacted
 	}
 	return dump{
