--- a/cmd/ctl/ctl.go
+++ b/cmd/ctl/ctl.go
@@ -62,8 +62,8 @@
 
 const (
 	callTimeout    = 10 * time.Second
-	followTimeout  = 15 * time.Second
-	followInterval = 300 * time.Millisecond
+	followTimeout  = 15 * time.Second       // maximum wait for a confirmed revision to be in force everywhere
+	followInterval = 300 * time.Millisecond // between status calls during that wait
 	formatJSON     = "json"
 )
 
--- a/cmd/ctl/customer_losses.go
+++ b/cmd/ctl/customer_losses.go
@@ -20,8 +20,8 @@
 
 type routeCounts struct{ attempts, inTime int }
 
-// addCustomerAttempt counts an attempt's end; cause is why it was not served in time, "" if it
-// was.
+// addCustomerAttempt counts an attempt's end. cause is why it was not served in time, ""
+// if it was.
 func (a *lossAggregate) addCustomerAttempt(l *logLine, cause string) {
 	name := l.field("customer")
 	if name == "" {
--- a/cmd/ctl/quarantine.go
+++ b/cmd/ctl/quarantine.go
@@ -14,7 +14,7 @@
 )
 
 // nodeQuarantine is the part of a node's state dump that describes suspected and
-// quarantined requests, those that replicas have ended while executing.
+// quarantined requests: requests during whose execution replicas have ended.
 type nodeQuarantine struct {
 	Name       string
 	Quarantine []struct {
--- a/cmd/ctl/refusal.go
+++ b/cmd/ctl/refusal.go
@@ -41,8 +41,8 @@
 }
 
 // maxClockSkew is the assumed maximum difference between the clocks of two instances.
-// It must be shorter than the clients' retry delay of at least a second, so that
-// refusals of successive attempts are told apart.
+// It must be shorter than the clients' retry delay of at least a second, so that a
+// refusal is not attributed to the following attempt.
 const maxClockSkew = 300 * time.Millisecond
 
 // findRefusal returns the refusal that the client of an attempt received: the first one
--- a/cmd/ctl/trace.go
+++ b/cmd/ctl/trace.go
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// verdict describes in a sentence or two how the request ended and why.
+// verdict describes how the request ended and why, and its spillover, if any.
 func (t *requestTrace) verdict() string {
 	return t.outcome() + t.spillover()
 }
@@ -119,6 +119,7 @@
 	return fmt.Sprintf(" Its own region did not take it; region %s was asked.", remote.field("region"))
 }
 
+// outcome describes how the request ended and why.
 func (t *requestTrace) outcome() string {
 	end := t.last(event.NodeRequest)
 	if end == nil {
