--- a/cmd/check/check.go
+++ b/cmd/check/check.go
@@ -25,7 +25,7 @@
 	Intended time.Time
 	Answered time.Time
 	Deadline time.Duration
-	Status   int // 0: no answer came
+	Status   int // HTTP status; 0: no response
 	Outcome  outcome.Kind
 	Code     string
 	ID       string
@@ -61,31 +61,30 @@
 // All checks every guarantee that responses and journal alone can show to be violated.
 func All(f *fleet.Fleet, responses []Response, journal []api.Execution) []Violation {
 	h := &history{fleet: f, responses: responses, executions: make(map[string][]api.Execution), ticketIDs: make(map[ticketedRequest][]string)}
-	for _, t := range responses {
-		if t.Ticket != "" && t.ID != "" {
-			key := ticketedRequest{t.Ticket, t.Input}
-			h.ticketIDs[key] = append(h.ticketIDs[key], t.ID)
+	for _, r := range responses {
+		if r.Ticket != "" && r.ID != "" {
+			key := ticketedRequest{r.Ticket, r.Input}
+			h.ticketIDs[key] = append(h.ticketIDs[key], r.ID)
 		}
 	}
 	for _, x := range journal {
 		h.executions[x.Request] = append(h.executions[x.Request], x)
 	}
 	for i := range responses {
-		t := &responses[i]
-		p, ok := f.Pipeline(t.Pipeline)
+		r := &responses[i]
+		p, ok := f.Pipeline(r.Pipeline)
 		if !ok {
 			continue
 		}
-		h.checkOutput(t, p)
-		h.checkComplete(t)
-		h.checkNotRun(t)
-		h.checkRefusalTime(t)
+		h.checkOutput(r, p)
+		h.checkComplete(r)
+		h.checkNotRun(r)
+		h.checkRefusalTime(r)
 	}
 	h.checkAtMostOnce()
 	return h.violations
 }
 
-// add records a violation.
 func (h *history) add(guarantee, id, format string, args ...any) {
 	h.violations = append(h.violations, Violation{Guarantee: guarantee, ID: id, Text: fmt.Sprintf(format, args...)})
 }
@@ -100,21 +99,21 @@
 }
 
 // checkOutput checks P1: a done answer is this request's own, and each stage ran on its input.
-func (h *history) checkOutput(t *Response, p *fleet.Pipeline) {
-	if t.Outcome != outcome.Done {
+func (h *history) checkOutput(r *Response, p *fleet.Pipeline) {
+	if r.Outcome != outcome.Done {
 		return
 	}
-	if want := upstream.Digest([]byte(ExpectedOutput(p, t.Input))); t.Digest != want {
-		h.add("P1", t.ID, "digest of the answer is %s, expected %s for this request", t.Digest, want)
+	if want := upstream.Digest([]byte(ExpectedOutput(p, r.Input))); r.Digest != want {
+		h.add("P1", r.ID, "digest of the answer is %s, expected %s for this request", r.Digest, want)
 	}
-	if len(t.Stages) != len(p.Stages) {
-		h.add("P1", t.ID, "%d stages reported, the pipeline has %d", len(t.Stages), len(p.Stages))
+	if len(r.Stages) != len(p.Stages) {
+		h.add("P1", r.ID, "%d stages reported, the pipeline has %d", len(r.Stages), len(p.Stages))
 		return
 	}
-	in := []byte(t.Input)
+	in := []byte(r.Input)
 	for i, s := range p.Stages {
-		if t.Stages[i].Name != s.Name || !h.hasEnded(t.ID, s.Name, upstream.Digest(in)) {
-			h.add("P1", t.ID, "stage %s was reported done, but no replica completed it for this input", s.Name)
+		if r.Stages[i].Name != s.Name || !h.hasEnded(r.ID, s.Name, upstream.Digest(in)) {
+			h.add("P1", r.ID, "stage %s was reported done, but no replica completed it for this input", s.Name)
 		}
 		in = work.Output(s.Operation, in)
 	}
@@ -132,41 +131,41 @@
 }
 
 // checkComplete checks P2: a done answer has all its bytes.
-func (h *history) checkComplete(t *Response) {
-	if t.Outcome != outcome.Done {
+func (h *history) checkComplete(r *Response) {
+	if r.Outcome != outcome.Done {
 		return
 	}
-	if t.Count != len(t.Output) || t.Digest != upstream.Digest([]byte(t.Output)) {
-		h.add("P2", t.ID, "the answer states %d bytes, digest %s; %d bytes received", t.Count, t.Digest, len(t.Output))
+	if r.Count != len(r.Output) || r.Digest != upstream.Digest([]byte(r.Output)) {
+		h.add("P2", r.ID, "the answer states %d bytes, digest %s; %d bytes received", r.Count, r.Digest, len(r.Output))
 	}
 }
 
 // checkNotRun checks P3: a request answered not_run has no execution, neither under its
 // own id nor, if it has a ticket, under the id in another response to the same request.
-func (h *history) checkNotRun(t *Response) {
-	if t.Outcome != outcome.NotRun {
+func (h *history) checkNotRun(r *Response) {
+	if r.Outcome != outcome.NotRun {
 		return
 	}
-	if n := len(h.executions[t.ID]); t.ID != "" && n > 0 {
-		h.add("P3", t.ID, "answered not_run (%s), but %d executions started", t.Code, n)
+	if n := len(h.executions[r.ID]); r.ID != "" && n > 0 {
+		h.add("P3", r.ID, "answered not_run (%s), but %d executions started", r.Code, n)
 		return
 	}
-	for _, id := range h.ticketIDs[ticketedRequest{t.Ticket, t.Input}] {
+	for _, id := range h.ticketIDs[ticketedRequest{r.Ticket, r.Input}] {
 		if n := len(h.executions[id]); n > 0 {
-			h.add("P3", id, "answered not_run (%s) once, but %d executions started", t.Code, n)
+			h.add("P3", id, "answered not_run (%s) once, but %d executions started", r.Code, n)
 			return
 		}
 	}
 }
 
-// refusalGrace is how long after the deadline a refusal may arrive on a busy machine.
-// Refusals delayed on purpose show as many more refusals near this bound.
+// refusalGrace is how long after the deadline a refusal may arrive on a busy machine. A
+// system that holds refusals back shows far more of them near this bound.
 const refusalGrace = 500 * time.Millisecond
 
 // checkRefusalTime checks a bound on P8: no refusal arrives after the deadline.
-func (h *history) checkRefusalTime(t *Response) {
-	if t.Outcome == outcome.NotRun && t.Answered.Sub(t.Intended) > t.Deadline+refusalGrace {
-		h.add("P8", t.ID, "answered not_run %s after it was sent, deadline %s", t.Answered.Sub(t.Intended), t.Deadline)
+func (h *history) checkRefusalTime(r *Response) {
+	if r.Outcome == outcome.NotRun && r.Answered.Sub(r.Intended) > r.Deadline+refusalGrace {
+		h.add("P8", r.ID, "answered not_run %s after it was sent, deadline %s", r.Answered.Sub(r.Intended), r.Deadline)
 	}
 }
 
@@ -198,9 +197,9 @@
 // number: the load client gives each number a different input.
 func (h *history) checkTicketsAtMostOnce(atMostOnce map[string]bool) {
 	idsByInput := make(map[string]map[string]bool) // input digest -> request ids
-	for _, t := range h.responses {
-		if t.Ticket != "" {
-			idsByInput[upstream.Digest([]byte(t.Input))] = make(map[string]bool)
+	for _, r := range h.responses {
+		if r.Ticket != "" {
+			idsByInput[upstream.Digest([]byte(r.Input))] = make(map[string]bool)
 		}
 	}
 	for id, xs := range h.executions {
@@ -244,10 +243,10 @@
 // NotDone checks P6: every request was answered as done.
 func NotDone(responses []Response) []Violation {
 	var out []Violation
-	for _, t := range responses {
-		if t.Outcome != outcome.Done {
-			text := fmt.Sprintf("not done but %q, code %q, status %d", t.Outcome, t.Code, t.Status)
-			out = append(out, Violation{Guarantee: "P6", ID: t.ID, Text: strings.TrimSpace(text)})
+	for _, r := range responses {
+		if r.Outcome != outcome.Done {
+			text := fmt.Sprintf("not done but %q, code %q, status %d", r.Outcome, r.Code, r.Status)
+			out = append(out, Violation{Guarantee: "P6", ID: r.ID, Text: strings.TrimSpace(text)})
 		}
 	}
 	return out
--- a/cmd/load/caller.go
+++ b/cmd/load/caller.go
@@ -44,8 +44,8 @@
 	mu          sync.Mutex
 	addresses   api.AddressAnswer
 	expires     time.Time
-	lastTicket  atomic.Uint64
-	lastAddress atomic.Uint64
+	lastTicket  atomic.Uint64 // last number used with a ticket
+	lastAddress atomic.Uint64 // counts requests, to use the addresses in rotation
 }
 
 // NewCaller returns a caller without addresses; it asks for them when it needs them.
@@ -122,19 +122,19 @@
 
 // Do sends one request and returns its response.
 func (c *Caller) Do(q Request) check.Response {
-	t := check.Response{Label: q.Label, Pipeline: q.Pipeline, Input: q.Input, Deadline: q.Deadline, Intended: q.Intended, Ticket: q.Ticket}
-	if t.Intended.IsZero() {
-		t.Intended = time.Now()
+	out := check.Response{Label: q.Label, Pipeline: q.Pipeline, Input: q.Input, Deadline: q.Deadline, Intended: q.Intended, Ticket: q.Ticket}
+	if out.Intended.IsZero() {
+		out.Intended = time.Now()
 	}
 	addr := q.Address
 	if addr == "" || (q.Ticketed && q.Ticket == "") {
 		a, err := c.Addresses()
 		if err != nil {
-			t.Answered, t.Code = time.Now(), err.Error()
-			return t
+			out.Answered, out.Code = time.Now(), err.Error()
+			return out
 		}
 		if q.Ticketed && q.Ticket == "" {
-			t.Ticket = fmt.Sprintf("%s.%d", a.Ticket, c.lastTicket.Add(1))
+			out.Ticket = fmt.Sprintf("%s.%d", a.Ticket, c.lastTicket.Add(1))
 		}
 		switch {
 		case addr == "" && q.Ticketed:
@@ -143,15 +143,15 @@
 			addr = a.Addresses[c.lastAddress.Add(1)%uint64(len(a.Addresses))].Address
 		}
 	}
-	err := c.post(addr, q, &t)
+	err := c.post(addr, q, &out)
 	if isDialError(err) && q.Address == "" {
-		err = c.failOver(addr, q, &t)
+		err = c.failOver(addr, q, &out)
 	}
 	if err != nil {
-		t.Code = err.Error()
+		out.Code = err.Error()
 	}
-	t.Answered = time.Now()
-	return t
+	out.Answered = time.Now()
+	return out
 }
 
 // isDialError reports whether no connection was made, so that nothing can have run.
@@ -160,8 +160,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// failOver tries the other addresses one after the other, as callers do whose entry is down.
-func (c *Caller) failOver(failed string, q Request, t *check.Response) error {
+// failOver tries the other addresses one after the other, as a caller does when its entry
+// is down.
+func (c *Caller) failOver(failed string, q Request, out *check.Response) error {
 	c.ExpireAddresses()
 	a, err := c.Addresses()
 	if err != nil {
@@ -171,14 +172,14 @@
 		if other.Address == failed {
 			continue
 		}
-		if err = c.post(other.Address, q, t); !isDialError(err) {
+		if err = c.post(other.Address, q, out); !isDialError(err) {
 			return err
 		}
 	}
 	return err
 }
 
-func (c *Caller) post(addr string, q Request, t *check.Response) error {
+func (c *Caller) post(addr string, q Request, out *check.Response) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -189,8 +190,8 @@
 	req.Header.SetMethod("POST")
 	req.SetRequestURI("http://" + addr + "/v1/pipelines/" + q.Pipeline + "/runs")
 	req.Header.Set(api.HeaderAuthorization, "Bearer "+c.Key)
-	if t.Ticket != "" {
-		req.Header.Set(api.HeaderTicket, t.Ticket)
+	if out.Ticket != "" {
+		req.Header.Set(api.HeaderTicket, out.Ticket)
 	}
 	if q.Label != "" {
 		req.Header.Set(api.HeaderRequestID, q.Label)
@@ -199,15 +200,15 @@
 	if err := c.http.DoTimeout(req, resp, q.Deadline+responseGrace); err != nil {
 		return err
 	}
-	t.Status = resp.StatusCode()
+	out.Status = resp.StatusCode()
 	if strings.HasPrefix(string(resp.Header.ContentType()), "text/event-stream") {
-		return parseStream(resp.Body(), t)
+		return parseStream(resp.Body(), out)
 	}
-	return parseAnswer(resp.Body(), t)
+	return parseAnswer(resp.Body(), out)
 }
 
 // parseAnswer sets t's fields from the body of an answer or an error, which share field names.
-func parseAnswer(body []byte, t *check.Response) error {
+func parseAnswer(body []byte, out *check.Response) error {
 	var a struct {
 		api.RunAnswer
 		Code string `json:"code"`
@@ -215,15 +216,15 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		return err
 	}
-	t.ID, t.Outcome, t.Code = a.ID, a.Outcome, a.Code
-	t.Output, t.Count, t.Digest, t.Stages = a.Output, a.Count, a.Digest, a.Stages
+	out.ID, out.Outcome, out.Code = a.ID, a.Outcome, a.Code
+	out.Output, out.Count, out.Digest, out.Stages = a.Output, a.Count, a.Digest, a.Stages
 	return nil
 }
 
 // errStreamTruncated is the error of a stream without its end event.
 var errStreamTruncated = errors.New("stream ended without its end event")
 
-func parseStream(body []byte, t *check.Response) error {
+func parseStream(body []byte, out *check.Response) error {
 	var output strings.Builder
 	sc := bufio.NewScanner(bytes.NewReader(body))
 	sc.Buffer(nil, len(body)+1)
@@ -235,9 +236,9 @@
 		case bytes.Equal(line, []byte("event: end")):
 			ended = true
 		case isData && ended:
-			err := parseAnswer(data, t)
-			if t.Outcome == outcome.Done {
-				t.Output = output.String()
+			err := parseAnswer(data, out)
+			if out.Outcome == outcome.Done {
+				out.Output = output.String()
 			}
 			return err
 		case isData:
--- a/cmd/load/load.go
+++ b/cmd/load/load.go
@@ -82,11 +82,11 @@
 			}
 			time.Sleep(time.Until(at))
 			wg.Go(func() {
-				t := callers[i].Do(q)
-				t.Customer = m.Customer
+				resp := callers[i].Do(q)
+				resp.Customer = m.Customer
 				mu.Lock()
 				defer mu.Unlock()
-				res.Responses = append(res.Responses, t)
+				res.Responses = append(res.Responses, resp)
 			})
 		}
 	}
@@ -105,7 +105,8 @@
 	return len(mix) - 1
 }
 
-// newInput returns a different text per request, behind a prefix that many requests share.
+// newInput returns an input that differs for each request after a prefix that many
+// requests share.
 func newInput(m Mix, seed uint64, n int, rnd *rand.Rand) string {
 	return fmt.Sprintf("manual %02d of %s, as asked by %s: question %d/%d", rnd.IntN(20), m.Pipeline, m.Customer, seed, n)
 }
@@ -129,8 +130,8 @@
 func (s CustomerCounts) Attainment() float64 { return float64(s.InTime) / float64(max(s.Sent, 1)) }
 
 // IsInTime reports whether the request was done within its deadline.
-func IsInTime(t *check.Response) bool {
-	return t.Outcome == outcome.Done && t.Answered.Sub(t.Intended) <= t.Deadline
+func IsInTime(resp *check.Response) bool {
+	return resp.Outcome == outcome.Done && resp.Answered.Sub(resp.Intended) <= resp.Deadline
 }
 
 const (
@@ -143,27 +144,28 @@
 	s := Summary{Sent: len(r.Responses), ByOutcome: make(map[outcome.Kind]int), ByCustomer: make(map[string]CustomerCounts)}
 	h := hdr.New(1, maxLatencyUS, significantDigits)
 	for i := range r.Responses {
-		t := &r.Responses[i]
-		kind := t.Outcome
-		if t.Status == 0 || kind == "" {
+		resp := &r.Responses[i]
+		kind := resp.Outcome
+		if resp.Status == 0 || kind == "" {
 			kind = "no_answer"
 		}
 		s.ByOutcome[kind]++
-		for _, st := range t.Stages {
+		for _, st := range resp.Stages {
 			s.Cost += st.Cost
 		}
-		share := s.ByCustomer[t.Customer]
+		share := s.ByCustomer[resp.Customer]
 		share.Sent++
-		if IsInTime(t) {
+		if IsInTime(resp) {
 			share.InTime++
 		}
-		s.ByCustomer[t.Customer] = share
-		if !IsInTime(t) {
+		s.ByCustomer[resp.Customer] = share
+		if !IsInTime(resp) {
 			continue
 		}
 		s.InTime++
-		_ = h.RecordValue(t.Answered.Sub(t.Intended).Microseconds()) // can't fail: in time means within the deadline, which is in range
-		for _, st := range t.Stages {
+		// RecordValue can't fail: in time means within the deadline, which is in range.
+		_ = h.RecordValue(resp.Answered.Sub(resp.Intended).Microseconds())
+		for _, st := range resp.Stages {
 			s.StageTime += time.Duration(st.TimeMS * float64(time.Millisecond))
 		}
 	}
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -14,7 +14,7 @@
 	"quinceroad/state/table"
 )
 
-const tickInterval = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond // between the schedulers' time-based decisions
 
 // Deliver passes an action to its holder. It is called without locks held.
 type Deliver func(service string, a scheduler.Action)
--- a/cmd/standin/platform/platform.go
+++ b/cmd/standin/platform/platform.go
@@ -16,7 +16,7 @@
 	"quinceroad/transport/web"
 )
 
-const maxValueBytes = 1 << 20
+const maxValueBytes = 1 << 20 // a put of a longer value is rejected
 
 // Faults are the faults that the stand-in injects, set by POST /fault.
 type Faults struct {
@@ -27,7 +27,8 @@
 	ListLagMS   int  `json:"list_lag_ms"`  // age of the list of replicas
 }
 
-// Stats counts the calls so far, and the watches that wait now; served by GET /stats.
+// Stats counts the calls so far, and the watches that are waiting now. GET /stats returns
+// it.
 type Stats struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -144,14 +145,14 @@
 
 // read returns the key's value as readers get it, with faults; p.mu must be held.
 func (p *Platform) read(key string) api.KV {
-	r, ok := p.live(key)
+	e, ok := p.live(key)
 	if !ok {
 		return api.KV{}
 	}
-	if p.faults.Stale && r.previous != nil {
-		return api.KV{Value: r.previous, Version: r.version - 1}
+	if p.faults.Stale && e.previous != nil {
+		return api.KV{Value: e.previous, Version: e.version - 1}
 	}
-	return api.KV{Value: r.value, Version: r.version}
+	return api.KV{Value: e.value, Version: e.version}
 }
 
 func (p *Platform) put(ctx *fasthttp.RequestCtx, key string) {
@@ -163,10 +164,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Writes++
-	r, ok := p.live(key)
+	e, ok := p.live(key)
 	currentVersion := uint64(0)
 	if ok {
-		currentVersion = r.version
+		currentVersion = e.version
 	}
 	if currentVersion != put.IfVersion {
 		web.JSON(ctx, 409, api.KV{Version: currentVersion})
@@ -175,7 +176,7 @@
 	p.version += 2 // odd versions are left for stale reads
 	next := &entry{value: put.Value, version: p.version}
 	if ok {
-		next.previous = r.value
+		next.previous = e.value
 	}
 	if put.LeaseMS > 0 {
 		next.expires = time.Now().Add(time.Duration(put.LeaseMS) * time.Millisecond)
--- a/cmd/standin/upstream/cache.go
+++ b/cmd/standin/upstream/cache.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxCachedPrefixes = 64 // prefixes that a replica caches
-	prefixBytes       = 64
-	maxCacheEvents    = 1024
+	maxCachedPrefixes = 64                     // prefixes that a replica caches
+	prefixBytes       = 64                     // length of a prefix
+	maxCacheEvents    = 1024                   // latest events kept for reports
 	eventDelay        = 500 * time.Millisecond // age at which events are reported
 	eventGapInterval  = 7                      // every seventh event is never reported
 )
--- a/cmd/standin/upstream/cache_test.go
+++ b/cmd/standin/upstream/cache_test.go
@@ -23,6 +23,7 @@
 	for _, e := range events {
 		reported[e.Seq] = true
 	}
-	is.True(reported[1] && !reported[eventGapInterval] && reported[eventGapInterval+1]) // the gap is visible in the sequence numbers
+	// The gap is visible in the sequence numbers.
+	is.True(reported[1] && !reported[eventGapInterval] && reported[eventGapInterval+1])
 	is.Equal(len(c.eventsAfter(events[len(events)-1].Seq, now.Add(time.Hour))), 0)
 }
--- a/cmd/standin/upstream/config.go
+++ b/cmd/standin/upstream/config.go
@@ -24,12 +24,12 @@
 	Name      string  `toml:"name"`
 	Slots     int     `toml:"slots"`
 	MeanMS    float64 `toml:"mean_ms"` // mean time that a request holds a slot
-	Sigma     float64 `toml:"sigma"`   // of the lognormal distribution of that time
+	Sigma     float64 `toml:"sigma"`   // standard deviation of that time's logarithm; 0: constant time
 	FirstPort int     `toml:"first_port"`
 	Halls     []Hall  `toml:"hall"`
-	Streams   bool    `toml:"streams"`
-	Fences    bool    `toml:"checks_fences"`
-	LoadLagMS int     `toml:"load_lag_ms"`
+	Streams   bool    `toml:"streams"`       // model engines: batch, cache prefixes and stream tokens
+	Fences    bool    `toml:"checks_fences"` // reject orders with a lower fencing token than an earlier one
+	LoadLagMS int     `toml:"load_lag_ms"`   // age of the load that a replica reports
 }
 
 // Hall is the number of a service's replicas in a hall.
--- a/cmd/standin/upstream/replica.go
+++ b/cmd/standin/upstream/replica.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	fullBatchSlowdown = 0.15                  // relative slowdown of each request in a full batch
-	cacheHitSaving    = 0.25                  // share of the time saved when the prefix is cached
-	modelLoadTime     = 60 * time.Millisecond // time to load a model
+	fullBatchSlowdown = 0.15 // relative slowdown of each request in a full batch
+	cacheHitSaving    = 0.25 // share of the time saved when the prefix is cached
+	modelLoadTime     = 60 * time.Millisecond
 )
 
 // Fault is the fault injected into a replica, set by POST /fault.
@@ -30,7 +30,7 @@
 	Fail           bool    `json:"fail"`        // respond 500 after executing
 	HangUp         bool    `json:"hang_up"`     // execute, then close the connection without a response
 	WrongRequest   bool    `json:"cross"`       // respond with another request's id and output
-	CutAfterTokens int     `json:"cut_at"`      // close a stream after this many tokens; if above 0, other responses are cut by half
+	CutAfterTokens int     `json:"cut_at"`      // if above 0: cut a stream after this many tokens, other responses by half
 	LateMS         int     `json:"late_ms"`     // delay of a whole response after executing
 	Leaving        bool    `json:"leaving"`     // announce a drain in responses and in the platform's list
 	RefuseWork     bool    `json:"refuse_work"` // respond 503 without executing
@@ -54,7 +54,7 @@
 	cache       *prefixCache
 	fence       uint64
 	model       string
-	loadSamples []loadSample // by time; the first is the one reported, LoadLagMS old
+	loadSamples []loadSample // by time; the first, LoadLagMS old, is the one reported
 }
 
 type loadSample struct {
@@ -95,9 +95,8 @@
 	}
 }
 
-// handleOrder executes an order to load a model. A service that checks fences rejects it
-// if an order with a higher fencing token was accepted before; else
-// loading takes modelLoadTime.
+// handleOrder executes an order to load a model, which takes modelLoadTime. A replica
+// that checks fences rejects it if it has accepted an order with a higher fencing token.
 func (r *replica) handleOrder(w http.ResponseWriter, q *http.Request) {
 	fence, _ := strconv.ParseUint(q.Header.Get(api.HeaderFence), 10, 64)
 	var o api.Order
