--- a/proctest/answers_test.go
+++ b/proctest/answers_test.go
@@ -60,7 +60,7 @@
 	}
 	res := runLoad(r, 150, 4*time.Second)
 	t.Log(res.Summarize())
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	if done := res.Summarize().ByOutcome[outcome.Done]; done < res.Summarize().Sent/2 {
 		t.Errorf("%d of %d done, want at least half: only a few replicas of each service are faulty", done, res.Summarize().Sent)
 	}
@@ -86,7 +86,7 @@
 		}
 		answers = append(answers, answer)
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	if resumed == 0 {
 		t.Error("no stream was resumed, though two thirds of the replicas interrupt streams")
 	}
@@ -107,7 +107,7 @@
 	res := runLoad(r, 700, 3*time.Second)
 	sum := res.Summarize()
 	t.Log(sum)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	if sum.ByOutcome[outcome.NotRun] < 50 {
 		t.Errorf("%d refusals, want 50 or more: the load did not overload the system", sum.ByOutcome[outcome.NotRun])
 	}
@@ -147,7 +147,7 @@
 	if refused == 0 {
 		t.Error("nothing was refused: the burst did not overload the system")
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 }
 
 // Invalid input is answered with a status, a code, a detail and the outcome
--- a/proctest/capacity/latency.go
+++ b/proctest/capacity/latency.go
@@ -18,9 +18,9 @@
 	}
 	var addedMS []float64
 	for i := range res.Responses {
-		t := &res.Responses[i]
-		if load.IsInTime(t) {
-			added := t.Answered.Sub(t.Intended) - slotTime[t.ID]
+		resp := &res.Responses[i]
+		if load.IsInTime(resp) {
+			added := resp.Answered.Sub(resp.Intended) - slotTime[resp.ID]
 			addedMS = append(addedMS, float64(added)/float64(time.Millisecond))
 		}
 	}
--- a/proctest/capacity/series.go
+++ b/proctest/capacity/series.go
@@ -17,6 +17,7 @@
 	"quinceroad/transport/web"
 )
 
+// doNothing is passed to measurements during which nothing has to run.
 func doNothing() {}
 
 // noServices starts no replicas: their ports would collide with those of the
@@ -41,8 +42,8 @@
 			stop()
 			return err
 		}
-		procs, admins := coordProcesses(r)
-		mean, err := measureUsage(measuringTime, procs, admins, doNothing)
+		coordProcs, coordAdmins := coordProcesses(r)
+		mean, err := measureUsage(measuringTime, coordProcs, coordAdmins, doNothing)
 		after, err2 := platformCalls(r)
 		stop()
 		if err != nil || err2 != nil {
@@ -91,9 +92,9 @@
 
 // measureBoth measures coords and entries at the same time and adds a point.
 func measureBoth(s *series, r *rig.Rig, x float64, during func()) error {
-	procs, admins := coordProcesses(r)
-	ep, ea := entryProcesses(r)
-	means, err := measureTwoGroups(procs, admins, ep, ea, during)
+	coordProcs, coordAdmins := coordProcesses(r)
+	entryProcs, entryAdmins := entryProcesses(r)
+	means, err := measureTwoGroups(coordProcs, coordAdmins, entryProcs, entryAdmins, during)
 	if err != nil {
 		return err
 	}
@@ -103,16 +104,16 @@
 
 // measureTwoGroups measures two groups of processes at the same time, each given
 // by its processes and their admin addresses.
-func measureTwoGroups(ap []*rig.Proc, aa []string, bp []*rig.Proc, ba []string, during func()) ([2]meanUsage, error) {
+func measureTwoGroups(procsA []*rig.Proc, adminsA []string, procsB []*rig.Proc, adminsB []string, during func()) ([2]meanUsage, error) {
 	var out [2]meanUsage
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		out[1], err = measureUsage(measuringTime, bp, ba, doNothing)
+		out[1], err = measureUsage(measuringTime, procsB, adminsB, doNothing)
 		done <- err
 	}()
 	var err error
-	if out[0], err = measureUsage(measuringTime, ap, aa, during); err != nil {
+	if out[0], err = measureUsage(measuringTime, procsA, adminsA, during); err != nil {
 		return out, err
 	}
 	return out, <-done
@@ -139,8 +140,7 @@
 	return resp.Body.Close()
 }
 
-// measureCustomers and measurePipelines measure the cost of a revision as the
-// declaration grows.
+// measureCustomers measures the cost of a revision as the number of customers grows.
 func measureCustomers(bin string) error {
 	return measureDeclarations(bin, "customers: x = customers declared, 6 instances, one revision every 2 s", []int{5, 540, 2700, 5400}, func(text string, n int) string {
 		var b strings.Builder
@@ -153,6 +153,7 @@
 	})
 }
 
+// measurePipelines measures the cost of a revision as the number of pipelines grows.
 func measurePipelines(bin string) error {
 	return measureDeclarations(bin, "pipelines: x = pipelines declared, 6 instances, one revision every 2 s", []int{5, 12, 36}, func(text string, n int) string {
 		var b strings.Builder
@@ -169,6 +170,8 @@
 
 const revisionInterval = 2 * time.Second
 
+// measureDeclarations measures the cost of a revision for declarations of the given
+// sizes, each returned by text.
 func measureDeclarations(bin, title string, sizes []int, text func(string, int) string) error {
 	s := &series{title: title, columns: []string{"declaration KB", "in force everywhere ms", "coord cpu %", "coord RSS MB", "coord in KB/s", "entry cpu %", "entry RSS MB", "entry in KB/s"}}
 	for _, n := range sizes {
@@ -192,9 +195,9 @@
 	time.Sleep(settleTime)
 	var delays []time.Duration
 	var failed error
-	procs, admins := coordProcesses(r)
-	ep, ea := entryProcesses(r)
-	means, err := measureTwoGroups(procs, admins, ep, ea, func() {
+	coordProcs, coordAdmins := coordProcesses(r)
+	entryProcs, entryAdmins := entryProcesses(r)
+	means, err := measureTwoGroups(coordProcs, coordAdmins, entryProcs, entryAdmins, func() {
 		for i := range int(measuringTime / revisionInterval) {
 			started := time.Now()
 			next := strings.Replace(text, "rate = 400.0", fmt.Sprintf("rate = %d.0", 401+i), 1)
@@ -228,10 +231,10 @@
 			return err
 		}
 		var res *load.Result
-		procs, admins := coordProcesses(r)
-		ep, ea := entryProcesses(r)
+		coordProcs, coordAdmins := coordProcesses(r)
+		entryProcs, entryAdmins := entryProcesses(r)
 		runLoad(r, rate, settleTime)
-		means, err := measureTwoGroups(procs, admins, ep, ea, func() { res = runLoad(r, rate, measuringTime) })
+		means, err := measureTwoGroups(coordProcs, coordAdmins, entryProcs, entryAdmins, func() { res = runLoad(r, rate, measuringTime) })
 		if err != nil {
 			stop()
 			return err
--- a/proctest/capacity/usage.go
+++ b/proctest/capacity/usage.go
@@ -79,7 +79,7 @@
 		time.Sleep(rest)
 	}
 	secs := time.Since(started).Seconds()
-	var s meanUsage
+	var mean meanUsage
 	n := float64(len(procs))
 	for i := range procs {
 		after, err := readUsage(procs[i], admins[i])
@@ -87,13 +87,13 @@
 			return meanUsage{}, err
 		}
 		cpu := 100 * (after.cpu - before[i].cpu).Seconds() / secs
-		s.cpu += cpu / n
-		s.maxCPU = max(s.maxCPU, cpu)
-		s.rssMB += after.rss / 1e6 / n
-		s.inKBps += (after.bytesIn - before[i].bytesIn) / 1000 / secs / n
-		s.outKBps += (after.bytesOut - before[i].bytesOut) / 1000 / secs / n
+		mean.cpu += cpu / n
+		mean.maxCPU = max(mean.maxCPU, cpu)
+		mean.rssMB += after.rss / 1e6 / n
+		mean.inKBps += (after.bytesIn - before[i].bytesIn) / 1000 / secs / n
+		mean.outKBps += (after.bytesOut - before[i].bytesOut) / 1000 / secs / n
 	}
-	return s, nil
+	return mean, nil
 }
 
 func coordProcesses(r *rig.Rig) ([]*rig.Proc, []string) {
--- a/proctest/compare/bench.go
+++ b/proctest/compare/bench.go
@@ -33,8 +33,8 @@
 }
 
 // UnmarshalJSON decodes the array of a name and two numbers.
-func (f *component) UnmarshalJSON(data []byte) error {
-	row := []any{&f.name, &f.amount, &f.value}
+func (c *component) UnmarshalJSON(data []byte) error {
+	row := []any{&c.name, &c.amount, &c.value}
 	return json.Unmarshal(data, &row)
 }
 
@@ -63,8 +63,8 @@
 
 // reportPath returns the file name of a run's report. It contains the digest of
 // the sources, so that a variant is run again when its sources change.
-func (b *bench) reportPath(p Run, c *checkout) string {
-	return filepath.Join(b.reportDir, fmt.Sprintf("%s-%s-%s.json", p.Pair, strings.ReplaceAll(p.Variant.Name, " ", "_"), c.digest))
+func (b *bench) reportPath(run Run, c *checkout) string {
+	return filepath.Join(b.reportDir, fmt.Sprintf("%s-%s-%s.json", run.Pair, strings.ReplaceAll(run.Variant.Name, " ", "_"), c.digest))
 }
 
 // readResult reads a result from a report file.
@@ -81,15 +81,15 @@
 }
 
 // runOnce runs a day, unless its report exists from an earlier call.
-func (b *bench) runOnce(p Run, c *checkout) (*Result, error) {
-	report := b.reportPath(p, c)
+func (b *bench) runOnce(run Run, c *checkout) (*Result, error) {
+	report := b.reportPath(run, c)
 	if r, err := readResult(report); err == nil {
 		return r, nil
 	}
 	partial := report + ".half" // a run that is stopped must not leave a report that looks complete
-	args := append(append([]string{}, b.command[1:]...), "run", p.site, p.day, "--jobs", "1", "--report", partial, "--why", "compare: "+p.Variant.Name)
-	if p.Seed != 0 {
-		args = append(args, "--seed", strconv.FormatUint(p.Seed, 10))
+	args := append(append([]string{}, b.command[1:]...), "run", run.site, run.day, "--jobs", "1", "--report", partial, "--why", "compare: "+run.Variant.Name)
+	if run.Seed != 0 {
+		args = append(args, "--seed", strconv.FormatUint(run.Seed, 10))
 	}
 	_, runErr := runCommand(c.dir, b.command[0], append(args, b.args...)...)
 	if err := b.copyJournal(c); err != nil {
@@ -139,16 +139,16 @@
 	}
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, jobs)
-	for _, p := range runs {
+	for _, run := range runs {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			r, err := b.runOnce(p, checkouts[p.Variant.Name])
+			r, err := b.runOnce(run, checkouts[run.Variant.Name])
 			mu.Lock()
 			defer mu.Unlock()
-			done(p, r, err)
+			done(run, r, err)
 			if err == nil {
-				out[p.Variant.Name][p.Pair] = r
+				out[run.Variant.Name][run.Pair] = r
 			}
 		})
 	}
--- a/proctest/compare/checkout.go
+++ b/proctest/compare/checkout.go
@@ -19,28 +19,28 @@
 
 // checkOut creates a git worktree with the sources of a variant, or returns the
 // existing one.
-func checkOut(w *Variant, folder string) (*checkout, error) {
-	if w.Tree != "" {
-		return &checkout{dir: w.Tree, digest: "tree"}, nil
+func checkOut(v *Variant, folder string) (*checkout, error) {
+	if v.Tree != "" {
+		return &checkout{dir: v.Tree, digest: "tree"}, nil
 	}
-	revision := w.Revision
+	revision := v.Revision
 	if revision == "" {
 		revision = "HEAD"
 	}
 	commit, err := runCommand("", "git", "rev-parse", "--verify", revision+"^{commit}")
 	if err != nil {
-		return nil, fmt.Errorf("way %s: %w", w.Name, err)
+		return nil, fmt.Errorf("way %s: %w", v.Name, err)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(commit))
-	if w.Patch != "" {
-		patch, err := os.ReadFile(w.Patch)
+	if v.Patch != "" {
+		patch, err := os.ReadFile(v.Patch)
 		if err != nil {
-			return nil, fmt.Errorf("way %s: %w", w.Name, err)
+			return nil, fmt.Errorf("way %s: %w", v.Name, err)
 		}
 		sum.Write(patch)
 	}
-	fmt.Fprint(sum, w.Edits)
+	fmt.Fprint(sum, v.Edits)
 	const shown = 6 // bytes of the digest, enough to distinguish sources
 	digest := hex.EncodeToString(sum.Sum(nil)[:shown])
 	dir, err := filepath.Abs(filepath.Join(folder, "ways", digest))
@@ -51,24 +51,24 @@
 	if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
 		return c, nil // created by an earlier call
 	}
-	if err := c.create(w, commit); err != nil {
+	if err := c.create(v, commit); err != nil {
 		_ = os.RemoveAll(dir) // an incomplete checkout must not be used by the next call
 		_, _ = runCommand("", "git", "worktree", "prune")
-		return nil, fmt.Errorf("way %s: %w", w.Name, err)
+		return nil, fmt.Errorf("way %s: %w", v.Name, err)
 	}
 	return c, nil
 }
 
-func (c *checkout) create(w *Variant, commit string) error {
+func (c *checkout) create(v *Variant, commit string) error {
 	if _, err := runCommand("", "git", "worktree", "add", "--detach", "--force", c.dir, commit); err != nil {
 		return err
 	}
-	if w.Patch != "" {
-		if _, err := runCommand(c.dir, "git", "apply", w.Patch); err != nil {
+	if v.Patch != "" {
+		if _, err := runCommand(c.dir, "git", "apply", v.Patch); err != nil {
 			return err
 		}
 	}
-	for _, r := range w.Edits {
+	for _, r := range v.Edits {
 		if err := r.apply(c.dir); err != nil {
 			return err
 		}
--- a/proctest/compare/main.go
+++ b/proctest/compare/main.go
@@ -47,8 +47,8 @@
 	}
 	checkouts := make(map[string]*checkout)
 	for i := range plan.Variants {
-		w := &plan.Variants[i]
-		if checkouts[w.Name], err = checkOut(w, folder); err != nil {
+		v := &plan.Variants[i]
+		if checkouts[v.Name], err = checkOut(v, folder); err != nil {
 			return err
 		}
 	}
@@ -58,13 +58,13 @@
 }
 
 // logRun prints the result of a run to stderr.
-func logRun(p Run, r *Result, err error) {
+func logRun(run Run, r *Result, err error) {
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s, %s: run failed: %v\n", p.Pair, p.Variant.Name, err)
+		fmt.Fprintf(os.Stderr, "%s, %s: run failed: %v\n", run.Pair, run.Variant.Name, err)
 		return
 	}
-	fmt.Fprintf(os.Stderr, "%s, %s: %.4f\n", p.Pair, p.Variant.Name, r.Worth)
+	fmt.Fprintf(os.Stderr, "%s, %s: %.4f\n", run.Pair, run.Variant.Name, r.Worth)
 	for rule := range r.BrokenRules {
-		fmt.Fprintf(os.Stderr, "%s, %s: rule broken: %s\n", p.Pair, p.Variant.Name, rule)
+		fmt.Fprintf(os.Stderr, "%s, %s: rule broken: %s\n", run.Pair, run.Variant.Name, rule)
 	}
 }
--- a/proctest/compare/plan.go
+++ b/proctest/compare/plan.go
@@ -86,14 +86,14 @@
 		p.Seeds = []uint64{0}
 	}
 	var names []string
-	for _, w := range p.Variants {
+	for _, v := range p.Variants {
 		switch {
-		case w.Name == "" || slices.Contains(names, w.Name):
-			return fmt.Errorf("way %q: each way needs a unique name", w.Name)
-		case w.Tree != "" && (w.Revision != "" || w.Patch != "" || len(w.Edits) > 0):
-			return fmt.Errorf("way %s: a tree can't be combined with a revision, patch or replace", w.Name)
+		case v.Name == "" || slices.Contains(names, v.Name):
+			return fmt.Errorf("way %q: each way needs a unique name", v.Name)
+		case v.Tree != "" && (v.Revision != "" || v.Patch != "" || len(v.Edits) > 0):
+			return fmt.Errorf("way %s: a tree can't be combined with a revision, patch or replace", v.Name)
 		}
-		names = append(names, w.Name)
+		names = append(names, v.Name)
 	}
 	return nil
 }
--- a/proctest/compare/stats.go
+++ b/proctest/compare/stats.go
@@ -75,11 +75,11 @@
 		if baseline[pair] == nil {
 			continue
 		}
-		for _, f := range r.Parts {
-			out[f.name] += f.amount * f.value / pairs
+		for _, c := range r.Parts {
+			out[c.name] += c.amount * c.value / pairs
 		}
-		for _, f := range r.Prices {
-			out[f.name] -= f.value / pairs
+		for _, c := range r.Prices {
+			out[c.name] -= c.value / pairs
 		}
 	}
 	return out
@@ -90,9 +90,9 @@
 // first.
 func largestChanges(baseline map[string]float64, variants []map[string]float64, threshold float64) []string {
 	largest := make(map[string]float64)
-	for _, w := range variants {
-		for name := range w {
-			largest[name] = max(largest[name], math.Abs(w[name]-baseline[name]))
+	for _, contributions := range variants {
+		for name := range contributions {
+			largest[name] = max(largest[name], math.Abs(contributions[name]-baseline[name]))
 		}
 	}
 	var out []string
--- a/proctest/demo/main.go
+++ b/proctest/demo/main.go
@@ -58,15 +58,15 @@
 func sendOne(r *rig.Rig) error {
 	p := r.Fleet.Pipelines[0]
 	caller := load.NewCaller("key-"+r.Fleet.Customers[0].Name, r.Fleet.Halls[0], r.Entries())
-	t := caller.Do(load.Request{Pipeline: p.Name, Input: "May a blast be fired while the hoist is in use?", Deadline: p.Deadline()})
-	if t.Outcome != outcome.Done {
-		return fmt.Errorf("the first request was not done: %s %s", t.Outcome, t.Code)
+	resp := caller.Do(load.Request{Pipeline: p.Name, Input: "May a blast be fired while the hoist is in use?", Deadline: p.Deadline()})
+	if resp.Outcome != outcome.Done {
+		return fmt.Errorf("the first request was not done: %s %s", resp.Outcome, resp.Code)
 	}
-	b, err := json.MarshalIndent(t.Stages, "", "  ")
+	b, err := json.MarshalIndent(resp.Stages, "", "  ")
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\none %s, %s in %s\noutput: %.70s...\nstages: %s\n\n", p.Name, t.Outcome, t.Answered.Sub(t.Intended).Round(time.Microsecond), t.Output, b)
+	fmt.Printf("\none %s, %s in %s\noutput: %.70s...\nstages: %s\n\n", p.Name, resp.Outcome, resp.Answered.Sub(resp.Intended).Round(time.Microsecond), resp.Output, b)
 	return nil
 }
 
--- a/proctest/experiment/main.go
+++ b/proctest/experiment/main.go
@@ -67,51 +67,51 @@
 		_ = t.Flush()
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d bounds missed or promises broken", failed)
+		return fmt.Errorf("%d bounds missed or guarantees violated", failed)
 	}
 	return nil
 }
 
-// compare runs one scenario under each policy and returns the number of broken
-// promises and missed bounds.
+// compare runs one scenario under each policy and returns the number of violated
+// guarantees and missed bounds.
 func compare(t *tabwriter.Writer, s scenario, o options, b bounds) (int, error) {
 	best, failed := 0.0, 0
 	for _, p := range selectPolicies(o.policy) {
-		f, err := measure(s, p, o.bin, o.seed)
+		m, err := measure(s, p, o.bin, o.seed)
 		if err != nil {
 			return 0, err
 		}
 		if p.isBaseline {
-			best = max(best, f.Attainment)
+			best = max(best, m.Attainment)
 		}
 		ratio := 0.0
 		if best > 0 {
-			ratio = f.Attainment / best
+			ratio = m.Attainment / best
 		}
-		failed += f.Violations
+		failed += m.Violations
 		for _, sb := range b.Scenarios {
 			if sb.Name == s.name && p.name == "permits" && best > 0 && ratio < sb.MinRatio {
 				failed++
 			}
 		}
-		printRow(t, s, p, f, ratio)
+		printRow(t, s, p, m, ratio)
 	}
 	return failed, nil
 }
 
-func printRow(t *tabwriter.Writer, s scenario, p policy, f *metrics, ratio float64) {
+func printRow(t *tabwriter.Writer, s scenario, p policy, m *metrics, ratio float64) {
 	var customers []string
-	for name, c := range f.ByCustomer {
+	for name, c := range m.ByCustomer {
 		customers = append(customers, fmt.Sprintf("%s %.3f", name, c.Attainment()))
 	}
 	slices.Sort(customers)
 	cost := 0.0
-	for _, c := range f.StageCost {
+	for _, c := range m.StageCost {
 		cost += c
 	}
 	fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.2f\t%.2f\t%s\t%s\t%.2f\t%.3f\t%d\t%d\t%s\t%.3f\t%d\t%s\n",
-		s.name, p.name, f.Sent, f.Attainment, f.Attainment/max(f.AttainmentBound, 1e-9), ratio,
-		f.P50.Round(time.Millisecond), f.P99.Round(time.Millisecond), f.Utilization, f.WastedShare,
-		f.ByOutcome["failed"], f.ByOutcome["not_run"], f.RefusalLatency.Round(time.Millisecond), cost, f.Violations,
+		s.name, p.name, m.Sent, m.Attainment, m.Attainment/max(m.AttainmentBound, 1e-9), ratio,
+		m.P50.Round(time.Millisecond), m.P99.Round(time.Millisecond), m.Utilization, m.WastedShare,
+		m.ByOutcome["failed"], m.ByOutcome["not_run"], m.RefusalLatency.Round(time.Millisecond), cost, m.Violations,
 		strings.Join(customers, ", "))
 }
--- a/proctest/experiment/measure.go
+++ b/proctest/experiment/measure.go
@@ -73,14 +73,14 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &metrics{Violations: len(check.All(r.Fleet, res.Responses, journal)), StageCost: make(map[string]float64)}
+	m := &metrics{Violations: len(check.All(r.Fleet, res.Responses, journal)), StageCost: make(map[string]float64)}
 	// The first phase serves to warm up the estimates and is not counted.
-	res.Responses = slices.DeleteFunc(res.Responses, func(t check.Response) bool { return t.Intended.Before(res.Start.Add(o.Phases[0].Duration)) })
-	f.Summary = res.Summarize()
-	f.addCosts(r.Fleet, res.Responses, journal)
-	f.Utilization = b.utilization(res.Responses, journal)
-	f.AttainmentBound = b.attainmentBound(res.Responses)
-	return f, nil
+	res.Responses = slices.DeleteFunc(res.Responses, func(resp check.Response) bool { return resp.Intended.Before(res.Start.Add(o.Phases[0].Duration)) })
+	m.Summary = res.Summarize()
+	m.addCosts(r.Fleet, res.Responses, journal)
+	m.Utilization = b.utilization(res.Responses, journal)
+	m.AttainmentBound = b.attainmentBound(res.Responses)
+	return m, nil
 }
 
 // bottleneckStage is the stage of a pipeline whose service has the lowest
@@ -94,25 +94,25 @@
 
 // capacity returns the number of requests per second that the stage's slots can
 // run.
-func (n bottleneckStage) capacity() float64 { return float64(n.slots) / n.mean.Seconds() }
+func (s bottleneckStage) capacity() float64 { return float64(s.slots) / s.mean.Seconds() }
 
 // utilization returns the share of the slots' time between the first and the last
 // arrival in which they were in use.
-func (n bottleneckStage) utilization(answers []check.Response, journal []api.Execution) float64 {
+func (s bottleneckStage) utilization(answers []check.Response, journal []api.Execution) float64 {
 	if len(answers) == 0 {
 		return 0
 	}
 	from, to := answers[0].Intended.UnixMicro(), answers[0].Intended.UnixMicro()
-	for _, t := range answers {
-		from, to = min(from, t.Intended.UnixMicro()), max(to, t.Intended.UnixMicro())
+	for _, resp := range answers {
+		from, to = min(from, resp.Intended.UnixMicro()), max(to, resp.Intended.UnixMicro())
 	}
 	sum := int64(0)
 	for _, x := range journal {
-		if x.Stage == n.stage && x.FreeUS > 0 {
+		if x.Stage == s.stage && x.FreeUS > 0 {
 			sum += max(min(x.FreeUS, to)-max(x.StartUS, from), 0)
 		}
 	}
-	return float64(sum) / float64(max((to-from)*int64(n.slots), 1))
+	return float64(sum) / float64(max((to-from)*int64(s.slots), 1))
 }
 
 // findBottleneck returns the bottleneck of the pipeline of the mix's first part.
@@ -124,12 +124,12 @@
 			if svc.Name != st.Service {
 				continue
 			}
-			n := bottleneckStage{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
+			s := bottleneckStage{stage: st.Name, sigma: svc.Sigma, mean: time.Duration(svc.MeanMS * float64(time.Millisecond))}
 			for _, h := range svc.Halls {
-				n.slots += h.Replicas * svc.Slots
+				s.slots += h.Replicas * svc.Slots
 			}
-			if tightest.slots == 0 || n.capacity() < tightest.capacity() {
-				tightest = n
+			if tightest.slots == 0 || s.capacity() < tightest.capacity() {
+				tightest = s
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 
 // addCosts computes the share of wasted slot time and the cost by service from the
 // journal, and the refusal latency.
-func (f *metrics) addCosts(fl *fleet.Fleet, answers []check.Response, journal []api.Execution) {
+func (m *metrics) addCosts(fl *fleet.Fleet, answers []check.Response, journal []api.Execution) {
 	inTime := make(map[string]bool)
 	counted := make(map[string]bool)
 	for i := range answers {
@@ -156,19 +156,19 @@
 			wasted += duration
 		}
 		if svc, ok := fl.Service(x.Service); ok {
-			f.StageCost[x.Service] += duration.Seconds() * svc.Cost / float64(max(f.InTime, 1))
+			m.StageCost[x.Service] += duration.Seconds() * svc.Cost / float64(max(m.InTime, 1))
 		}
 	}
-	f.WastedShare = float64(wasted) / float64(max(total, 1))
-	f.RefusalLatency = medianRefusalLatency(answers)
+	m.WastedShare = float64(wasted) / float64(max(total, 1))
+	m.RefusalLatency = medianRefusalLatency(answers)
 }
 
 // medianRefusalLatency returns the median latency of refusals.
 func medianRefusalLatency(answers []check.Response) time.Duration {
 	var latencies []time.Duration
-	for _, t := range answers {
-		if t.Outcome == "not_run" {
-			latencies = append(latencies, t.Answered.Sub(t.Intended))
+	for _, resp := range answers {
+		if resp.Outcome == "not_run" {
+			latencies = append(latencies, resp.Answered.Sub(resp.Intended))
 		}
 	}
 	if len(latencies) == 0 {
@@ -183,18 +183,18 @@
 // for any window of arrivals the bottleneck work of the completed requests must
 // fit into its slots between the window's start and its last deadline. Counting
 // the shortest requests first gives the largest number that fits.
-func (n bottleneckStage) attainmentBound(answers []check.Response) float64 {
+func (s bottleneckStage) attainmentBound(answers []check.Response) float64 {
 	slices.SortFunc(answers, func(a, b check.Response) int { return a.Intended.Compare(b.Intended) })
 	durations := make([]time.Duration, len(answers))
-	for i, t := range answers {
-		durations[i] = work.ServiceTime(n.mean, n.sigma, cmp.Or(t.ID, t.Label), n.stage)
+	for i, resp := range answers {
+		durations[i] = work.ServiceTime(s.mean, s.sigma, cmp.Or(resp.ID, resp.Label), s.stage)
 	}
 	bound := len(answers)
 	const windows = 8
 	for from := range windows {
 		for to := from + 1; to <= windows; to++ {
 			a, b := from*len(answers)/windows, to*len(answers)/windows
-			lost := b - a - countFitting(answers[a:b], durations[a:b], n.slots)
+			lost := b - a - countFitting(answers[a:b], durations[a:b], s.slots)
 			bound = min(bound, len(answers)-lost)
 		}
 	}
--- a/proctest/experiment/scenario.go
+++ b/proctest/experiment/scenario.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	slowdown = 3 // factor on service times, so that the machine itself is not the bottleneck
-	deadline = 900 * time.Millisecond
+	slowdown = 3                      // factor on service times, so that the machine itself is not the bottleneck
+	deadline = 900 * time.Millisecond // of every request
 )
 
 // scenario is one situation in which policies are compared.
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -43,7 +43,7 @@
 				left <- time.Now()
 			})
 			res := runLoad(r, 150, 7*time.Second)
-			checkPromises(t, r, res.Responses)
+			checkGuarantees(t, r, res.Responses)
 			at := <-left
 			journal, err := r.Journal()
 			must(t, err)
@@ -79,7 +79,7 @@
 		left <- time.Now()
 	})
 	res := runLoad(r, 200, 7*time.Second)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	journal, err := r.Journal()
 	must(t, err)
 	for _, v := range check.StartedAfterLeaving(journal, "encoder-1", <-left, leavingGrace) {
@@ -117,7 +117,7 @@
 	}
 	wg.Wait()
 	t.Log(res.Summarize())
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	for _, v := range check.NotDone(res.Responses) {
 		t.Error(v)
 	}
@@ -245,7 +245,7 @@
 		t.Error("a confirmation while the platform is down was not refused")
 	}
 	res := runLoad(r, 60, 2*time.Second)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	stop()
 }
 
@@ -270,7 +270,7 @@
 	must(t, r.InjectPlatformFault(platform.Faults{}))
 	restoreOlderConfig(t, r)
 	res := runLoad(r, 60, 3*time.Second)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	stop()
 	must(t, r.WaitRevision(d.Revision))
 	next := createPlan(t, r, r.Instances[1], changedDeclaration(r, 2))
@@ -350,7 +350,7 @@
 	setPartition(true)
 	res := runLoad(r, 60, 5*time.Second)
 	t.Log(res.Summarize())
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	if allInstancesAlive(t, r) {
 		t.Error("no coord detected the partition")
 	}
--- a/proctest/lossplot/main.go
+++ b/proctest/lossplot/main.go
@@ -36,8 +36,8 @@
 }
 
 // UnmarshalJSON decodes the array of a name and two numbers.
-func (s *component) UnmarshalJSON(data []byte) error {
-	row := []any{&s.name, &s.amount, &s.value}
+func (c *component) UnmarshalJSON(data []byte) error {
+	row := []any{&c.name, &c.amount, &c.value}
 	return json.Unmarshal(data, &row)
 }
 
--- a/proctest/main_test.go
+++ b/proctest/main_test.go
@@ -1,4 +1,4 @@
-// Package proctest verifies the promises of docs/PROOFS.md (P1 to P9) with real
+// Package proctest verifies the guarantees of docs/PROOFS.md (P1 to P9) with real
 // processes: each test injects a fault, then compares the answers that callers
 // received with the executions that the stand-ins recorded in their journal.
 package proctest
@@ -91,8 +91,8 @@
 	return r
 }
 
-// checkPromises reports a test error for every broken promise.
-func checkPromises(t testing.TB, r *rig.Rig, answers []check.Response) {
+// checkGuarantees reports a test error for every violated guarantee.
+func checkGuarantees(t testing.TB, r *rig.Rig, answers []check.Response) {
 	t.Helper()
 	journal, err := r.Journal()
 	if err != nil {
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	wg.Wait()
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	for _, x := range answers {
 		if x.Outcome != outcome.Done {
 			t.Errorf("%s: %s %s, want done", x.Ticket, x.Outcome, x.Code)
@@ -129,7 +129,7 @@
 	for _, in := range r.Instances {
 		answers = append(answers, retryAt(c, check.Response{Input: q.Input, Ticket: q.Ticket}, in))
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	if n := countExecutions(t, r, storeOp); n > 1 {
 		t.Errorf("%d stores of one number", n)
 	}
@@ -166,7 +166,7 @@
 	must(t, r.StartEntry(home))
 	must(t, r.WaitRevision(1))
 	retry()
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 }
 
 // P4: entries that are partitioned from the home answer unknown. After the
@@ -197,7 +197,7 @@
 		answers = append(answers, x)
 		return x.Outcome == outcome.Done
 	}))
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	if n := countExecutions(t, r, storeOp); n != 1 {
 		t.Errorf("%d stores of one number", n)
 	}
@@ -221,7 +221,7 @@
 		}
 		answers = append(answers, x, retryAt(c, x, r.Instances[n%len(r.Instances)]))
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	if n := countExecutions(t, r, storeOp); n != numbers {
 		t.Errorf("%d stores for %d numbers", n, numbers)
 	}
@@ -259,7 +259,7 @@
 		}
 		answers = append(answers, x)
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 	if n := countExecutions(t, r, storeOp); n != 2 {
 		t.Errorf("%d stores of two numbers", n)
 	}
@@ -285,7 +285,7 @@
 		}
 		answers = append(answers, x)
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 }
 
 // P4, P6: numbers that are sent to other entries throughout a planned stop of
@@ -330,5 +330,5 @@
 		t.Errorf("exit code %d", code)
 	}
 	t.Logf("%d numbers sent since the stop began, %d after its end", len(answers), answeredAfterStop)
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 }
--- a/proctest/outage_test.go
+++ b/proctest/outage_test.go
@@ -36,7 +36,7 @@
 	r := deploy(t, rig.Options{ExampleDir: kalahari})
 	must(t, r.InjectPlatformFault(platform.Faults{Down: true}))
 	res := runLoad(r, 60, 4*time.Second)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	for _, v := range check.NotDone(res.Responses) {
 		t.Error("during the outage:", v)
 	}
@@ -81,11 +81,11 @@
 		}
 		answers = append(answers, x)
 	}
-	checkPromises(t, r, answers)
+	checkGuarantees(t, r, answers)
 }
 
 // A rolling restart as for P6 during which one entry is killed and one is frozen
-// for a while: no promise is broken, though requests at the killed entry end.
+// for a while: no guarantee is violated, though requests at the killed entry end.
 func TestRollingRestartWithCrash(t *testing.T) {
 	r := start(t, rig.Options{ExampleDir: kalahari})
 	_, err := r.Confirm(shortAddressLifetime(r))
@@ -114,7 +114,7 @@
 	wg.Wait()
 	sum := res.Summarize()
 	t.Log(sum)
-	checkPromises(t, r, res.Responses)
+	checkGuarantees(t, r, res.Responses)
 	if sum.ByOutcome[outcome.Done] < sum.Sent*9/10 {
 		t.Errorf("%d of %d done, with one of six entries killed and one frozen", sum.ByOutcome[outcome.Done], sum.Sent)
 	}
--- a/proctest/red/red_test.go
+++ b/proctest/red/red_test.go
@@ -1,5 +1,5 @@
-// Package red holds patches that each take one mechanism out of the tree; run.sh
-// shows that tests notice it.
+// Package red checks the patches in this folder. Each removes one mechanism from the
+// sources; run.sh shows that the tests which the patch names then fail.
 package red
 
 import (
@@ -23,8 +23,8 @@
 	standardPackage = "./proctest/"
 )
 
-// A patch beside whose lines the code has moved takes nothing out any more, and
-// its tests prove nothing until somebody happens to run it.
+// A patch stops applying when the code around its lines changes. From then on it removes
+// nothing and its tests prove nothing, which would go unnoticed until somebody runs it.
 func TestPatchesApply(t *testing.T) {
 	patches, err := filepath.Glob("*.patch")
 	if err != nil || len(patches) == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A patch whose tests were renamed runs none.
+// A patch that names renamed tests would run no test.
 func TestPatchesNameTests(t *testing.T) {
 	patches, err := filepath.Glob("*.patch")
 	if err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// declared reports whether a package's tests hold one of a name, or of the name
-// before the first slash.
+// declared reports whether a package declares a test. Of a subtest, only the test before
+// the first slash is looked for.
 func declared(t *testing.T, folder, test string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*_test.go"))
--- a/proctest/rig/operate.go
+++ b/proctest/rig/operate.go
@@ -27,8 +27,8 @@
 	return &done, r.WaitRevision(done.Revision)
 }
 
-// WaitRevision waits until every entry has applied the revision or a newer one,
-// knows all instances, and knows some replicas.
+// WaitRevision waits until every entry has applied the revision or a newer one and has
+// received all instances and some replicas.
 func (r *Rig) WaitRevision(rev uint64) error {
 	return r.WaitUntil(fmt.Sprintf("revision %d everywhere", rev), func() bool {
 		for _, in := range r.Instances {
--- a/proctest/rig/rig.go
+++ b/proctest/rig/rig.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	portRangeSize   = 1000
-	portRangeCount  = 11
-	guardPortOffset = 999 // within a range; the rig listens on it to reserve the range
-	proxyPortOffset = 500 // of the first proxied route within a range; the proxy's control port is one below
-	readyTimeout    = 20 * time.Second
+	portRangeSize   = 1000             // ports per rig
+	portRangeCount  = 11               // maximum number of concurrent rigs
+	guardPortOffset = 999              // within a range; the rig listens on it to reserve the range
+	proxyPortOffset = 500              // of the first proxied route within a range; the proxy's control port is one below
+	readyTimeout    = 20 * time.Second // of WaitUntil
 	pollInterval    = 20 * time.Millisecond
 	operatorToken   = "demo-operator"
 )
@@ -38,7 +38,7 @@
 	OutputDir       string                   // folder for generated settings and logs
 	UseExamplePorts bool                     // keep the ports of the example's files
 	Proxy           bool                     // route links and the platform through the fault proxy
-	CoordCount      int                      // if not 0, start this number of coords without entries, in place of the example's instances
+	CoordCount      int                      // if not 0, start this many coords without entries instead of the instances
 	EditInstance    func(*settings.Instance) // changes the settings of an instance
 	EditStandins    func(*upstream.Config)   // changes the settings of the stand-ins
 }
