--- a/cmd/ctl/ctl.go
+++ b/cmd/ctl/ctl.go
@@ -34,7 +34,7 @@
   history            accepted revisions, newest first
   dump               the coord's state
   explain ID FILE... trace a request through node logs, in order of time
-  rollouts ADDR...   state of ordered roll-outs at nodes (addresses of their metrics)
+  rollouts ADDR...   state of ordered rollouts at nodes (addresses of their metrics)
   quarantine ADDR... requests that nodes suspect or have quarantined because replicas ended (addresses of their metrics)
   acquit PRINT ADDR  release a quarantined request by its fingerprint; the node informs the others
   customers ADDR...  outcomes of requests by customer, demand on the pools, and customers throttled to their share
--- a/cmd/ctl/rollouts.go
+++ b/cmd/ctl/rollouts.go
@@ -12,7 +12,7 @@
 	"quinceroad/transport/web"
 )
 
-// nodeRollouts is the part of a node's state dump that describes roll-outs; other
+// nodeRollouts is the part of a node's state dump that describes rollouts; other
 // fields are ignored.
 type nodeRollouts struct {
 	Name     string
@@ -34,7 +34,7 @@
 	Against, Accepted, GrantedRate, Median float64
 }
 
-// rollouts prints the state of roll-outs at nodes.
+// rollouts prints the state of rollouts at nodes.
 func (c *client) rollouts(addresses []string) (int, error) {
 	all, err := fetchNodeStates[nodeRollouts](addresses)
 	if err != nil {
--- a/cmd/ctl/route_losses.go
+++ b/cmd/ctl/route_losses.go
@@ -15,7 +15,7 @@
 
 // attempt is the size and outcome of an attempt.
 type attempt struct {
-	tokens int
+	tokens int    // of the prompt; 0 without one
 	cause  string // "" if it was served in time
 }
 
--- a/cmd/entry/draining.go
+++ b/cmd/entry/draining.go
@@ -21,8 +21,8 @@
 
 // recordAnswer records whether a replica's response carries a drain advisory, and reports
 // a new advisory to the coord.
-func (e *Entry) recordAnswer(r replicas.Replica, leaving bool, incarnation uint64) {
-	if !leaving {
+func (e *Entry) recordAnswer(r replicas.Replica, draining bool, incarnation uint64) {
+	if !draining {
 		e.lastAnswered.Put(r.ID, time.Now())
 		return
 	}
@@ -53,8 +53,8 @@
 	if e.probeClient.DoTimeout(req, resp, probeTimeout) != nil {
 		return false // the attempt itself will fail or succeed
 	}
-	leaving := len(resp.Header.Peek(api.HeaderDraining)) > 0
+	draining := len(resp.Header.Peek(api.HeaderDraining)) > 0
 	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(api.HeaderIncarnation)), 10, 64)
-	e.recordAnswer(r, leaving, incarnation)
-	return leaving
+	e.recordAnswer(r, draining, incarnation)
+	return draining
 }
--- a/cmd/load/load.go
+++ b/cmd/load/load.go
@@ -20,7 +20,7 @@
 	Customer string // the API key is "key-" and this name, as in the examples
 	Hall     string
 	Pipeline string
-	Share    float64
+	Share    float64 // relative to the sum of all shares of the load
 	Deadline time.Duration
 	Stream   bool
 	Ticketed bool
