--- a/coordination/rollout/counts.go
+++ b/coordination/rollout/counts.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// accumulate adds the counters of another instance incarnation.
 func (t *Tally) accumulate(o *Tally) {
 	t.Failed += o.Failed
 	t.ReplicaEnds += o.ReplicaEnds
@@ -85,14 +86,14 @@
 // answered. An empty Replica stands for all replicas of other versions.
 type RowKey struct{ Route, Replica string }
 
-// Report holds what one incarnation of an instance has counted for an order.
+// Report holds what one incarnation of an instance has counted since an order.
 type Report struct {
-	Sequence       uint64 // increases with each report of the incarnation
-	FullyShifted   bool   // the instance sends all requests to the new version
-	Pinned         int    // requests at old replicas that can't be moved to another replica
-	InFlight       int    // requests at old replicas
-	LongestRequest time.Duration
-	Sent           int // requests sent to the service, to either version
+	Sequence       uint64        // increases with each report of the incarnation
+	FullyShifted   bool          // the instance sends all requests to the new version
+	Pinned         int           // requests at old replicas that can't be moved to another replica
+	InFlight       int           // requests at old replicas
+	LongestRequest time.Duration // longest request at an old replica that couldn't be moved to another replica
+	Sent           int           // requests sent to the service, to either version
 	Rows           map[RowKey]*Tally
 }
 
@@ -136,7 +137,8 @@
 	return rep, ok
 }
 
-// Sums returns the totals over all instance incarnations.
+// Sums returns the totals over all instance incarnations, and the longest request of
+// any of them.
 func (r *Reports) Sums() (rows map[RowKey]*Tally, sent int, longest time.Duration) {
 	rows = make(map[RowKey]*Tally)
 	for _, rep := range r.byIncarnation {
--- a/coordination/rollout/ends.go
+++ b/coordination/rollout/ends.go
@@ -8,8 +8,12 @@
 )
 
 const (
-	burstWindow         = 500 * time.Millisecond   // ends of replicas within this time count as one burst: reports of them take up to two heartbeats
-	maxObservedInterval = 200 * time.Millisecond   // longest time counted between two observations: a suspended judge can't tell whether replicas ended meanwhile
+	// Ends of replicas within this time count as one burst: their reports may arrive up
+	// to two heartbeats apart.
+	burstWindow = 500 * time.Millisecond
+	// The longest time counted between two observations: a suspended judge can't tell
+	// whether replicas ended meanwhile.
+	maxObservedInterval = 200 * time.Millisecond
 	allowedEndRate      = minAllowedRate           // tolerated bursts per answer, a burst counting as one bad answer
 	harmfulEndRate      = minAllowedRate + minHarm // bursts per answer of a harmful version
 )
@@ -86,6 +90,7 @@
 	e.updateScore(0, 1)
 }
 
+// updateScore adds answers and bursts to the cumulative score (see score.go).
 func (e *endMonitor) updateScore(good, bursts int) {
 	step := float64(bursts)*math.Log(harmfulEndRate/allowedEndRate) + float64(good)*math.Log((1-harmfulEndRate)/(1-allowedEndRate))
 	e.score.New += good + bursts
--- a/coordination/rollout/ends_test.go
+++ b/coordination/rollout/ends_test.go
@@ -66,32 +66,32 @@
 		"all at once, under many requests": {func(e *restartingVersion) {
 			e.endReplicas(50, 0, 1)
 		}, Good},
-		"told in parts": {func(e *restartingVersion) {
+		"reported in parts": {func(e *restartingVersion) {
 			for range 4 {
 				e.endReplicas(2, 0, 1)
 				e.advance(tick)
 			}
 		}, Good},
-		"two machines one after the other, answers between": {func(e *restartingVersion) {
+		"two machines one after the other, with answers in between": {func(e *restartingVersion) {
 			for n := range 2 {
 				e.endReplicas(5, n)
 				e.advance(restartPause)
 				e.answerWell(10)
 			}
 		}, Good},
-		"again whenever they are used": {func(e *restartingVersion) {
+		"all whenever they get requests": {func(e *restartingVersion) {
 			for range 3 {
 				e.endReplicas(1, 0, 1)
 				e.advance(restartPause)
 			}
 		}, Harmful},
-		"each whenever it is used": {func(e *restartingVersion) {
+		"each whenever it gets requests": {func(e *restartingVersion) {
 			for n := range 4 {
 				e.endReplicas(1, n%2)
 				e.advance(restartPause)
 			}
 		}, Harmful},
-		"one ill replica of two that answer": {func(e *restartingVersion) {
+		"one faulty replica of two that answer": {func(e *restartingVersion) {
 			for range 4 {
 				e.endReplicas(1, 0)
 				e.advance(restartPause)
@@ -104,7 +104,7 @@
 				e.answerWell(20)
 			}
 		}, Good},
-		"with old replicas in each wave": {func(e *restartingVersion) {
+		"with old replicas in each burst": {func(e *restartingVersion) {
 			for range 5 {
 				e.endReplicas(1, 0, 1, -1)
 				e.advance(restartPause)
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -50,7 +50,7 @@
 	replicas     map[RowKey]*replicaScore
 	pending      []pendingAnswers
 	endMonitor   *endMonitor
-	shifting     bool
+	shifting     bool    // requests shift to the version: the canary phase is over
 	harmScore    float64 // score over all routes together: finds a version that is bad everywhere sooner where each route has little traffic
 	observedAt   time.Duration
 	watchedSince time.Duration // start of the current period of observation without a gap
@@ -182,6 +182,7 @@
 	return r
 }
 
+// evaluate derives a judgement from the current scores.
 func (j *Judge) evaluate() Judgement {
 	out := Judgement{WatchedSince: j.watchedSince, Against: j.harmScore, Ends: j.endMonitor.score.Finding}
 	total, old, oldBad := 0, 0, 0
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -21,9 +21,9 @@
 // Order is an operator's order to move a service to a version.
 type Order struct {
 	Service   string
-	Target    string // the version
-	Revision  uint64 // store revision at which it was written; identifies the order
-	TimeLimit time.Duration
+	Target    string        // the version
+	Revision  uint64        // store revision at which it was written; identifies the order
+	TimeLimit time.Duration // time within which it should be completed
 }
 
 // Phase is the progress of an order as announced by the instances that judge it.
@@ -109,7 +109,8 @@
 }
 
 // Unfinished returns the orders that an instance still has to lead, sorted by
-// revision: active ones that are not finished, and withdrawn ones.
+// revision: active ones that are not finished, and withdrawn ones without a newer order
+// for their service, unless they were completed.
 func (v *View) Unfinished(now time.Duration) []OrderState {
 	var out []OrderState
 	for _, revision := range slices.Sorted(maps.Keys(v.all)) {
--- a/coordination/rollout/plan.go
+++ b/coordination/rollout/plan.go
@@ -36,15 +36,15 @@
 	Order          OrderState
 	Status         Status
 	Judgement      Judgement
-	Configured     bool // the service is in the configuration
-	NewReady       int  // replicas of the version that may get work and are not warming up
-	OldReady       int  // replicas of other versions that may get work
-	Sent           int  // requests to the service since the order
-	LongestRequest time.Duration
-	Lagging        int     // instances that still send to old replicas
-	Pinned         int     // requests at old replicas that can't be moved to another replica
-	InFlight       int     // requests at old replicas
-	Slack          float64 // requests that a version may get in addition to its share
+	Configured     bool          // the service is in the configuration
+	NewReady       int           // replicas of the version that may get work and are not warming up
+	OldReady       int           // replicas of other versions that may get work
+	Sent           int           // requests to the service since the order
+	LongestRequest time.Duration // see Report
+	Lagging        int           // instances that still send to old replicas
+	Pinned         int           // requests at old replicas that can't be moved to another replica
+	InFlight       int           // requests at old replicas
+	Slack          float64       // requests that a version may get in addition to its share
 }
 
 // Step is the action to take now. Reason explains a rejection, or why the order
@@ -63,9 +63,11 @@
 	minWatchedFraction = 0.6                    // minimum fraction of the order's time limit before promotion
 	propagationTime    = 1 * time.Second        // until all instances have the phase and their reports are back: five heartbeats
 	storeWriteTime     = 500 * time.Millisecond // for writing the final state to the store
-	drainFactor        = 1.2                    // times the longest observed request at old replicas
-	minDrainTime       = 300 * time.Millisecond // if no request was observed
-	drainCutoff        = 2 * storeWriteTime     // remaining time below which requests that can be moved to another replica are no longer waited for
+	drainFactor        = 1.2                    // time for old replicas to drain, as a multiple of the longest observed request
+	minDrainTime       = 300 * time.Millisecond // also if no request was observed
+	// Remaining time below which requests that can be moved to another replica are no
+	// longer waited for.
+	drainCutoff        = 2 * storeWriteTime
 	slackFraction      = 0.5                    // fraction of the slack that a version may get without a verdict
 	rampTime           = 2 * rampStepTime       // until all requests go to the version
 	evaluationInterval = 100 * time.Millisecond // time between two evaluations of an order
--- a/coordination/rollout/random_test.go
+++ b/coordination/rollout/random_test.go
@@ -11,13 +11,13 @@
 
 const (
 	tick           = 100 * time.Millisecond
-	orderedAt      = 1
-	deadline       = 100 // ticks
+	orderedAt      = 1   // tick
+	deadline       = 100 // ticks, the time limit of the order
 	faultsEnd      = 150 // ticks, after which no more faults are injected
-	lastTick       = 400
-	faultFreeTicks = 40 // ticks without a fault after which an instance must respect rollbackTicks
-	rollbackTicks  = 50 // ticks
-	aliveTicks     = 8  // ticks for which an instance counts as alive after its last message
+	lastTick       = 400 // ticks, length of a run
+	faultFreeTicks = 40  // ticks without a fault after which an instance must respect rollbackTicks
+	rollbackTicks  = 50  // ticks
+	aliveTicks     = 8   // ticks for which an instance counts as alive after its last message
 )
 
 // instance is an instance of a simulated fleet, which uses this package as cmd/node does.
@@ -25,23 +25,23 @@
 	name           string
 	incarnation    uint64
 	view           *View
-	ledger         *TrafficSplitter
+	splitter       *TrafficSplitter
 	own            Report
 	reports        *Reports
 	judge          *Judge
 	status         Status
 	last           Step
-	due            int
+	due            int // tick from which its next step is due
 	callUntil      int // tick until which a call to the store is in progress
 	readStatus     *Status
-	lastReceived   map[string]int
-	cutOffUntil    int // tick until which it is partitioned from the others and the store
-	suspendedUntil int // tick until which it is suspended
-	lastFault      int // tick of its last fault
+	lastReceived   map[string]int // tick of the last message, by sender
+	cutOffUntil    int            // tick until which it is partitioned from the others and the store
+	suspendedUntil int            // tick until which it is suspended
+	lastFault      int            // tick of its last fault
 }
 
-func (i *instance) restart(start float64) {
-	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), ledger: NewTrafficSplitter(start), reports: NewReports(), judge: NewJudge(),
+func (i *instance) restart(initialCredit float64) {
+	*i = instance{name: i.name, incarnation: i.incarnation + 1, view: NewView(), splitter: NewTrafficSplitter(initialCredit), reports: NewReports(), judge: NewJudge(),
 		own: Report{Rows: make(map[RowKey]*Tally)}, lastReceived: make(map[string]int), cutOffUntil: i.cutOffUntil}
 }
 
@@ -68,8 +68,8 @@
 	sent          int
 	sentToTarget  int
 	bad           int
-	fiftiethBadAt int // tick; 0: not yet
-	faults        float64
+	fiftiethBadAt int     // tick; 0: not yet
+	faults        float64 // factor of the fault probabilities, 0 to 1
 }
 
 func (f *fleet) chance(p float64) bool { return f.now < faultsEnd && f.random.Float64() < p*f.faults }
@@ -146,8 +146,8 @@
 		toTarget := false
 		if ordered && !i.view.Withheld("s", "v2", true, false) {
 			share := s.Share(f.time(), 0.1)
-			toTarget = i.ledger.Allows(1, route, share, 1)
-			i.ledger.Record(1, route, share, 1, toTarget)
+			toTarget = i.splitter.Allows(1, route, share, 1)
+			i.splitter.Record(1, route, share, 1, toTarget)
 			i.own.Sent++
 		}
 		f.count(i, route, toTarget)
@@ -227,7 +227,8 @@
 	f.messages = left
 }
 
-// lead does what a judging node does; the first three live instances judge.
+// lead does what a judging node does: the first three live instances judge, and each
+// waits for those before it.
 func (f *fleet) lead(n int, i *instance) {
 	s, ok := i.view.Current("s")
 	if !ok || f.now < i.callUntil {
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -70,11 +70,11 @@
 	is := is.New(t)
 	all, sentToTarget := 0, 0
 	for i := range 78 {
-		l := NewTrafficSplitter((float64(i) + 0.5) / 78)
+		splitter := NewTrafficSplitter((float64(i) + 0.5) / 78)
 		for n := range 16 {
 			route := fmt.Sprint("r", n%5/4) // a fifth of the requests on one of two routes
-			toTarget := l.Allows(1, route, 0.07, 1)
-			l.Record(1, route, 0.07, 1, toTarget)
+			toTarget := splitter.Allows(1, route, 0.07, 1)
+			splitter.Record(1, route, 0.07, 1, toTarget)
 			all++
 			if toTarget {
 				sentToTarget++
@@ -85,24 +85,24 @@
 	is.True(share > 0.055 && share < 0.085)
 }
 
-// Whatever the order and sizes of sends, the share holds at every moment, except for
-// at most one send per splitter, that is per incarnation.
+// Whatever the order and sizes of sends, the version's share holds at every moment,
+// except for the initial credit: at most one send per splitter, that is per incarnation.
 func TestTrafficSplitterBoundsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.9).Draw(t, "share")
-		start := rapid.Float64Range(0, 1).Draw(t, "start")
-		l := NewTrafficSplitter(start)
+		initialCredit := rapid.Float64Range(0, 1).Draw(t, "start")
+		splitter := NewTrafficSplitter(initialCredit)
 		all, sentToTarget, largest := 0, 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(1, 60)).Draw(t, "sends") {
-			toTarget := l.Allows(1, "r", share, n)
-			l.Record(1, "r", share, n, toTarget)
+			toTarget := splitter.Allows(1, "r", share, n)
+			splitter.Record(1, "r", share, n, toTarget)
 			all += n
 			if toTarget {
 				sentToTarget += n
 				largest = max(largest, n)
 			}
-			if float64(sentToTarget) > share*float64(all)+start*float64(largest)+1e-6 {
-				t.Fatalf("%d of %d at a share of %v, start %v", sentToTarget, all, share, start)
+			if float64(sentToTarget) > share*float64(all)+initialCredit*float64(largest)+1e-6 {
+				t.Fatalf("%d of %d at a share of %v, start %v", sentToTarget, all, share, initialCredit)
 			}
 		}
 	})
@@ -128,21 +128,21 @@
 		rows map[RowKey]*Tally
 		want Verdict
 	}{
-		"nothing yet":      {map[RowKey]*Tally{{Route: "a"}: tally(100, 0, 30*ms)}, Undecided},
+		"no answers yet":   {map[RowKey]*Tally{{Route: "a"}: tally(100, 0, 30*ms)}, Undecided},
 		"good":             {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(8, 0, 30*ms), replicaKey("a", 2): tally(8, 0, 40*ms)}, Good},
 		"failures":         {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(3, 2, 30*ms), replicaKey("a", 2): tally(3, 2, 30*ms)}, Harmful},
 		"three times slow": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(0, 0, 0), replicaKey("a", 2): tally(5, 0, 95*ms)}, Harmful},
-		"a burst, slow for all and failing": {map[RowKey]*Tally{{Route: "a"}: tally(150, 90, 30*ms),
+		"a burst of failures of both versions": {map[RowKey]*Tally{{Route: "a"}: tally(150, 90, 30*ms),
 			replicaKey("a", 1): tally(6, 4, 30*ms), replicaKey("a", 2): tally(6, 3, 30*ms)}, Undecided},
-		"one ill replica of a good version": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
+		"one faulty replica of a good version": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			replicaKey("a", 1): tally(0, 9, 0), replicaKey("a", 2): tally(30, 0, 30*ms)}, Good},
-		"one ill replica, the others hardly seen": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
+		"one faulty replica, few answers of the others": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			replicaKey("a", 1): tally(0, 9, 0), replicaKey("a", 2): tally(6, 0, 30*ms)}, Undecided},
 		"many bad answers of one replica": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms),
 			replicaKey("a", 1): tally(0, 41, 0), replicaKey("a", 2): tally(30, 0, 30*ms)}, Harmful},
-		"one route only": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms), replicaKey("a", 2): tally(40, 0, 30*ms),
+		"harmful on one route only": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms), replicaKey("a", 2): tally(40, 0, 30*ms),
 			{Route: "b"}: tally(60, 0, 30*ms), replicaKey("b", 1): tally(1, 2, 30*ms), replicaKey("b", 2): tally(0, 2, 30*ms)}, Harmful},
-		"a route not seen enough": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms),
+		"too few answers on a route": {map[RowKey]*Tally{{Route: "a"}: tally(300, 0, 30*ms), replicaKey("a", 1): tally(40, 0, 30*ms),
 			{Route: "b"}: tally(60, 0, 30*ms), replicaKey("b", 1): tally(4, 0, 30*ms)}, Undecided},
 	}
 	for name, c := range cases {
@@ -273,36 +273,36 @@
 		f    *Inputs
 		want Step
 	}{
-		"its status first":         {0, base(Pending, func(f *Inputs) { f.Status = Status{} }), Step{ReadStatus: true}},
-		"then that it runs":        {0, base(Pending, func(f *Inputs) { f.Status.State = None }), Step{WriteState: Running}},
-		"then a small part":        {0, base(Pending, func(f *Inputs) {}), Step{SetPhase: Canary}},
-		"watched":                  {early, base(Canary, func(f *Inputs) {}), Step{}},
-		"trusted late":             {late, base(Canary, func(f *Inputs) {}), Step{SetPhase: Promoted}},
-		"not without a verdict":    {late, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{}},
-		"but within the slack":     {late, base(Canary, func(f *Inputs) { f.Judgement, f.Sent = Judgement{}, 100 }), Step{SetPhase: Promoted}},
-		"late without a verdict":   {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{SetPhase: Promoted}},
-		"not in doubt, ever":       {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
-		"not to fewer replicas":    {late, base(Canary, func(f *Inputs) { f.NewReady = 3 }), Step{}},
-		"no replica ever":          {over, base(Canary, func(f *Inputs) { f.NewReady = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
-		"not configured":           {over, base(Canary, func(f *Inputs) { f.Configured = false }), Step{SetPhase: Rejected, WriteState: RolledBack}},
-		"a time of nothing":        {0, base(Pending, func(f *Inputs) { f.Order.TimeLimit = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
-		"bad":                      {early, base(Canary, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
-		"bad while it moves":       {late, base(Promoted, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
-		"some still send":          {late, base(Promoted, func(f *Inputs) { f.Lagging = 1 }), Step{}},
-		"some are bound there":     {over, base(Promoted, func(f *Inputs) { f.Pinned = 1 }), Step{}},
-		"streams may end":          {8 * time.Second, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{}},
-		"or go on elsewhere":       {late + time.Millisecond, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{WriteState: Completed}},
-		"not unseen":               {8 * time.Second, base(Promoted, func(f *Inputs) { f.Judgement, f.Order.PhaseSince = Judgement{}, 7*time.Second }), Step{}},
-		"not in doubt":             {late, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
-		"never without a verdict":  {over + time.Minute, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{WatchedSince: over} }), Step{}},
-		"not after a gap":          {late, base(Promoted, func(f *Inputs) { f.Judgement.WatchedSince = late - 500*time.Millisecond }), Step{}},
-		"nor trusted after one":    {over, base(Canary, func(f *Inputs) { f.Judgement.WatchedSince = over - 500*time.Millisecond }), Step{}},
-		"completed":                {late, base(Promoted, func(f *Inputs) {}), Step{WriteState: Completed}},
-		"it was completed":         {late, base(Promoted, func(f *Inputs) { f.Status.State = Completed }), Step{SetPhase: Done}},
-		"it was rolled back":       {late, base(Promoted, func(f *Inputs) { f.Status.State = RolledBack }), Step{SetPhase: Rejected}},
-		"bad when it is done":      {late, base(Done, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{}},
-		"taken back":               {late, base(Rejected, func(f *Inputs) { f.Order.Ended = true }), Step{WriteState: RolledBack}},
-		"taken back when it ended": {late, base(Rejected, func(f *Inputs) { f.Order.Ended, f.Status.State = true, Completed }), Step{SetPhase: Done}},
+		"status is not read":                                   {0, base(Pending, func(f *Inputs) { f.Status = Status{} }), Step{ReadStatus: true}},
+		"status is not written":                                {0, base(Pending, func(f *Inputs) { f.Status.State = None }), Step{WriteState: Running}},
+		"canary starts":                                        {0, base(Pending, func(f *Inputs) {}), Step{SetPhase: Canary}},
+		"canary is observed":                                   {early, base(Canary, func(f *Inputs) {}), Step{}},
+		"promoted late":                                        {late, base(Canary, func(f *Inputs) {}), Step{SetPhase: Promoted}},
+		"not promoted without a verdict":                       {late, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{}},
+		"promoted within the slack":                            {late, base(Canary, func(f *Inputs) { f.Judgement, f.Sent = Judgement{}, 100 }), Step{SetPhase: Promoted}},
+		"promoted after the time limit without a verdict":      {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{} }), Step{SetPhase: Promoted}},
+		"not promoted in doubt, even after the time limit":     {over, base(Canary, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
+		"too few new replicas":                                 {late, base(Canary, func(f *Inputs) { f.NewReady = 3 }), Step{}},
+		"no new replica within the time limit":                 {over, base(Canary, func(f *Inputs) { f.NewReady = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"not configured":                                       {over, base(Canary, func(f *Inputs) { f.Configured = false }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"time limit of zero":                                   {0, base(Pending, func(f *Inputs) { f.Order.TimeLimit = 0 }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"harmful canary":                                       {early, base(Canary, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"harmful during the shift":                             {late, base(Promoted, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{SetPhase: Rejected, WriteState: RolledBack}},
+		"instance still sends to old replicas":                 {late, base(Promoted, func(f *Inputs) { f.Lagging = 1 }), Step{}},
+		"pinned request after the time limit":                  {over, base(Promoted, func(f *Inputs) { f.Pinned = 1 }), Step{}},
+		"waits for requests at old replicas":                   {8 * time.Second, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{}},
+		"no longer waits shortly before the limit":             {late + time.Millisecond, base(Promoted, func(f *Inputs) { f.InFlight = 1 }), Step{WriteState: Completed}},
+		"not completed without a verdict":                      {8 * time.Second, base(Promoted, func(f *Inputs) { f.Judgement, f.Order.PhaseSince = Judgement{}, 7*time.Second }), Step{}},
+		"not completed in doubt":                               {late, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{Routes: []Finding{{Against: 3}}} }), Step{}},
+		"not completed without a verdict after the time limit": {over + time.Minute, base(Promoted, func(f *Inputs) { f.Judgement = Judgement{WatchedSince: over} }), Step{}},
+		"not completed after an observation gap":               {late, base(Promoted, func(f *Inputs) { f.Judgement.WatchedSince = late - 500*time.Millisecond }), Step{}},
+		"not promoted after an observation gap":                {over, base(Canary, func(f *Inputs) { f.Judgement.WatchedSince = over - 500*time.Millisecond }), Step{}},
+		"completed":                                            {late, base(Promoted, func(f *Inputs) {}), Step{WriteState: Completed}},
+		"status is completed":                                  {late, base(Promoted, func(f *Inputs) { f.Status.State = Completed }), Step{SetPhase: Done}},
+		"status is rolled back":                                {late, base(Promoted, func(f *Inputs) { f.Status.State = RolledBack }), Step{SetPhase: Rejected}},
+		"harmful after completion":                             {late, base(Done, func(f *Inputs) { f.Judgement.Verdict = Harmful }), Step{}},
+		"withdrawn":                                            {late, base(Rejected, func(f *Inputs) { f.Order.Ended = true }), Step{WriteState: RolledBack}},
+		"withdrawn after completion":                           {late, base(Rejected, func(f *Inputs) { f.Order.Ended, f.Status.State = true, Completed }), Step{SetPhase: Done}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/coordination/rollout/score.go
+++ b/coordination/rollout/score.go
@@ -12,18 +12,26 @@
 // (E. S. Page, Continuous Inspection Schemes, 1954), which is bounded at 0 and so
 // discards earlier evidence for the version.
 const (
-	falseAlarmRate    = 0.001                  // probability that a good version is found harmful, per run of the sum
-	missRate          = 0.05                   // probability that a harmful version is accepted
-	minAllowedRate    = 0.02                   // share of bad answers that a good version may always give, however good the old one is
-	allowedRateFactor = 1.5                    // times the old version's share of bad answers
-	minHarm           = 0.25                   // increase of the share of bad answers that makes a version harmful; a smaller increase takes longer to detect
-	maxAllowedRate    = 0.7                    // upper bound of the allowed share of bad answers
-	slowBuckets       = 3                      // latency buckets above the old version's median from which an answer is slow: 2.8 times the median
-	minMedianAnswers  = 5                      // answers of the old version from which its median is used
-	priorAnswers      = 10.0                   // answers at minAllowedRate that the old version is assumed to have given before (prior)
-	baselineHalfLife  = time.Second            // half-life of the old version's answers: within it, a burst of failures shows in both versions
-	settleTime        = 500 * time.Millisecond // delay before new answers are scored, so that old answers of the same time are reported first: two heartbeats
-	maxObservationGap = time.Second            // longer times between observations are gaps: the instance was suspended and lacks reports of others
+	falseAlarmRate    = 0.001 // probability that a good version is found harmful, per run of the sum
+	missRate          = 0.05  // probability that a harmful version is accepted
+	minAllowedRate    = 0.02  // share of bad answers that a good version may always give, however good the old one is
+	allowedRateFactor = 1.5   // times the old version's share of bad answers
+	// Increase of the share of bad answers that makes a version harmful; a smaller
+	// increase takes longer to detect.
+	minHarm        = 0.25
+	maxAllowedRate = 0.7 // upper bound of the allowed share of bad answers
+	// Latency buckets above the old version's median from which an answer is slow: 2.8
+	// times the median.
+	slowBuckets      = 3
+	minMedianAnswers = 5           // answers of the old version from which its median is used
+	priorAnswers     = 10.0        // answers at minAllowedRate that the old version is assumed to have given before (prior)
+	baselineHalfLife = time.Second // half-life of the old version's answers: within it, a burst of failures shows in both versions
+	// Delay before the new version's answers are scored, so that the old version's answers
+	// of the same time are reported first: two heartbeats.
+	settleTime = 500 * time.Millisecond
+	// Longer times between observations are gaps: the instance was suspended and lacks
+	// reports of others.
+	maxObservationGap = time.Second
 	// Bad answers after which a version is rejected. 50 are allowed until the rollback;
 	// the difference covers the delay of heartbeats and of announcing the phase.
 	maxBadAnswers        = 25
@@ -46,14 +54,18 @@
 type replicaScore struct {
 	answers     int
 	harmScore   float64 // as Finding.Against
-	acceptScore float64
+	acceptScore float64 // as Finding.Accepted
 }
 
+// routeScore holds the scores of the new version on a route, and the old version's
+// recent answers.
 type routeScore struct {
 	Finding
 	decayedOldAnswers, decayedOldBad float64 // decayed counts of the old version's answers
 }
 
+// addScore adds a log-likelihood ratio; counts is false while good answers don't count
+// for the version.
 func (r *replicaScore) addScore(step float64, counts bool) {
 	r.harmScore = max(r.harmScore+step, 0)
 	if counts || step > 0 {
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -10,12 +10,14 @@
 const (
 	// Fraction of the allowed share that the version gets. At 0.7 a route with a fifth of
 	// 100 requests/s is judged in 8 s, at 0.5 in 11 s; the rest is left for the shift.
-	canaryFraction  = 0.7
-	rampStepTime    = 400 * time.Millisecond // between steps after promotion: two heartbeats and one evaluation by the judging instances
-	retireTime      = 10 * time.Second       // old replicas get no requests for this time after completion: they stop at once, but replica lists lag by 3 s
-	restartPause    = 1 * time.Second        // twice burstWindow, so that later ends of replicas form a burst of their own
-	firstRampShare  = 0.25
-	secondRampShare = 0.5
+	canaryFraction = 0.7
+	rampStepTime   = 400 * time.Millisecond // between steps after promotion: two heartbeats and one evaluation by the judging instances
+	// Time after completion for which old replicas get no requests: they stop at once, but
+	// replica lists lag by 3 s.
+	retireTime      = 10 * time.Second
+	restartPause    = 1 * time.Second // twice burstWindow, so that later ends of replicas form a burst of their own
+	firstRampShare  = 0.25            // share of requests in the first step after promotion
+	secondRampShare = 0.5             // share of requests in the second step
 )
 
 // Share returns the fraction of a service's requests that the order's version gets
