--- a/coordination/quarantine/exchange.go
+++ b/coordination/quarantine/exchange.go
@@ -16,8 +16,8 @@
 	}
 	repeated := 0
 	for range t.order {
-		t.nextRepeat++
-		c := t.order[t.nextRepeat%len(t.order)]
+		t.repeatCursor++
+		c := t.order[t.repeatCursor%len(t.order)]
 		if t.verdictOf(c) != Quarantined || c.announced < t.opts.Announcements {
 			continue
 		}
@@ -52,9 +52,9 @@
 // requests, then suspects, at most MaxPerSnapshot.
 func (t *Tracker) Snapshot(now time.Duration) []Entry {
 	var out []Entry
-	for _, least := range []Verdict{Quarantined, Suspect} {
+	for _, verdict := range []Verdict{Quarantined, Suspect} {
 		for _, c := range t.order {
-			if t.verdictOf(c) == least && len(out) < t.opts.MaxPerSnapshot {
+			if t.verdictOf(c) == verdict && len(out) < t.opts.MaxPerSnapshot {
 				out = append(out, c.entry(now))
 			}
 		}
@@ -92,9 +92,9 @@
 		c.LastRequested = max(c.LastRequested, now-e.Age)
 		return nil
 	}
-	asked := max(c.LastRequested, now-e.Age)
+	lastRequested := max(c.LastRequested, now-e.Age)
 	out := t.update(now, c, func() { c.Ended, c.Cleared = ended, cleared })
-	c.LastRequested = asked
+	c.LastRequested = lastRequested
 	return out
 }
 
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -42,12 +42,12 @@
 
 // Options are the settings of a Tracker.
 type Options struct {
-	QuarantineAt         int           // number of replicas ended while running a request from which it is quarantined
+	QuarantineAt         int           // number of replicas that must end while running a request to quarantine it
 	MaxEndDelay          time.Duration // maximum time between a broken answer and the replica's end
 	SuccessTTL           time.Duration // time for which a complete answer clears all attempts of a request, whichever replicas end
 	SuspectTTL           time.Duration // time without changes after which a suspect expires
 	QuarantineTTL        time.Duration // time without attempts after which a quarantined request expires
-	MaxCases             int           // cases; the one with the fewest ended replicas is evicted first
+	MaxCases             int           // cases kept; the one with the fewest ended replicas is evicted first
 	MaxIncarnations      int           // incarnations kept of a case: ended and cleared each
 	Announcements        int           // messages in which a changed case is announced
 	MaxChangedPerMessage int           // changed cases in a message
@@ -79,9 +79,9 @@
 	Fingerprint   Fingerprint
 	Ended         []Incarnation // ended while running it
 	Cleared       []Incarnation // ended while running it, but a complete answer since has cleared the request
-	LastRequested time.Duration
+	LastRequested time.Duration // time of the last attempt, or of the last change by an end or an answer
 
-	announced int
+	announced int // messages that announced it since it changed
 }
 
 // Entry is a case as exchanged between instances.
@@ -96,7 +96,7 @@
 type Change struct {
 	Fingerprint   Fingerprint
 	Before, After Verdict
-	Ended         int // replicas ended while running it
+	Ended         int // number of replicas that ended while running it
 }
 
 // brokenAnswer is an answer that broke off, while it is unknown whether its replica
@@ -104,27 +104,27 @@
 type brokenAnswer struct {
 	fingerprint Fingerprint
 	incarnation Incarnation
-	at          time.Duration
-	reconnected bool // the replica has accepted a connection since
+	at          time.Duration // when it broke off
+	reconnected bool          // the replica has accepted a connection since
 }
 
 // Tracker records which replicas ended while running which requests. It is not safe
 // for concurrent use.
 type Tracker struct {
-	opts       Options
-	cases      map[Fingerprint]*Case
-	order      []*Case // the same cases, oldest first
-	nextRepeat int
-	broken     []brokenAnswer
-	ended      map[Incarnation]time.Duration // incarnations that ended recently, with the time of their end
-	successes  successes
+	opts         Options
+	cases        map[Fingerprint]*Case
+	order        []*Case // the same cases, oldest first
+	repeatCursor int     // position in order of the case repeated last
+	broken       []brokenAnswer
+	ended        map[Incarnation]time.Duration // incarnations that ended recently, with the time of their end
+	successes    successes
 }
 
-// New returns an empty tracker. The values of firstRepeat should differ between instances:
-// they then repeat quarantined cases in different order, so that an instance that
-// receives messages of several learns all cases sooner.
-func New(o Options, firstRepeat int) *Tracker {
-	return &Tracker{opts: o, nextRepeat: firstRepeat, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), successes: newSuccesses(o.SuccessTTL)}
+// New returns an empty tracker. repeatCursor should differ between instances: they then
+// repeat quarantined cases in different order, so that an instance that receives
+// messages of several learns all cases sooner.
+func New(o Options, repeatCursor int) *Tracker {
+	return &Tracker{opts: o, repeatCursor: repeatCursor, cases: make(map[Fingerprint]*Case), ended: make(map[Incarnation]time.Duration), successes: newSuccesses(o.SuccessTTL)}
 }
 
 // Check returns the verdict on a request that a caller sends and renews its case.
@@ -159,7 +159,7 @@
 }
 
 // RecordEnd records that a replica's incarnation ended without an announcement. All
-// requests whose answers broke off there are blamed.
+// requests whose answers broke off there within the last MaxEndDelay are blamed.
 func (t *Tracker) RecordEnd(now time.Duration, inc Incarnation) []Change {
 	return t.recordEnd(now, inc, func(brokenAnswer) bool { return true })
 }
@@ -183,7 +183,8 @@
 	return out
 }
 
-// HasEnded reports whether a replica's incarnation ended recently.
+// HasEnded reports whether a replica's incarnation is recorded as ended; Expire drops
+// ends older than MaxEndDelay.
 func (t *Tracker) HasEnded(inc Incarnation) bool {
 	_, ok := t.ended[inc]
 	return ok
@@ -199,9 +200,12 @@
 	}
 }
 
-func (t *Tracker) dropBroken(of func(brokenAnswer) bool) { t.broken = slices.DeleteFunc(t.broken, of) }
+func (t *Tracker) dropBroken(match func(brokenAnswer) bool) {
+	t.broken = slices.DeleteFunc(t.broken, match)
+}
 
-// RecordSuccess records that a request got a complete answer.
+// RecordSuccess records that a request got a complete answer. It clears the request of
+// the known ends and, for up to SuccessTTL, of later ones.
 func (t *Tracker) RecordSuccess(now time.Duration, f Fingerprint) []Change {
 	t.successes.record(now, f)
 	return t.Release(now, f)
@@ -273,9 +277,10 @@
 	t.drop(func(c *Case) bool { return c == least })
 }
 
-func (t *Tracker) drop(of func(*Case) bool) {
+// drop deletes the matching cases.
+func (t *Tracker) drop(match func(*Case) bool) {
 	t.order = slices.DeleteFunc(t.order, func(c *Case) bool {
-		if !of(c) {
+		if !match(c) {
 			return false
 		}
 		delete(t.cases, c.Fingerprint)
@@ -283,7 +288,8 @@
 	})
 }
 
-// ttl returns how long a case is kept without changes.
+// ttl returns how long a case with this number of ended replicas is kept without
+// attempts or changes.
 func (t *Tracker) ttl(ended int) time.Duration {
 	if ended >= t.opts.QuarantineAt {
 		return t.opts.QuarantineTTL
--- a/coordination/quarantine/successes.go
+++ b/coordination/quarantine/successes.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// maxSuccessesPerHalf is the number of recorded successes at which the current half
-// is rotated early.
+// maxSuccessesPerHalf is the number of recorded successes at which the current
+// generation is rotated early, which bounds the memory.
 const maxSuccessesPerHalf = 16384
 
 // successes records which requests got a complete answer recently. It keeps two
-// generations of half the retention time each and drops the older one as a whole.
+// generations of half the retention time each and drops the older one as a whole, so a
+// success is kept for at least half of the retention time unless there are very many.
 type successes struct {
-	half              time.Duration
+	half              time.Duration // lifetime of a generation: half the retention time
 	current, previous map[Fingerprint]struct{}
 	currentSince      time.Duration
 }
