--- a/coordination/review/review.go
+++ b/coordination/review/review.go
@@ -14,14 +14,14 @@
 // Finding is a problem in a configuration, with its place.
 type Finding struct {
 	Rule  string // name of the violated rule
-	Place string
+	Place string // route or service, such as "route chat"
 	Text  string
 }
 
 // Rule is a check of a configuration.
 type Rule struct {
 	Name        string
-	Description string
+	Description string // the condition that a configuration must meet
 	check       func(*catalog.Configuration) []Finding
 }
 
