--- a/coordination/pace/fleet_test.go
+++ b/coordination/pace/fleet_test.go
@@ -33,7 +33,7 @@
 	replicas  int
 	limited   int     // number of replicas that state a limit
 	perSecond float64 // limit of each limited replica
-	load      float64 // requests per second at each instance
+	load      float64 // requests per second that arrive at each instance
 	delay     time.Duration
 	lossRate  float64 // fraction of heartbeats lost
 	duration  time.Duration
@@ -66,7 +66,7 @@
 	limit       Limit
 	limitedAt   time.Duration // when the limit was first stated
 	arrivals    []arrival
-	allowance   float64 // requests that the limits allowed, summed over time
+	allowance   float64 // number of requests that the stated limits allowed so far
 }
 
 type arrival struct {
--- a/coordination/pace/grantor.go
+++ b/coordination/pace/grantor.go
@@ -11,12 +11,12 @@
 	Region string
 }
 
-// Distances between an instance and a replica, most preferred grantor first.
+// Distances of an instance from a replica; the nearest instance is preferred as grantor.
 const (
 	sameHall = iota
 	sameRegion
 	otherRegion
-	leaving
+	leaving // an instance that is leaving, wherever it is
 )
 
 func (p Location) distance(i *gossip.Instance) int {
--- a/coordination/pace/pace.go
+++ b/coordination/pace/pace.go
@@ -26,10 +26,14 @@
 
 // Options are the settings of a Tracker.
 type Options struct {
-	Burst             time.Duration // time by which a grant may be issued before it is due; bounds the unused grants that accumulate
-	MaxInterval       time.Duration // longest time between two grants: only an answer can tell that a limit has been removed, so a replica with a limit of 0 still gets requests
-	RemovedRetention  time.Duration // how long a removed limit is remembered, so that an older report doesn't restore it
-	UnlistedRetention time.Duration // how long the limit of an unlisted incarnation is kept; entries that expire while the store is unavailable reappear within seconds of its return
+	Burst time.Duration // time by which a grant may be issued before it is due; bounds the unused grants that accumulate
+	// MaxInterval is the longest time between two grants: only an answer can tell that a
+	// limit has been removed, so a replica with a limit of 0 still gets requests.
+	MaxInterval      time.Duration
+	RemovedRetention time.Duration // how long a removed limit is remembered, so that an older report doesn't restore it
+	// UnlistedRetention is how long the limit of an unlisted incarnation is kept. Entries
+	// that expire while the store is unavailable reappear within seconds of its return.
+	UnlistedRetention time.Duration
 	MaxIncarnations   int           // bounds memory against a peer that reports many incarnations
 	LogInterval       time.Duration // minimum time between two changes of one limit that are logged and trigger extra heartbeats
 }
@@ -65,7 +69,7 @@
 	opts         Options
 	entries      map[string]*entry
 	limitedCount int // entries with a stated limit
-	cursor       int // position of the next report to repeat
+	cursor       int // position of the report repeated last
 }
 
 type entry struct {
@@ -76,7 +80,7 @@
 	loggedAt   time.Duration // when a change was last logged; 0: never
 
 	isGrantor      bool          // this instance issues the grants
-	nextGrant      time.Duration // when the next grant is due
+	nextGrant      time.Duration // when the next grant is due; it may be issued Options.Burst earlier
 	deniedUntil    time.Duration // the grantor reported that it has no grant before this time
 	nextLocalGrant time.Duration // when the next grant without the grantor is due; 0: none requested yet
 }
@@ -210,14 +214,14 @@
 	return true
 }
 
-// Consume counts a grant, whether or not it was due.
+// Consume counts a request as a grant, whether or not one was due.
 func (t *Tracker) Consume(now time.Duration, incarnation string) {
 	if r := t.entries[incarnation]; r != nil && r.limit.Stated {
 		r.nextGrant = max(r.nextGrant, now) + t.interval(r.limit)
 	}
 }
 
-// RecordDenial records that the grantor has no grant until the given time.
+// RecordDenial records that the grantor has reported no grant before the given time.
 func (t *Tracker) RecordDenial(incarnation string, until time.Duration) {
 	if r := t.entries[incarnation]; r != nil {
 		r.deniedUntil = until
--- a/coordination/pace/retry_schedule.go
+++ b/coordination/pace/retry_schedule.go
@@ -32,5 +32,6 @@
 	}
 }
 
-// minPerSecond bounds how far ahead a reservation may be.
+// minPerSecond is the lowest grant rate that is assumed, in requests per second. It
+// bounds how far ahead a reservation may be.
 const minPerSecond = 0.1
