--- a/coordination/advisory/advisory.go
+++ b/coordination/advisory/advisory.go
@@ -21,10 +21,20 @@
 
 // Options are the settings of a Tracker.
 type Options struct {
-	RampAnswers       int           // number of answers after a backoff at which the request limit ends; each answer raises it by one, so a replica has had about ten requests by then
-	RampInterval      time.Duration // time after the last request at which one more may be sent although none was answered, so that long answers don't leave a replica idle
-	UnlistedRetention time.Duration // how long an incarnation is kept that neither this instance nor any peer that announces it lists; entries that expire while the store is unavailable reappear within seconds of its return
-	MaxUnlisted       int           // incarnations kept that are not listed; bounds memory against a peer that announces many
+	// RampAnswers is the number of answers after a backoff at which the request limit
+	// ends. Each answer raises the limit by one, so a replica has had about ten requests
+	// by then.
+	RampAnswers int
+	// RampInterval is the time after the last request at which one more may be sent
+	// although none was answered, so that long answers don't leave a replica idle.
+	RampInterval time.Duration
+	// UnlistedRetention is how long an incarnation is kept that is listed neither by this
+	// instance nor by any peer that announces it. Entries that expire while the store is
+	// unavailable reappear within seconds of its return.
+	UnlistedRetention time.Duration
+	// MaxUnlisted is the number of unlisted incarnations that are kept. It bounds memory
+	// against a peer that announces many.
+	MaxUnlisted int
 }
 
 // DefaultOptions returns the options used in production.
@@ -37,7 +47,7 @@
 type Tracker struct {
 	opts    Options
 	entries map[string]*entry
-	cursor  int // position of the next drain to repeat
+	cursor  int // position of the drain repeated last
 }
 
 type entry struct {
@@ -52,9 +62,9 @@
 
 // ramp limits the requests to a replica after a backoff; nil: no limit.
 type ramp struct {
-	limit    int // concurrent requests
-	inFlight int // requests started under this ramp that haven't ended
-	answers  int
+	limit    int           // concurrent requests
+	inFlight int           // requests started under this ramp that haven't ended
+	answers  int           // since the backoff
 	lastSent time.Duration // when a request was last started; 0: never
 }
 
@@ -116,7 +126,7 @@
 	return false, now
 }
 
-// Never is when a draining incarnation may get a request again.
+// Never is the time that CanSend returns for a draining incarnation.
 const Never = time.Duration(1<<63 - 1)
 
 // BackoffUntil returns the end of an incarnation's backoff, or false if it has none.
@@ -179,7 +189,8 @@
 func (t *Tracker) Empty() bool { return len(t.entries) == 0 }
 
 // Expire removes obsolete entries and returns what has changed by the passage of time.
-func (t *Tracker) Expire(now time.Duration, listedAt func(incarnation string) bool) Changes {
+// isListed reports whether this instance lists an incarnation.
+func (t *Tracker) Expire(now time.Duration, isListed func(incarnation string) bool) Changes {
 	var out Changes
 	unlisted := make(map[string]time.Duration)
 	for incarnation, r := range t.entries {
@@ -187,7 +198,7 @@
 			r.backingOff = false
 			out.BackoffEnded = append(out.BackoffEnded, incarnation)
 		}
-		r.isListed = listedAt(incarnation)
+		r.isListed = isListed(incarnation)
 		switch {
 		case r.isListed:
 			r.listedAt = now
@@ -213,6 +224,7 @@
 	return out
 }
 
+// remove deletes an entry and appends it to removed if it was draining.
 func (t *Tracker) remove(removed []string, incarnation string) []string {
 	if t.entries[incarnation].draining {
 		removed = append(removed, incarnation)
@@ -226,7 +238,7 @@
 // that start later or were partitioned. While the store is unavailable, the list of
 // replicas may not carry them. Incarnations that this instance doesn't list are not
 // repeated: otherwise instances that had removed one would keep announcing it to each
-// other for ever.
+// other forever.
 func (t *Tracker) Updates(now, fresh time.Duration, maxUpdates int) []string {
 	var out, repeated []string
 	for incarnation, r := range t.entries {
@@ -250,6 +262,8 @@
 // maxRepeated is the number of older drains that one heartbeat repeats.
 const maxRepeated = 2
 
+// repeats returns how many older drains fit into a heartbeat that has space for the
+// given number of incarnations.
 func (t *Tracker) repeats(available int) int { return min(max(available, 0), maxRepeated) }
 
 // Draining returns the draining incarnations, sorted.
