--- a/coordination/shares/resource.go
+++ b/coordination/shares/resource.go
@@ -11,16 +11,16 @@
 // resource holds the demand for one resource by customer.
 type resource struct {
 	opts        *Options
-	capacity    float64
-	requests    float64 // decayed over DemandWindow
-	reported    map[string]float64
-	flows       map[string]*flow
-	decayedAt   time.Duration // when the averages were last decayed
-	allocatedAt time.Duration
-	learnedAt   time.Duration
-	learnedFor  time.Duration // total time over which usage was learned
-	wasScarce   bool          // demand has exceeded capacity since learnedAt
-	scarce      bool          // demand exceeds capacity
+	capacity    float64            // units of work per second
+	requests    float64            // number of requests, decayed over DemandWindow
+	reported    map[string]float64 // see Allocator
+	flows       map[string]*flow   // by customer
+	decayedAt   time.Duration      // when the averages were last decayed
+	allocatedAt time.Duration      // when the shares were last computed; 0: never
+	learnedAt   time.Duration      // when usage was last updated
+	learnedFor  time.Duration      // total time over which usage was learned
+	wasScarce   bool               // demand has exceeded capacity since learnedAt
+	scarce      bool               // demand exceeds capacity
 }
 
 // flow is one customer's use of a resource.
@@ -35,8 +35,8 @@
 // rankDemand is a customer's demand at one rank.
 type rankDemand struct {
 	rank      int
-	work      float64       // decayed over DemandWindow
-	credit    float64       // unused part of the share; negative after a large request
+	work      float64       // units of work demanded, decayed over DemandWindow
+	credit    float64       // unused units of work of the share; negative after a large request
 	updatedAt time.Duration // when credit was last refilled
 }
 
@@ -123,6 +123,8 @@
 	r.learnedAt, r.wasScarce = now, r.scarce
 }
 
+// decay ages the averages by the time since the last call and drops customers without
+// recent use. While demand exceeds capacity, usage is not aged.
 func (r *resource) decay(now time.Duration) {
 	demandFactor := math.Exp(-(now - r.decayedAt).Seconds() / r.opts.DemandWindow.Seconds())
 	usageFactor := math.Exp(-(now - r.decayedAt).Seconds() / r.opts.UsageWindow.Seconds())
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -27,7 +27,7 @@
 type Need struct {
 	Resource string
 	Work     float64 // in units of the resource, such as seconds of its replicas
-	Capacity float64 // units per second
+	Capacity float64 // of the resource, in units per second
 }
 
 // UsageReport is a customer's recent part of the load at the instance that accepted a
@@ -49,7 +49,7 @@
 type Options struct {
 	DemandWindow       time.Duration // averaging window of demand
 	UsageWindow        time.Duration // averaging window of usage
-	ExcessRatio        float64       // a customer is throttled when its demand per weight is this many times that of the others
+	ExcessRatio        float64       // a customer is throttled when its demand per weight exceeds this multiple of that of the others
 	BurstTolerance     float64       // requests within DemandWindow that may arrive together by chance
 	Burst              time.Duration // part of a share that may be used at once
 	AllocationInterval time.Duration // between two recomputations of the shares
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -15,14 +15,14 @@
 // simulation sends requests of customers for one resource at constant rates. Its run
 // method returns the fraction of requests within their shares, by customer and rank.
 type simulation struct {
-	t        *Allocator
-	now      time.Duration
-	needs    []Need
-	reported map[string]UsageReport
+	allocator *Allocator
+	now       time.Duration
+	needs     []Need
+	reported  map[string]UsageReport
 }
 
 func newSimulation(work, capacity float64) *simulation {
-	return &simulation{t: New(DefaultOptions()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
+	return &simulation{allocator: New(DefaultOptions()), needs: []Need{{Resource: "pool", Work: work, Capacity: capacity}}}
 }
 
 // traffic is the request rate of a customer at one rank.
@@ -41,9 +41,9 @@
 			for due[i] += a.perSecond * step.Seconds(); due[i] >= 1; due[i]-- {
 				key := fmt.Sprint(a.customer, a.rank)
 				sent[key]++
-				if p.t.RecordDemand(p.now, a.customer, a.rank, p.reported[a.customer], p.needs).Within {
+				if p.allocator.RecordDemand(p.now, a.customer, a.rank, p.reported[a.customer], p.needs).Within {
 					within[key]++
-					p.t.RecordServed(a.customer, a.rank, p.needs)
+					p.allocator.RecordServed(a.customer, a.rank, p.needs)
 				}
 			}
 		}
@@ -190,9 +190,9 @@
 	p := newSimulation(0.1, 5)
 	p.run(5*time.Second, traffic{"a", 0, 15}, traffic{"b", 0, 10})
 	p.run(5*time.Second, traffic{"a", 0, 450}, traffic{"b", 0, 10})
-	is.True(p.t.Throttled(p.now, "pool")["a"] > 0)
-	is.Equal(len(p.t.Throttled(p.now+20*time.Second, "pool")), 0)
-	is.Equal(len(p.t.Throttled(0, "another")), 0)
+	is.True(p.allocator.Throttled(p.now, "pool")["a"] > 0)
+	is.Equal(len(p.allocator.Throttled(p.now+20*time.Second, "pool")), 0)
+	is.Equal(len(p.allocator.Throttled(0, "another")), 0)
 }
 
 // Inactive customers use no memory.
@@ -200,14 +200,14 @@
 	is := is.New(t)
 	p := newSimulation(0.01, 5)
 	for i := range 5400 {
-		p.t.RecordDemand(time.Duration(i)*100*time.Microsecond, fmt.Sprint("customer-", i), 0, UsageReport{}, p.needs)
+		p.allocator.RecordDemand(time.Duration(i)*100*time.Microsecond, fmt.Sprint("customer-", i), 0, UsageReport{}, p.needs)
 	}
-	is.Equal(len(p.t.resources["pool"].flows), 5400)
+	is.Equal(len(p.allocator.resources["pool"].flows), 5400)
 	for range 100 {
 		p.now += 10 * time.Second
-		p.t.RecordDemand(p.now, "one", 0, UsageReport{}, p.needs)
+		p.allocator.RecordDemand(p.now, "one", 0, UsageReport{}, p.needs)
 	}
-	is.Equal(len(p.t.resources["pool"].flows), 1)
+	is.Equal(len(p.allocator.resources["pool"].flows), 1)
 }
 
 // In any order of events, no share is negative or NaN, throttled customers together get
