--- a/coordination/scheduler/pool.go
+++ b/coordination/scheduler/pool.go
@@ -12,28 +12,28 @@
 const (
 	slowGain     = 0.2  // weight of a new sample in the moving average of slowness
 	lateRatio    = 4    // a task that runs this many times its expected time is late
-	minLate      = 2    // late tasks that mark a replica as slow before any of them ends
+	minLate      = 2    // late tasks from which a replica counts as slow before any of them ends
 	ejectAfter   = 3    // consecutive failures that eject a replica
-	tieJitter    = 0.01 // random part of a key, far below the weight of one task
-	maxSlowShare = 0.5  // when more replicas than this are impaired, the service is slow, not a replica
+	tieJitter    = 0.01 // largest random part of a key, far below the weight of one task
+	maxSlowShare = 0.5  // when a larger fraction of the replicas is impaired, the service is slow, not a replica
 )
 
 // replica is the scheduler's view of one replica.
 type replica struct {
 	id           string
-	slots        int
-	inflight     int
+	slots        int // tasks that it can run concurrently
+	inflight     int // tasks that it runs now
 	addedAt      time.Duration
-	slowStart    bool // added after the first set of replicas
-	slowness     float64
-	lateCount    int
-	failures     int
+	slowStart    bool    // added after the first set of replicas
+	slowness     float64 // moving average of the ratio of measured to expected time
+	lateCount    int     // running tasks that are late
+	failures     int     // consecutive failures
 	ejectedUntil time.Duration
-	probeAt      time.Duration
-	capacity     int // tasks that it may run now
-	key          float64
-	heapIndex    int // in pool.heap
-	listIndex    int // in pool.list
+	probeAt      time.Duration // while it is slow: when it may get the next task
+	capacity     int           // tasks that it may run now
+	key          float64       // load by which the heap is ordered; +Inf: full
+	heapIndex    int           // in pool.heap
+	listIndex    int           // in pool.list
 }
 
 // pool is the set of replicas, ordered by load in a heap.
@@ -43,10 +43,10 @@
 	byID         map[string]*replica
 	list         []*replica
 	heap         replicaHeap
-	capacity     int
-	baseSlowness float64 // ratio of measured to expected time over the whole service
-	cursor       int
-	impaired     int // number of slow or ejected replicas
+	capacity     int     // tasks that all replicas together may run now
+	baseSlowness float64 // moving average of the ratio of measured to expected time over the whole service
+	cursor       int     // round-robin position in list
+	impaired     int     // number of slow or ejected replicas
 }
 
 func newPool(p Policy, random *rand.Rand) *pool {
--- a/coordination/scheduler/queue.go
+++ b/coordination/scheduler/queue.go
@@ -26,8 +26,8 @@
 
 type item struct {
 	task    *Task
-	dropAt  time.Duration
-	removed bool // popped or cancelled; the heaps discard it when they reach it
+	dropAt  time.Duration // when it is dropped; for an announcement, its deadline
+	removed bool          // popped or cancelled; the heaps discard it when they reach it
 }
 
 // classQueue holds the flows of one class; clock is its virtual time.
@@ -35,7 +35,7 @@
 	flows     map[string]*flow
 	active    flowHeap
 	clock     float64
-	queued    int
+	queued    int     // queued tasks
 	announced int     // announced tasks
 	weight    float64 // total weight of the flows with queued or announced tasks
 }
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -21,7 +21,7 @@
 	ID        uint64
 	Holder    string // process that submits the task; its permits end with it
 	Customer  string
-	Weight    int
+	Weight    int // of the customer in fair sharing; values below 1 count as 1
 	Class     fleet.Class
 	Deadline  time.Duration // of the whole request, on the scheduler's clock
 	Remaining time.Duration // expected time of the stages after this one
@@ -49,11 +49,11 @@
 type Action struct {
 	Task       uint64
 	Holder     string
-	Permit     uint64
+	Permit     uint64 // for a grant: the ID to pass to Release
 	Replica    string
 	Admitted   bool
 	Reason     Reason
-	RetryAfter time.Duration
+	RetryAfter time.Duration // for a refusal: when the caller may retry
 }
 
 // Granted reports whether the action is a grant.
@@ -63,8 +63,8 @@
 	replica  *replica
 	task     taskKey
 	start    time.Duration
-	expected time.Duration
-	late     bool
+	expected time.Duration // expected time of the task
+	late     bool          // counted in the replica's lateCount
 }
 
 // waitMargin is the possible error of an expected wait, as a fraction of it.
@@ -169,7 +169,7 @@
 }
 
 // expectedWait is how long the task would queue if it became ready after the given
-// time: all slots together complete one task every mean/slots.
+// time: all slots together complete one task every meanTime/slots.
 func (s *Scheduler) expectedWait(t *Task, ready time.Duration) time.Duration {
 	slots := s.slots()
 	ahead := len(s.permits) + s.queue.ahead(t) + 1 - slots // tasks that must end before it starts
