--- a/coordination/limit/allocator.go
+++ b/coordination/limit/allocator.go
@@ -12,8 +12,8 @@
 type Allocator struct{ holders map[string]report }
 
 type report struct {
-	demand float64 // requests per second
-	at     time.Duration
+	demand float64       // requests per second
+	at     time.Duration // when it was received
 }
 
 // NewAllocator returns an allocator without holders.
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -7,12 +7,12 @@
 // Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
 	tokens float64
-	at     time.Duration
-	filled bool
+	at     time.Duration // when tokens was last updated
+	filled bool          // it was filled at its first use
 }
 
-// Take spends one token of a bucket that fills at rate per second up to burst. When
-// there is none it returns false and the time until the next one. A rate of zero means
+// Take spends one token of a bucket that fills at rate tokens per second up to burst.
+// When there is none it returns false and the time until the next one. A rate of zero means
 // no limit.
 func (b *Bucket) Take(now time.Duration, rate, burst float64) (bool, time.Duration) {
 	if rate <= 0 {
