--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -4,9 +4,9 @@
 
 // Budget is a retry budget. It is not safe for concurrent use.
 type Budget struct {
-	ratio    float64
-	capacity float64
-	tokens   float64
+	ratio    float64 // retries earned per success
+	capacity float64 // maximum of tokens
+	tokens   float64 // retries left
 }
 
 // NewBudget returns a full budget that earns ratio retries per success and holds at
