--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -13,9 +13,9 @@
 // Lease is one process's side of a lease. It is not safe for concurrent use.
 type Lease struct {
 	ttl        time.Duration
-	margin     time.Duration
+	margin     time.Duration // safety margin before the lease's end
 	token      uint64        // version of the key as last written; every write by any process increases it
-	expiresAt  time.Duration // on the own clock
+	expiresAt  time.Duration // on the own clock, margin before the end
 	acquiredAt time.Duration // on the own clock; renewals don't change it
 	held       bool
 }
@@ -49,8 +49,8 @@
 	return l.token, l.held && now+duration < l.expiresAt
 }
 
-// Settled reports whether every act of a former holder has ended. Acts on receivers
-// that don't check tokens must wait for it.
+// Settled reports whether every act of a former holder, of at most the given duration,
+// has ended. Acts on receivers that don't check tokens must wait for it.
 func (l *Lease) Settled(now, duration time.Duration) bool {
 	return l.Held(now) && now-l.acquiredAt > l.ttl+duration
 }
