--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -63,28 +63,30 @@
 
 // View is one instance's view of the fleet. It is not safe for concurrent use.
 type View struct {
-	opts             Options
-	self             Instance
-	rows             map[string]*row
-	sorted           []*row // all rows by name, kept sorted on insertion because a view is queried several times per request
-	byKey            map[uint32]*row
-	cursor           int           // round-robin position of the next entry to announce in full
-	seedsContactedAt time.Duration // last time the seeds were contacted
-	newIncarnationAt time.Duration // last time a new incarnation was discovered
+	opts Options
+	self Instance
+	rows map[string]*row
+	// All rows by name, kept sorted on insertion because a view is queried several times
+	// per request.
+	sorted           []*row
+	byKey            map[uint32]*row // by Instance.Key
+	cursor           int             // round-robin position in sorted of the entry last announced in turn
+	seedsContactedAt time.Duration   // last time the seeds were contacted
+	newIncarnationAt time.Duration   // last time a new incarnation was discovered
 }
 
 type row struct {
 	Instance
 	lastHeartbeat time.Duration // when the counter last increased
 	announcements int           // full announcements since the entry changed
-	key           uint32
+	key           uint32        // Instance.Key
 }
 
 // Options are the settings of a View.
 type Options struct {
 	FailureTimeout      time.Duration // time without a heartbeat after which an instance is considered dead, in a small fleet
 	TimeoutPerInstance  time.Duration // added for each instance beyond SmallFleetSize, as each counter then arrives less often
-	SmallFleetSize      int
+	SmallFleetSize      int           // instances up to which FailureTimeout alone applies
 	ForgetAfter         time.Duration // time without a heartbeat after which an entry is removed
 	Fanout              int           // messages per round
 	CrossRegionMessages float64       // approximate number of messages per round from all instances of a region to other regions
@@ -95,10 +97,21 @@
 	SettleTime          time.Duration // time without a new incarnation after which the view is considered complete
 }
 
-// DefaultOptions returns the options for a round every 200 ms.
+// DefaultOptions returns the options used in production, with a round every 200 ms.
 func DefaultOptions() Options {
-	return Options{FailureTimeout: 1100 * time.Millisecond, TimeoutPerInstance: 15 * time.Millisecond, SmallFleetSize: 30, ForgetAfter: 5 * time.Minute, Fanout: 4, FullEntries: 10, MaxHeartbeats: 64, SeedInterval: 2 * time.Second,
-		SettleTime: 60 * time.Millisecond, CrossRegionMessages: 3, RemoteTimeoutExtra: time.Second}
+	return Options{
+		FailureTimeout:      1100 * time.Millisecond,
+		TimeoutPerInstance:  15 * time.Millisecond,
+		SmallFleetSize:      30,
+		ForgetAfter:         5 * time.Minute,
+		Fanout:              4,
+		FullEntries:         10,
+		MaxHeartbeats:       64,
+		SeedInterval:        2 * time.Second,
+		SettleTime:          60 * time.Millisecond,
+		CrossRegionMessages: 3,
+		RemoteTimeoutExtra:  time.Second,
+	}
 }
 
 // cursorSpread is the range over which the instances' initial cursors are spread.
@@ -289,6 +302,7 @@
 	}
 }
 
+// alive reports whether an instance's counter has increased within its timeout.
 func (v *View) alive(now time.Duration, r *row) bool {
 	timeout := v.failureTimeout()
 	if v.isRemote(r) {
@@ -301,6 +315,7 @@
 	return v.opts.FailureTimeout + time.Duration(max(len(v.rows)-v.opts.SmallFleetSize, 0))*v.opts.TimeoutPerInstance
 }
 
+// forget removes the entries without a heartbeat for ForgetAfter.
 func (v *View) forget(now time.Duration) {
 	expired := func(r *row) bool { return now-r.lastHeartbeat > v.opts.ForgetAfter }
 	for _, r := range v.sorted {
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -199,14 +199,14 @@
 	f := newFleet(120)
 	f.run(60 * time.Second)
 	const (
-		entry     = 90    // approximate encoded bytes
-		beat      = 8     // bytes
-		perSecond = 5 * 4 // messages per second: rounds times peers
-		budget    = 21_000
+		entryBytes     = 90     // approximate, as encoded
+		heartbeatBytes = 8      // as encoded
+		perSecond      = 5 * 4  // messages per second: rounds times peers
+		budget         = 21_000 // bytes per second
 	)
 	for name, v := range f.views {
 		m := v.BuildMessage(f.now)
-		if bytes := (entry*len(m.Entries) + beat*len(m.Heartbeats)) * perSecond; bytes > budget {
+		if bytes := (entryBytes*len(m.Entries) + heartbeatBytes*len(m.Heartbeats)) * perSecond; bytes > budget {
 			t.Fatalf("%s: %d bytes a second, %d entries", name, bytes, len(m.Entries))
 		}
 	}
