--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -53,10 +53,10 @@
 // owner holds a lock of rank table.RankMembers.
 type View struct {
 	opts   Options
-	self   string
+	self   string // name of this instance
 	rows   map[string]*row
 	ring   []ringEntry // live members, sorted by hash
-	digest uint64
+	digest uint64      // XOR of the hashes of all rows
 }
 
 // ringEntry is a member's position on the ring.
@@ -117,7 +117,8 @@
 func (v *View) refute(m Member) bool {
 	r := v.rows[v.self]
 	next := *r
-	if m.Incarnation > r.Incarnation || m.Incarnation == r.Incarnation && m.Seq > r.Seq { // from the previous incarnation: the wall clock has gone back since
+	// A newer entry is from the previous incarnation: the wall clock has gone back since.
+	if m.Incarnation > r.Incarnation || m.Incarnation == r.Incarnation && m.Seq > r.Seq {
 		if m.Incarnation == math.MaxUint64 {
 			return false
 		}
@@ -133,6 +134,7 @@
 	return true
 }
 
+// supersedes reports whether a received entry replaces the recorded one.
 func supersedes(m, old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
