--- a/coordination/changes/changes.go
+++ b/coordination/changes/changes.go
@@ -37,7 +37,7 @@
 // Bounds of the history; a peer that is further behind gets a full update.
 const (
 	maxRecent = 1024 // changes; a third of the 3,000 replicas of a fleet
-	maxGaps   = 16
+	maxGaps   = 16   // gaps; the oldest ones are merged
 )
 
 // initialChange is the last change of a log whose topic has not changed since the
