--- a/coordination/ledger/ledger.go
+++ b/coordination/ledger/ledger.go
@@ -31,10 +31,10 @@
 
 // Record is the state of one numbered request.
 type Record struct {
-	done   chan struct{}
+	done   chan struct{} // closed when answer is set
 	answer Answer
-	issued time.Duration
-	digest uint64 // digest of the request
+	issued time.Duration // when its prefix was issued, on this ledger's clock
+	digest uint64        // digest of the request
 }
 
 // Done returns a channel that is closed when the answer is available.
@@ -48,10 +48,10 @@
 type Ledger struct {
 	opts        Options
 	incarnation uint64
-	records     map[string]*Record
-	adopted     map[uint64]time.Duration // offset from each predecessor's clock to this ledger's
-	sealed      bool
-	lastSweep   time.Duration
+	records     map[string]*Record       // by Number.Key
+	adopted     map[uint64]time.Duration // by incarnation: offset from each predecessor's clock to this ledger's
+	sealed      bool                     // handed over: starts no more requests
+	lastSweep   time.Duration            // when expire last dropped records
 }
 
 // New returns the empty ledger of an incarnation.
--- a/coordination/ledger/options.go
+++ b/coordination/ledger/options.go
@@ -4,8 +4,8 @@
 
 // Options are the settings of a Ledger; they bound its memory.
 type Options struct {
-	Horizon    time.Duration // time that numbers of a prefix may start
-	Grace      time.Duration // additional time that answers are kept for retries
+	Horizon    time.Duration // time after the issue of a prefix in which its numbers may start
+	Grace      time.Duration // additional time for which answers are kept for retries
 	MaxRecords int           // limit above which new numbers are refused as not run
 }
 
@@ -20,7 +20,7 @@
 	return o
 }
 
-// WithHorizon sets the time that numbers of a prefix may start.
+// WithHorizon sets the time after the issue of a prefix in which its numbers may start.
 func WithHorizon(d time.Duration) Option { return func(o *Options) { o.Horizon = d } }
 
 // WithMaxRecords sets the maximum number of records.
