--- a/coordination/featurelevel/featurelevel.go
+++ b/coordination/featurelevel/featurelevel.go
@@ -17,8 +17,12 @@
 
 // The feature levels. A build supports its own level and all lower ones.
 const (
-	Unannounced         uint32 = iota // builds that announce no level: some identify replicas by name only, some have no trial leases for suspect requests
-	ReplicaIncarnations               // replica incarnations, trial leases for suspect requests, replica advisories, refused frames
+	// Unannounced stands for builds that announce no level: some identify replicas by name
+	// only, some have no trial leases for suspect requests.
+	Unannounced uint32 = iota
+	// ReplicaIncarnations adds replica incarnations, trial leases for suspect requests,
+	// replica advisories and refused frames.
+	ReplicaIncarnations
 )
 
 // features describes, for operators, what each level enables.
