--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -40,7 +40,7 @@
 // Customer is a tenant on whose behalf requests are served.
 type Customer struct {
 	Name           string
-	Priority       int      // 0 is the highest
+	Priority       int      // 0 is the highest; below 0: that of the route applies
 	AllowedRegions []string // regions that may serve and store its requests; empty: all
 }
 
@@ -58,8 +58,8 @@
 	Targets        []Target
 	MaxAttempts    int // maximum number of replicas that a request is sent to
 	Stages         []Stage
-	Anonymous      bool
-	Resumable      bool
+	Anonymous      bool     // requests need no API key
+	Resumable      bool     // an interrupted stream may continue at another replica
 	AllowedRegions []string // regions that may serve and store its requests; empty: all
 }
 
@@ -94,8 +94,8 @@
 
 // Engine describes the capacity of one replica of a model engine.
 type Engine struct {
-	Slots         int
-	MemoryTokens  int64
+	Slots         int     // requests that run concurrently
+	MemoryTokens  int64   // capacity for prompts, in tokens
 	BytesPerToken int64   // memory of one prompt token
 	LinkMbps      float64 // bandwidth for transfers of prompt memory between engines; 0: unknown
 }
@@ -109,7 +109,7 @@
 	ItemTime     time.Duration // approximate additional time of each item
 	ResultMemory int64         // bytes available for results
 	ResultTTL    time.Duration // time that a result is kept
-	LinkMbps     float64
+	LinkMbps     float64       // as configured; not used
 }
 
 // Index builds the lookup table of Match. It must be called once, before the
@@ -196,8 +196,8 @@
 	Hall        string
 	Address     string // IP:port
 	Slots       int
-	Version     string // software version; "": not reported
-	Draining    bool
+	Version     string        // software version; "": not reported
+	Draining    bool          // it is leaving and receives no new work
 	WarmupLeft  time.Duration // remaining warm-up time when it was last reported
 
 	// Set by the instance, not part of the store's entry.
--- a/state/fleet/fleet.go
+++ b/state/fleet/fleet.go
@@ -32,16 +32,22 @@
 
 // Fleet is a complete declaration.
 type Fleet struct {
-	Name              string     `toml:"name"`
-	Region            string     `toml:"region"`
-	Halls             []string   `toml:"halls"`
-	AttainmentWeight  float64    `toml:"attainment_weight"`                              // 0 to 1; the remainder is the weight of cost by stage
-	AddressTTLSeconds int        `toml:"address_lifetime_seconds" json:"AddressSeconds"` // time that clients may cache an address response
-	Policy            string     `toml:"policy"`                                         // replica selection, see package scheduler
-	ShedSlackFactor   float64    `toml:"shed" json:"Shed"`                               // a queued request is shed once its slack is below this multiple of the expected stage time
-	Services          []Service  `toml:"service"`
-	Pipelines         []Pipeline `toml:"pipeline"`
-	Customers         []Customer `toml:"customer"`
+	Name   string   `toml:"name"`
+	Region string   `toml:"region"`
+	Halls  []string `toml:"halls"`
+	// AttainmentWeight is the weight of attainment (requests completed within their
+	// deadlines) in capacity planning, from 0 to 1; the remainder is the weight of cost by
+	// stage.
+	AttainmentWeight float64 `toml:"attainment_weight"`
+	// AddressTTLSeconds is the time for which clients may cache an address response.
+	AddressTTLSeconds int    `toml:"address_lifetime_seconds" json:"AddressSeconds"`
+	Policy            string `toml:"policy"` // replica selection, see package scheduler
+	// ShedSlackFactor sets when a queued request is shed: once its slack is below this
+	// multiple of the expected stage time.
+	ShedSlackFactor float64    `toml:"shed" json:"Shed"`
+	Services        []Service  `toml:"service"`
+	Pipelines       []Pipeline `toml:"pipeline"`
+	Customers       []Customer `toml:"customer"`
 }
 
 // Service is an upstream: a set of interchangeable replicas.
