--- a/coordination/limit/allocator.go
+++ b/coordination/limit/allocator.go
@@ -12,8 +12,8 @@
 type Allocator struct{ holders map[string]report }
 
 type report struct {
-	demand float64       // requests per second
-	at     time.Duration // when it was received
+	demand     float64 // requests per second
+	receivedAt time.Duration
 }
 
 // NewAllocator returns an allocator without holders.
@@ -25,12 +25,12 @@
 func (a *Allocator) Share(now time.Duration, holder string, demand, rate float64) float64 {
 	a.holders[holder] = report{demand, now}
 	total := 0.0
-	for h, d := range a.holders {
-		if now-d.at > reportLifetime {
+	for h, rep := range a.holders {
+		if now-rep.receivedAt > reportLifetime {
 			delete(a.holders, h)
 			continue
 		}
-		total += d.demand
+		total += rep.demand
 	}
 	if total <= rate {
 		return demand + (rate-total)/float64(len(a.holders))
@@ -40,8 +40,8 @@
 
 // Idle reports whether no holder has reported lately.
 func (a *Allocator) Idle(now time.Duration) bool {
-	for _, d := range a.holders {
-		if now-d.at <= reportLifetime {
+	for _, rep := range a.holders {
+		if now-rep.receivedAt <= reportLifetime {
 			return false
 		}
 	}
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -6,9 +6,9 @@
 
 // Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
-	tokens float64
-	at     time.Duration // when tokens was last updated
-	filled bool          // it was filled at its first use
+	tokens    float64
+	updatedAt time.Duration // when tokens was last updated
+	filled    bool          // it was filled at its first use
 }
 
 // Take spends one token of a bucket that fills at rate tokens per second up to burst.
@@ -20,10 +20,10 @@
 	}
 	burst = max(burst, 1)
 	if !b.filled {
-		b.tokens, b.at, b.filled = burst, now, true
+		b.tokens, b.updatedAt, b.filled = burst, now, true
 	}
-	b.tokens = min(b.tokens+rate*(now-b.at).Seconds(), burst)
-	b.at = now
+	b.tokens = min(b.tokens+rate*(now-b.updatedAt).Seconds(), burst)
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false, time.Duration((1 - b.tokens) / rate * float64(time.Second))
 	}
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -26,12 +26,12 @@
 
 func TestSharesFollowDemand(t *testing.T) {
 	is := is.New(t)
-	b := NewAllocator()
-	is.Equal(b.Share(0, "a", 300, 400), 400.0) // a single holder gets all of it
-	is.Equal(b.Share(0, "b", 0, 400), 50.0)    // half of the unused rate
-	is.Equal(b.Share(0, "c", 500, 400), 250.0) // 500 of 800
-	is.Equal(b.Share(time.Second, "a", 300, 400), 150.0)
-	is.Equal(b.Share(10*time.Second, "b", 0, 400), 400.0) // the other reports have expired
+	a := NewAllocator()
+	is.Equal(a.Share(0, "a", 300, 400), 400.0) // a single holder gets all of it
+	is.Equal(a.Share(0, "b", 0, 400), 50.0)    // half of the unused rate
+	is.Equal(a.Share(0, "c", 500, 400), 250.0) // 500 of 800
+	is.Equal(a.Share(time.Second, "a", 300, 400), 150.0)
+	is.Equal(a.Share(10*time.Second, "b", 0, 400), 400.0) // the other reports have expired
 }
 
 // Shares assigned in one round never add up to more than the rate.
@@ -39,14 +39,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "wants")
 		rate := rapid.Float64Range(1, 2000).Draw(t, "rate")
-		b := NewAllocator()
+		a := NewAllocator()
 		name := func(i int) string { return string(rune('a' + i)) }
-		for i, w := range demands {
-			b.Share(0, name(i), w, rate)
+		for i, demand := range demands {
+			a.Share(0, name(i), demand, rate)
 		}
 		sum := 0.0
-		for i, w := range demands {
-			sum += b.Share(0, name(i), w, rate)
+		for i, demand := range demands {
+			sum += a.Share(0, name(i), demand, rate)
 		}
 		if sum > rate*1.000001 {
 			t.Fatalf("shares add up to %g of %g", sum, rate)
