--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -104,8 +104,8 @@
 type brokenAnswer struct {
 	fingerprint Fingerprint
 	incarnation Incarnation
-	at          time.Duration // when it broke off
-	reconnected bool          // the replica has accepted a connection since
+	brokenAt    time.Duration
+	reconnected bool // the replica has accepted a connection since
 }
 
 // Tracker records which replicas ended while running which requests. It is not safe
@@ -153,8 +153,8 @@
 	if at, ok := t.ended[inc]; ok && now-at <= t.opts.MaxEndDelay {
 		return t.blame(now, f, inc)
 	}
-	t.dropBroken(func(x brokenAnswer) bool { return now-x.at > t.opts.MaxEndDelay })
-	t.broken = append(t.broken, brokenAnswer{fingerprint: f, incarnation: inc, at: now})
+	t.dropBroken(func(x brokenAnswer) bool { return now-x.brokenAt > t.opts.MaxEndDelay })
+	t.broken = append(t.broken, brokenAnswer{fingerprint: f, incarnation: inc, brokenAt: now})
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	t.ended[inc] = now
 	var out []Change
 	for _, x := range t.broken {
-		if x.incarnation == inc && now-x.at <= t.opts.MaxEndDelay && counts(x) {
+		if x.incarnation == inc && now-x.brokenAt <= t.opts.MaxEndDelay && counts(x) {
 			out = append(out, t.blame(now, x.fingerprint, inc)...)
 		}
 	}
@@ -309,7 +309,7 @@
 		}
 		return true
 	})
-	t.dropBroken(func(x brokenAnswer) bool { return now-x.at > t.opts.MaxEndDelay })
+	t.dropBroken(func(x brokenAnswer) bool { return now-x.brokenAt > t.opts.MaxEndDelay })
 	for inc, at := range t.ended {
 		if now-at > t.opts.MaxEndDelay {
 			delete(t.ended, inc)
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -14,60 +14,60 @@
 func incarnation(n int) Incarnation { return IncarnationOf(fmt.Sprint("r", n)) }
 
 // crash records the end of a replica while it ran some requests.
-func crash(b *Tracker, now time.Duration, n int, under ...Fingerprint) {
-	for _, f := range under {
-		b.RecordBroken(now, f, incarnation(n))
+func crash(tr *Tracker, now time.Duration, n int, requests ...Fingerprint) {
+	for _, f := range requests {
+		tr.RecordBroken(now, f, incarnation(n))
 	}
-	b.RecordEnd(now, incarnation(n))
+	tr.RecordEnd(now, incarnation(n))
 }
 
 func TestThreeEndsQuarantine(t *testing.T) {
 	is := is.New(t)
-	b := New(DefaultOptions(), 0)
+	tr := New(DefaultOptions(), 0)
 	for n, want := range []Verdict{Unsuspected, Suspect, Suspect, Quarantined} {
-		is.Equal(b.Check(0, 7), want)
-		crash(b, time.Duration(n)*time.Second, n, 7, 7)
-		crash(b, time.Duration(n)*time.Second, n, 7) // the same end counts once
+		is.Equal(tr.Check(0, 7), want)
+		crash(tr, time.Duration(n)*time.Second, n, 7, 7)
+		crash(tr, time.Duration(n)*time.Second, n, 7) // the same end counts once
 	}
-	is.Equal(b.Check(0, 8), Unsuspected)
+	is.Equal(tr.Check(0, 8), Unsuspected)
 }
 
 func TestBrokenAnswerWithoutEnd(t *testing.T) {
 	is := is.New(t)
-	b := New(DefaultOptions(), 0)
-	b.RecordBroken(0, 7, incarnation(1))
-	b.RecordConnection(incarnation(1))
-	b.RecordRemoval(time.Second, incarnation(1)) // ended later, for another reason
-	is.Equal(b.Check(0, 7), Unsuspected)
-	b.RecordBroken(0, 8, incarnation(3))
-	b.RecordConnection(incarnation(3)) // it had restarted already
-	b.RecordEnd(time.Second, incarnation(3))
-	is.Equal(b.Check(0, 8), Suspect)
-	b.RecordBroken(0, 7, incarnation(2))
-	b.RecordEnd(6*time.Second, incarnation(2)) // too late to be the cause of the broken answer
-	is.Equal(b.Check(0, 7), Unsuspected)
+	tr := New(DefaultOptions(), 0)
+	tr.RecordBroken(0, 7, incarnation(1))
+	tr.RecordConnection(incarnation(1))
+	tr.RecordRemoval(time.Second, incarnation(1)) // ended later, for another reason
+	is.Equal(tr.Check(0, 7), Unsuspected)
+	tr.RecordBroken(0, 8, incarnation(3))
+	tr.RecordConnection(incarnation(3)) // it had restarted already
+	tr.RecordEnd(time.Second, incarnation(3))
+	is.Equal(tr.Check(0, 8), Suspect)
+	tr.RecordBroken(0, 7, incarnation(2))
+	tr.RecordEnd(6*time.Second, incarnation(2)) // too late to be the cause of the broken answer
+	is.Equal(tr.Check(0, 7), Unsuspected)
 }
 
 func TestEndRecordedBeforeBrokenAnswer(t *testing.T) {
 	is := is.New(t)
-	b := New(DefaultOptions(), 0)
-	b.RecordEnd(0, incarnation(1))
-	b.RecordBroken(time.Millisecond, 7, incarnation(1))
-	is.Equal(b.Check(0, 7), Suspect)
+	tr := New(DefaultOptions(), 0)
+	tr.RecordEnd(0, incarnation(1))
+	tr.RecordBroken(time.Millisecond, 7, incarnation(1))
+	is.Equal(tr.Check(0, 7), Suspect)
 }
 
 func TestSuccessReleases(t *testing.T) {
 	is := is.New(t)
-	b := New(DefaultOptions(), 0)
-	crash(b, 0, 1, 7)
-	crash(b, 0, 2, 7)
-	b.RecordSuccess(0, 7)
-	is.Equal(b.Check(0, 7), Unsuspected)
-	crash(b, time.Second, 3, 7) // a frequent request that also ran there
-	is.Equal(b.Check(time.Second, 7), Unsuspected)
+	tr := New(DefaultOptions(), 0)
+	crash(tr, 0, 1, 7)
+	crash(tr, 0, 2, 7)
+	tr.RecordSuccess(0, 7)
+	is.Equal(tr.Check(0, 7), Unsuspected)
+	crash(tr, time.Second, 3, 7) // a frequent request that also ran there
+	is.Equal(tr.Check(time.Second, 7), Unsuspected)
 	late := DefaultOptions().SuccessTTL + 2*time.Second
-	crash(b, late, 4, 7) // a new version of the replicas may crash on a request that the old one answered
-	is.Equal(b.Check(late, 7), Suspect)
+	crash(tr, late, 4, 7) // a new version of the replicas may crash on a request that the old one answered
+	is.Equal(tr.Check(late, 7), Suspect)
 }
 
 // An old entry of another instance must not undo a release.
@@ -120,15 +120,15 @@
 	is := is.New(t)
 	o := DefaultOptions()
 	o.MaxCases = 100
-	b := New(o, 0)
+	tr := New(o, 0)
 	for n := range 3 {
-		crash(b, 0, n, 1)
+		crash(tr, 0, n, 1)
 	}
 	for n := range 10_000 {
-		crash(b, time.Duration(n)*time.Millisecond, 10+n, Fingerprint(100+n))
+		crash(tr, time.Duration(n)*time.Millisecond, 10+n, Fingerprint(100+n))
 	}
-	is.True(len(b.All(0)) <= 100)
-	is.Equal(b.Check(0, 1), Quarantined)
+	is.True(len(tr.All(0)) <= 100)
+	is.Equal(tr.Check(0, 1), Quarantined)
 }
 
 // An instance that has just started learns of a hundred quarantined requests at once.
@@ -139,16 +139,16 @@
 	const quarantined, peers = 100, 4
 	var informed []*Tracker
 	for p := range peers {
-		b := New(DefaultOptions(), 251*p)
+		tr := New(DefaultOptions(), 251*p)
 		for f := range quarantined {
 			for n := range 3 {
-				crash(b, 0, 3*f+n, Fingerprint(f))
+				crash(tr, 0, 3*f+n, Fingerprint(f))
 			}
 		}
 		for range 200 {
-			b.Updates(0) // all cases have been announced often enough
+			tr.Updates(0) // all cases have been announced often enough
 		}
-		informed = append(informed, b)
+		informed = append(informed, tr)
 	}
 	countQuarantined := func(b *Tracker) (count int) {
 		for f := range quarantined {
@@ -183,19 +183,19 @@
 // concurrently have changed too.
 func TestQuarantinedAreAnnouncedFirst(t *testing.T) {
 	is := is.New(t)
-	b := New(DefaultOptions(), 0)
+	tr := New(DefaultOptions(), 0)
 	concurrent := make([]Fingerprint, 0, 300)
 	for f := range Fingerprint(300) {
 		concurrent = append(concurrent, 100+f)
 	}
-	crash(b, 0, 1, append(concurrent, 7)...)
-	b.Updates(0)
-	crash(b, 0, 2, 7)
-	crash(b, 0, 3, 7)
-	is.Equal(b.Updates(0)[0].Fingerprint, Fingerprint(7))
+	crash(tr, 0, 1, append(concurrent, 7)...)
+	tr.Updates(0)
+	crash(tr, 0, 2, 7)
+	crash(tr, 0, 3, 7)
+	is.Equal(tr.Updates(0)[0].Fingerprint, Fingerprint(7))
 	announced := make(map[Fingerprint]bool)
 	for range 20 {
-		for _, e := range b.Updates(0) {
+		for _, e := range tr.Updates(0) {
 			announced[e.Fingerprint] = true
 		}
 	}
