--- a/coordination/featurelevel/featurelevel_test.go
+++ b/coordination/featurelevel/featurelevel_test.go
@@ -15,28 +15,28 @@
 // at once.
 func TestALevelRisesSlowlyAndFallsAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := &Tracker{}
-	is.True(!f.Observe(0, []uint32{1, 0}))
-	is.True(!f.Observe(second, []uint32{1, 1}))
-	is.True(!f.Observe(3*second, []uint32{1, 1}))
-	is.True(f.Observe(4*second, []uint32{1, 1, 2}))
-	is.Equal(f.InForce(), uint32(1))
-	is.True(f.Observe(5*second, []uint32{1, 0}))
-	is.Equal(f.InForce(), uint32(0))
+	tr := &Tracker{}
+	is.True(!tr.Observe(0, []uint32{1, 0}))
+	is.True(!tr.Observe(second, []uint32{1, 1}))
+	is.True(!tr.Observe(3*second, []uint32{1, 1}))
+	is.True(tr.Observe(4*second, []uint32{1, 1, 2}))
+	is.Equal(tr.InForce(), uint32(1))
+	is.True(tr.Observe(5*second, []uint32{1, 0}))
+	is.Equal(tr.InForce(), uint32(0))
 }
 
 // An instance of an older build that is seen only intermittently must not make the
 // level flap.
 func TestALevelDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	f := &Tracker{}
+	tr := &Tracker{}
 	changes := 0
 	for now := time.Duration(0); now < 100*second; now += second {
 		all := []uint32{1, 1}
 		if now%(3*second) == 0 { // seen every third second
 			all = append(all, 0)
 		}
-		if f.Observe(now, all) {
+		if tr.Observe(now, all) {
 			changes++
 		}
 	}
@@ -47,7 +47,7 @@
 // the live instances, and it rises only after the minimum was that high for SettleTime.
 func TestLevelInForceIsTheMinimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &Tracker{}
+		tr := &Tracker{}
 		now := time.Duration(0)
 		type observation struct {
 			at      time.Duration
@@ -58,17 +58,17 @@
 			now += time.Duration(rapid.IntRange(0, 2500).Draw(t, "ms")) * time.Millisecond
 			all := rapid.SliceOfN(rapid.Uint32Range(0, 3), 1, 4).Draw(t, "levels")
 			history = append(history, observation{now, slices.Min(all)})
-			before := f.InForce()
-			f.Observe(now, all)
-			if f.InForce() > slices.Min(all) {
-				t.Fatalf("level %d is in force, live instances have %v", f.InForce(), all)
+			before := tr.InForce()
+			tr.Observe(now, all)
+			if tr.InForce() > slices.Min(all) {
+				t.Fatalf("level %d is in force, live instances have %v", tr.InForce(), all)
 			}
-			if f.InForce() <= before {
+			if tr.InForce() <= before {
 				continue
 			}
 			for _, h := range history {
-				if h.at > now-SettleTime && h.minimum < f.InForce() {
-					t.Fatalf("%d took effect at %v, but at %v the minimum was %d", f.InForce(), now, h.at, h.minimum)
+				if h.at > now-SettleTime && h.minimum < tr.InForce() {
+					t.Fatalf("%d took effect at %v, but at %v the minimum was %d", tr.InForce(), now, h.at, h.minimum)
 				}
 			}
 		}
