--- a/coordination/rollout/plan.go
+++ b/coordination/rollout/plan.go
@@ -63,8 +63,8 @@
 	minWatchedFraction = 0.6                    // minimum fraction of the order's time limit before promotion
 	propagationTime    = 1 * time.Second        // until all instances have the phase and their reports are back: five heartbeats
 	storeWriteTime     = 500 * time.Millisecond // for writing the final state to the store
-	drainFactor        = 1.2                    // time for old replicas to drain, as a multiple of the longest observed request
-	minDrainTime       = 300 * time.Millisecond // also if no request was observed
+	drainFactor        = 1.2                    // time for old replicas to drain, as a multiple of Inputs.LongestRequest
+	minDrainTime       = 300 * time.Millisecond // for old replicas to drain, also if no request was observed
 	// Remaining time below which requests that can be moved to another replica are no
 	// longer waited for.
 	drainCutoff        = 2 * storeWriteTime
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -39,7 +39,7 @@
 
 // Standing is the position of a request relative to its customer's share.
 type Standing struct {
-	Within   bool
+	Within   bool    // the request is within the share for each resource that it needs
 	Resource string  // resource on which the customer is over its share; "" for none
 	Demand   float64 // units of that resource per second that the customer demands
 	Share    float64 // units of that resource per second that the customer may use
@@ -56,7 +56,7 @@
 	LearnInterval      time.Duration // between two updates of usage
 	MinLearned         time.Duration // time of learning from which on learned usage replaces reports
 	MaxScarceLearning  time.Duration // limit on learning during scarcity when no usage is known
-	MinReported        float64       // requests that a report must cover to count
+	MinReported        float64       // number of requests that a report must cover to count
 	MinAverage         float64       // averages below this, in units of the resource, are dropped
 }
 
