--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -27,7 +27,7 @@
 type Need struct {
 	Resource string
 	Work     float64 // in units of the resource, such as seconds of its replicas
-	Capacity float64 // units per second
+	Capacity float64 // of the resource, in units per second
 }
 
 // UsageReport is a customer's recent part of the load at the instance that accepted a
@@ -39,7 +39,7 @@
 
 // Standing is the position of a request relative to its customer's share.
 type Standing struct {
-	Within   bool
+	Within   bool    // the request is within the share for each resource that it needs
 	Resource string  // resource on which the customer is over its share; "" for none
 	Demand   float64 // units of that resource per second that the customer demands
 	Share    float64 // units of that resource per second that the customer may use
@@ -49,14 +49,14 @@
 type Options struct {
 	DemandWindow       time.Duration // averaging window of demand
 	UsageWindow        time.Duration // averaging window of usage
-	ExcessRatio        float64       // a customer is throttled when its demand per weight is this many times that of the others
+	ExcessRatio        float64       // a customer is throttled when its demand per weight exceeds this multiple of that of the others
 	BurstTolerance     float64       // requests within DemandWindow that may arrive together by chance
 	Burst              time.Duration // part of a share that may be used at once
 	AllocationInterval time.Duration // between two recomputations of the shares
 	LearnInterval      time.Duration // between two updates of usage
 	MinLearned         time.Duration // time of learning from which on learned usage replaces reports
 	MaxScarceLearning  time.Duration // limit on learning during scarcity when no usage is known
-	MinReported        float64       // requests that a report must cover to count
+	MinReported        float64       // number of requests that a report must cover to count
 	MinAverage         float64       // averages below this, in units of the resource, are dropped
 }
 
