--- a/cmd/node/owned_request.go
+++ b/cmd/node/owned_request.go
@@ -263,7 +263,7 @@
 		OutputTokens: int(ask.TokensOut),
 		Slack:        time.Duration(ask.SlackUs) * time.Microsecond,
 		Avoid:        make(map[string]bool),
-		Crashes:      int(ask.Ended),
+		ReplicaEnds:  int(ask.Ended),
 	}
 	for _, p := range ask.Parts {
 		r.Parts = append(r.Parts, catalog.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -165,7 +165,7 @@
 
 // Engine is the engine chosen for a stream, and where it fetches the cached
 // prefix that it lacks.
-type Engine struct {
+type EngineChoice struct {
 	Replica   catalog.Replica
 	FetchFrom string // IP:port of the replica that probably has the prefix cached; "" if nothing is fetched
 }
@@ -182,7 +182,7 @@
 // choose the same home and requests with common parts meet there. If the home
 // is overloaded, the next engine in rank runs the request and fetches the
 // cached prefix from the home.
-func (b *Balancer) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) Engine {
+func (b *Balancer) PickEngine(now time.Duration, shared []catalog.PromptPart, request string, candidates []catalog.Replica) EngineChoice {
 	key := request
 	if len(shared) > 0 {
 		key = shared[len(shared)-1].ID
@@ -208,7 +208,7 @@
 			break
 		}
 	}
-	return Engine{Replica: chosen, FetchFrom: fetchFrom(shared, chosen, ranked[0], candidates)}
+	return EngineChoice{Replica: chosen, FetchFrom: fetchFrom(shared, chosen, ranked[0], candidates)}
 }
 
 func fetchFrom(shared []catalog.PromptPart, chosen, home catalog.Replica, candidates []catalog.Replica) string {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -34,7 +34,7 @@
 	ResultBytes  map[string]int64     // bytes of results that the stream reads, by the hall that holds them
 	Avoid        map[string]bool      // IDs of excluded engines
 	RemoteCache  CachedPrefix         // longest prefix cached in other regions
-	Crashes      int                  // replicas that ended while running this request; a request with any is a suspect
+	ReplicaEnds  int                  // replicas that ended while running this request; a request with any is a suspect
 }
 
 // CachedPrefix is the part of a prompt that an engine has cached.
@@ -234,10 +234,10 @@
 // isolationRank returns the sort key of an engine for isolate; lower is better.
 func (r *Request) isolationRank(e *engine) []int {
 	rank := []int{min(e.trials, 1), 0, 0}
-	if r.Crashes > 0 {
+	if r.ReplicaEnds > 0 {
 		rank[1] = e.suspects
 	}
-	if r.Crashes >= TrialThreshold {
+	if r.ReplicaEnds >= TrialThreshold {
 		rank[2] = e.generating + e.prefilling
 	}
 	return rank
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -198,20 +198,20 @@
 		placer.FirstEvent(0, i)
 	}
 	decisive := request(10, 100, 200, "shared")
-	decisive.Crashes = 2
+	decisive.ReplicaEnds = 2
 	c := placer.begin(0, decisive)
 	is.Equal(c.Replica.ID, "e3")
 	taken := map[string]bool{"e3": true}
 	for i := range uint64(3) {
 		suspect := request(20+i, 100, 200, "shared") // its shared part is cached at e3
-		suspect.Crashes = 1
+		suspect.ReplicaEnds = 1
 		c := placer.begin(0, suspect)
 		is.True(!taken[c.Replica.ID])
 		taken[c.Replica.ID] = true
 	}
 	is.True(placer.begin(0, request(30, 100, 200, "shared")).Replica.ID != "e3")
 	late := request(31, 100, 200)
-	late.Crashes = 1
+	late.ReplicaEnds = 1
 	_, ok := placer.Place(0, late)
 	is.True(ok) // sharing an engine is better than not being placed
 	placer.End(0, 10)
@@ -226,7 +226,7 @@
 	count := make(map[string]int)
 	for i := range uint64(10) {
 		r := request(i, 1, 1, "shared") // cached at one engine, which would otherwise get all of them
-		r.Crashes = 1
+		r.ReplicaEnds = 1
 		count[placer.begin(0, r).Replica.ID]++
 		placer.FirstEvent(0, i)
 	}
@@ -234,10 +234,10 @@
 		is.True(n <= 3)
 	}
 	decisive := request(20, 1, 1, "shared")
-	decisive.Crashes = TrialThreshold
+	decisive.ReplicaEnds = TrialThreshold
 	c := placer.begin(0, decisive)
 	is.Equal(c.ConcurrentSuspects, 2)
 	late := request(21, 1, 1, "shared")
-	late.Crashes = 1
+	late.ReplicaEnds = 1
 	is.True(placer.begin(0, late).Replica.ID != c.Replica.ID) // does not share the engine of the trial
 }
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -30,7 +30,7 @@
 	e.evict(int(float64(e.memory) * o.CacheShare))
 	n := &run{
 		engine: e, startedAt: now, transfer: e.transferTime(c.TransferTokens), prefillTokens: c.PrefillTokens + e.pendingPrefill(now), outputTokens: r.OutputTokens,
-		warming: now < e.WarmingUntil, crashes: r.Crashes,
+		warming: now < e.WarmingUntil, crashes: r.ReplicaEnds,
 	}
 	e.countSuspect(n.crashes, 1)
 	prefill := e.prefillTime(c.PrefillTokens)
