--- a/coordination/pipeline/batch_mates.go
+++ b/coordination/pipeline/batch_mates.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// isolateAfterEnds is the number of replicas ended during a job from which on the job runs
-// alone, so that the next call shows whether it is the cause.
+// isolateAfterEnds is the number of replica ends during a job after which the job runs alone,
+// so that its next call shows whether it is the cause.
 const isolateAfterEnds = 2
 
-// batchMates is the jobs whose items share a call. If a call ends its replica, any of its
+// batchMates holds the jobs whose items share a call. If a call ends its replica, any of its
 // items may be the cause. Jobs during which one replica has ended are therefore split into
 // small groups, and after a second end each runs alone (group testing, after Dorfman, 1943).
 // With 20 jobs in a call, three ends identify the cause.
 type batchMates struct {
-	maxSuspects int // in a call
+	maxSuspects int // upper bound in a call
 	jobs        []*job
 }
 
--- a/coordination/pipeline/batching.go
+++ b/coordination/pipeline/batching.go
@@ -28,8 +28,9 @@
 }
 
 // targetFill returns how many items calls must hold for the arriving work to leave a share of
-// the replicas idle. With n items a call, arrivals a second and item seconds each, arrivals *
-// (call/n + item) replicas are busy.
+// the replicas idle. If a call holds n items, costs a fixed time of call seconds plus item
+// seconds for each of them, and arrivals items arrive a second, then arrivals * (call/n + item)
+// replicas are busy.
 func (p *pool) targetFill(now time.Duration, o *Options) float64 {
 	limit := float64(p.def.MaxBatch)
 	arrivals, itemSecondsRate := p.load.arrivalsAhead(now, math.MaxInt)
--- a/coordination/pipeline/call.go
+++ b/coordination/pipeline/call.go
@@ -16,7 +16,7 @@
 	sentAt      time.Duration
 	dueAt       time.Duration // expected end
 	resultBytes int64         // result memory reserved for its items
-	overdue     bool
+	overdue     bool          // it has taken too long, and its items were queued again
 }
 
 // updateSendGrants updates when rate-limited replicas may get their next calls. It returns at
@@ -184,7 +184,8 @@
 	s.emit(Call{ID: c.id, Service: p.name, Replica: r.ID, Name: r.Name, Address: r.Address, Items: items, Timeout: timeout})
 }
 
-// FinishCall takes the outcome of a call.
+// FinishCall records the outcome of a call and, if it was answered, the results of its items in
+// their order. An answer with the wrong number of results counts as a failure of the replica.
 func (s *Scheduler) FinishCall(now time.Duration, id uint64, outcome Outcome, results []Result) []Action {
 	c := s.calls[id]
 	if c == nil {
@@ -293,7 +294,8 @@
 	x.stage.pool.ready = append(x.stage.pool.ready, x)
 }
 
-// recordFailedCall handles the end of a call without results.
+// recordFailedCall handles the end of a call without results. Attempts in which no item ran
+// don't count against MaxAttempts.
 func (s *Scheduler) recordFailedCall(now time.Duration, c *call, outcome Outcome) {
 	r := c.replica
 	switch outcome {
--- a/coordination/pipeline/durations.go
+++ b/coordination/pipeline/durations.go
@@ -30,8 +30,8 @@
 	return time.Duration(t * float64(time.Second))
 }
 
-// isPremature reports whether an item's large result, read only by the request itself, would
-// just occupy memory, because the rest of the job takes longer.
+// isPremature reports whether an item should not run yet, because its large result, which only
+// the request itself reads, would occupy memory while the rest of the job still runs.
 func (x *stageItem) isPremature() bool {
 	st := x.stage
 	if st.def.ResultBytes < localityBytes || !st.isIsolated() {
--- a/coordination/pipeline/expiry.go
+++ b/coordination/pipeline/expiry.go
@@ -7,12 +7,15 @@
 	"time"
 )
 
-// lateRank is added to the rank of jobs that miss their objective.
+// lateRank is added to the rank of jobs that miss their objective, or are admitted although they
+// will, so that they rank behind all others.
 const lateRank = 1000
 
 // endHopelessJobs ends jobs that miss their deadline, and those that miss their objective
-// before any work was done on them, because waiting jobs take capacity from others. Started
-// jobs that are or will be late continue behind the others, those that are late for LateGrace.
+// before any work was done on them, because waiting jobs take capacity from others. A started
+// job that will be late continues behind the others, and ends once it has been late for
+// LateGrace. A job that was admitted late ends as soon as it can't meet its deadline. Jobs whose
+// replicas are all in backoff for too long end too (hopelessBackoff).
 func (s *Scheduler) endHopelessJobs(now time.Duration) {
 	for _, p := range s.poolsByName {
 		p.backoffUntil = p.backoffEnd(now)
@@ -61,7 +64,8 @@
 }
 
 // hopelessBackoff returns the end of the backoff of the pools that the job waits for if it is
-// too late for the job: after its latest start, or after its deadline if it has started.
+// too late for the job: after its latest start, or after its deadline if it has started or was
+// admitted late.
 // Otherwise it returns 0. This fails such jobs at once instead of at their deadline.
 func (j *job) hopelessBackoff() time.Duration {
 	until := time.Duration(0)
--- a/coordination/pipeline/fair_share.go
+++ b/coordination/pipeline/fair_share.go
@@ -83,7 +83,7 @@
 }
 
 const (
-	maxQueue       = 300 * time.Millisecond // work within shares that may wait at a pool
+	maxQueue       = 300 * time.Millisecond // work within shares that may wait at a pool, in time at its capacity
 	efficiencyStep = 0.02                   // per tick
 	minEfficiency  = 0.2                    // lower bound, as a share of the throughput with full calls
 )
@@ -98,7 +98,7 @@
 }
 
 // throttle demotes waiting jobs of customers that demand more than their share: the least
-// urgent ones, down to the work that the share completes soon.
+// urgent ones, down to the work that the share completes within throttledQueue.
 func (s *Scheduler) throttle(now time.Duration) {
 	for _, p := range s.poolsByName {
 		throttled := s.shares.Throttled(now, p.name)
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -24,8 +24,8 @@
 	stagesShare float64 // share of the requests that have items in their stages
 }
 
-// kinds is a load of three kinds that share their pools, as in deployments: an urgent one with
-// large results, one that uses all pools, and a third that does too and has the longest
+// kinds returns three kinds of requests that share their pools, as in deployments: an urgent one
+// with large results, one that uses all pools, and a third that does too and has the longest
 // deadline.
 func kinds() []requestKind {
 	chain := []Stage{
@@ -367,6 +367,7 @@
 // kindWorth is the worth of an answer in time, by kind.
 var kindWorth = map[string]float64{"urgent": 4, "usual": 1, "patient": 0.5}
 
+// lateWorth is the worth of a late answer, as a share of that of an answer in time.
 const lateWorth = 0.15
 
 // worth returns the worth of the answers as a share of the most that was possible.
--- a/coordination/pipeline/forecast.go
+++ b/coordination/pipeline/forecast.go
@@ -10,11 +10,11 @@
 // submission.
 type Forecast struct {
 	Service string
-	Items   int
+	Items   int           // of the job in this stage
 	Ahead   int           // items that wait at the pool and go before
 	Ready   time.Duration // when the stage's inputs are available
 	Starts  time.Duration // when the last of its items is in a call
-	Ends    time.Duration
+	Ends    time.Duration // when all of its items are done
 }
 
 // String formats the forecast for logs.
--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -34,7 +34,7 @@
 	index       int
 	def         Stage
 	pool        *pool
-	itemSeconds float64       // that one item adds to a call
+	itemSeconds float64       // time that one item adds to a call
 	latestStart time.Duration // for the job to meet its objective
 	forecast    Forecast      // made when the job was submitted
 	items       []*stageItem
@@ -140,7 +140,7 @@
 	}
 }
 
-// localityBytes is how much an item must read or make for its hall to matter.
+// localityBytes is the number of bytes that an item must exchange with a hall to prefer it.
 const localityBytes = 150_000
 
 // choosePreferredHall returns the hall that exchanges the most bytes with the item. It counts
@@ -287,7 +287,7 @@
 	s.cancelUnwantedCalls()
 }
 
-// FailRequest ends the job of a request.
+// FailRequest ends the job of a request with the given reason.
 func (s *Scheduler) FailRequest(now time.Duration, request, reason string) []Action {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		if j := s.jobs[id]; j.RequestID == request {
--- a/coordination/pipeline/load.go
+++ b/coordination/pipeline/load.go
@@ -11,9 +11,9 @@
 type rankLoad struct {
 	rank           int
 	items          int     // admitted and not running
-	waitingSeconds float64 // that the items add to calls
+	waitingSeconds float64 // time that these items add to calls, without the calls' fixed times
 	recentItems    float64 // items admitted recently, decaying
-	recentSeconds  float64 // that these items add to calls, decaying
+	recentSeconds  float64 // time that these items add to calls, decaying
 	queuedBytes    int64   // results of admitted jobs that have not started
 	recentBytes    float64 // results of jobs admitted recently, decaying
 	decayedAt      time.Duration
--- a/coordination/pipeline/memory.go
+++ b/coordination/pipeline/memory.go
@@ -16,12 +16,22 @@
 // work is done, where ranks order them and plans can account for them.
 
 const (
-	holdTimeWeight    = 0.1                   // weight of a new sample; about the last ten count
-	intermediatePart  = 0.1                   // share of a pool's memory reserved for results that later stages read
-	upstreamBuffer    = 2.0                   // memory that may be reserved beyond the capacity, as a multiple of the bytes that are read while a job's first stages run; keeps every replica supplied with items
-	arrivalDeviations = 2.0                   // standard deviations of the memory that more urgent jobs take while a job waits
-	memoryWaitPart    = 0.4                   // share of its slack that a job may be expected to wait for memory; the rest is for arrivals and for queues of its stages
-	memoryStep        = 50 * time.Millisecond // time step of a memory forecast
+	// Weight of a new sample in the average hold times; about the last ten count.
+	holdTimeWeight = 0.1
+	// Share of a pool's memory reserved for results that later stages read there, which may be
+	// small but must not find the memory full.
+	intermediatePart = 0.1
+	// Memory that may be reserved beyond the capacity, as a multiple of the bytes that are read
+	// while a job's first stages run; keeps every replica supplied with items.
+	upstreamBuffer = 2.0
+	// Standard deviations by which the forecast raises the expected memory of the more urgent
+	// jobs that arrive while a job waits.
+	arrivalDeviations = 2.0
+	// Share of its slack that a job may be expected to wait for memory; the rest is for arrivals
+	// and for queues of its stages.
+	memoryWaitPart = 0.4
+	// Time step of a memory forecast.
+	memoryStep = 50 * time.Millisecond
 )
 
 // memoryUse describes the result memory of a pool.
--- a/coordination/pipeline/options.go
+++ b/coordination/pipeline/options.go
@@ -9,28 +9,59 @@
 
 // Options are the settings of a Scheduler.
 type Options struct {
-	ObjectiveMargin      float64       // share of the objective that a new job may be expected to take
-	LateWorth            float64       // worth of a late answer, with 1 for one in time; from the settings
-	RetryWorth           float64       // worth of an answer that is in time after a refusal; below 1 because its caller waited in vain once
-	ServedWorth          float64       // extra worth of any answer, in time or late; from the settings
-	DeadlineMargin       float64       // share of the deadline that a retried or late job may be expected to take; the engine needs the rest
-	RetryObjectiveFactor float64       // also limits a retried job to this multiple of its objective if late jobs are not admitted; one that takes much longer is given up before it ends
-	LateGrace            float64       // share of the objective for which a late job continues
-	OverdueFactor        float64       // multiple of the expected time after which a call is overdue; above the usual variation of calls
-	OverdueSlack         time.Duration // added to OverdueFactor times the expected time
-	TargetUtilization    float64       // share of a pool's replicas that arriving work may keep busy before items wait for fuller calls
-	LastReplicaFill      float64       // share of a full batch that may take the last idle replica even if it is not urgent
-	UrgentSlack          float64       // multiple of a call's fixed time; an item this close to its latest start does not wait for a fuller call
-	HallSlack            float64       // multiple of a call's fixed time; an item that would start in its hall closer than this to its latest start may go elsewhere
-	MaxAttempts          int           // of an item; more would cost others more than the job is worth
-	RefusalPause         time.Duration // for a replica that refused a call; half of a short call
-	InitialPause         time.Duration // for a replica that failed, doubled with each failure; two calls
-	MaxPause             time.Duration // upper bound of the pause, so that a recovered replica is soon used again
-	DefaultRetryAfter    time.Duration // for jobs whose pools are unknown or have no replicas, and for jobs that were given up
-	WarmUpLimit          warmup.Limit  // for calls to warming replicas
-	SendGrants           pace.Limiter  // nil: rate limits of replicas are ignored
-	MaxSuspectsPerCall   int           // jobs during which one replica has ended that may share a call; about the square root of the jobs in a full call
-	MinRetryAfter        time.Duration // lower bound for the retry time of a refused job
+	// Share of the objective that a new job may be expected to take.
+	ObjectiveMargin float64
+	// Worth of a late answer, with 1 for one in time; from the settings.
+	LateWorth float64
+	// Worth of an answer that is in time after a refusal; below 1 because its caller waited in
+	// vain once.
+	RetryWorth float64
+	// Extra worth of any answer, in time or late; from the settings.
+	ServedWorth float64
+	// Share of the deadline that a retried or late job may be expected to take; the engine needs
+	// the rest.
+	DeadlineMargin float64
+	// Multiple of its objective that a retried job may also be expected to take at most if late
+	// jobs are not admitted; a job that takes much longer is given up before it ends.
+	RetryObjectiveFactor float64
+	// Share of the objective for which a late job continues.
+	LateGrace float64
+	// Multiple of the expected time after which a call is overdue; above the usual variation of
+	// calls.
+	OverdueFactor float64
+	// Added to OverdueFactor times the expected time.
+	OverdueSlack time.Duration
+	// Share of a pool's replicas that arriving work may keep busy before items wait for fuller
+	// calls.
+	TargetUtilization float64
+	// Share of a full batch that may take the last idle replica even if it is not urgent.
+	LastReplicaFill float64
+	// Multiple of a call's fixed time; an item this close to its latest start does not wait for
+	// a fuller call.
+	UrgentSlack float64
+	// Multiple of a call's fixed time; an item that would start in its preferred hall closer
+	// than this to its latest start may run in another one.
+	HallSlack float64
+	// Attempts to run an item; more would cost others more than the job is worth.
+	MaxAttempts int
+	// Pause of a replica that refused a call; half of a short call.
+	RefusalPause time.Duration
+	// Pause of a replica that failed, doubled with each failure; two calls.
+	InitialPause time.Duration
+	// Upper bound of the pause, so that a recovered replica is soon used again.
+	MaxPause time.Duration
+	// Retry time of jobs whose pools are unknown or have no replicas, and of jobs that were
+	// given up.
+	DefaultRetryAfter time.Duration
+	// Limits the calls to warming replicas.
+	WarmUpLimit warmup.Limit
+	// Rate limits of replicas; they are ignored if it is nil.
+	SendGrants pace.Limiter
+	// Upper bound of the jobs that may share a call although one replica has ended during each;
+	// about the square root of the jobs in a full call.
+	MaxSuspectsPerCall int
+	// Lower bound of the retry time of a refused job.
+	MinRetryAfter time.Duration
 }
 
 // Option sets some of the Options.
--- a/coordination/pipeline/pipeline.go
+++ b/coordination/pipeline/pipeline.go
@@ -26,7 +26,7 @@
 	Stage     int
 	Index     int
 	TimeLeft  time.Duration // until the result is useless
-	Key       string        // set for stages without inputs
+	Key       string        // Job.Key, for stages without inputs
 	Inputs    []string      // handles of the results that the item reads
 }
 
@@ -44,8 +44,8 @@
 
 // Result is the outcome of one item of a call.
 type Result struct {
-	Handle string
-	Reason Reason
+	Handle string // identifies the result at the replica that holds it; "" if there is none
+	Reason Reason // why there is no result
 }
 
 // Outcome is how a call ended as a whole.
@@ -65,7 +65,7 @@
 // Stage is one stage of a job.
 type Stage struct {
 	Service     string
-	After       []int
+	After       []int // indexes of earlier stages whose results it reads
 	Items       int
 	ResultBytes int64 // of one item's result
 }
@@ -73,7 +73,7 @@
 // Job describes the stages of a request.
 type Job struct {
 	RequestID     string
-	Key           string
+	Key           string // passed to the items of stages without inputs
 	Customer      string
 	ReportedUsage shares.UsageReport // of the customer, as reported with the request
 	Rank          int                // 0 is the most urgent
@@ -99,10 +99,10 @@
 	RetryAfter  time.Duration   // delay after which a refused job may be submitted again
 	Expected    time.Duration   // until the job's stages are done
 	Uncontended time.Duration   // part of Expected that the stages take without queueing
-	Limit       time.Duration   // upper bound for Expected
+	Limit       time.Duration   // a job with a longer Expected is refused
 	Bottleneck  string          // service whose pool the job waits for longest; "" for none
 	Stages      []Forecast      // forecast of each stage that has items
-	Standing    shares.Standing // within the customer's share
+	Standing    shares.Standing // whether the job is within its customer's share
 }
 
 // Action is what the caller must do; it is one of the types below.
@@ -211,7 +211,7 @@
 	return s.takeActions()
 }
 
-// MarkDraining records that a replica has announced that it is draining.
+// MarkDraining records that a replica is draining, in whatever way it announced that.
 func (s *Scheduler) MarkDraining(id string) {
 	for _, p := range s.poolsByName {
 		if r := p.replicas[id]; r != nil {
@@ -220,8 +220,9 @@
 	}
 }
 
-// SetBackoff records until when a replica accepts no calls. It counts as free from then on, so
-// jobs that have the time wait for it and others are refused.
+// SetBackoff records until when a replica accepts no calls. The replica counts as free from then
+// on, so jobs that have the time wait for it and others are refused. An earlier end than the
+// recorded one is ignored.
 func (s *Scheduler) SetBackoff(id string, until time.Duration) {
 	for _, p := range s.poolsByName {
 		if r := p.replicas[id]; r != nil {
@@ -230,7 +231,7 @@
 	}
 }
 
-// RecordReplicaState takes the free result memory that a replica reports and whether it is
+// RecordReplicaState records the free result memory that a replica reports and whether it is
 // running a call. This matters where another owner has used the replica recently.
 func (s *Scheduler) RecordReplicaState(now time.Duration, id string, freeBytes int64, busy bool) {
 	for _, p := range s.poolsByName {
@@ -281,7 +282,8 @@
 	return s.takeActions()
 }
 
-// Tick does what is due by time alone; call it several times a second.
+// Tick handles everything that is due because of the time alone, such as overdue calls and
+// expired jobs. It must be called several times a second.
 func (s *Scheduler) Tick(now time.Duration) []Action {
 	s.retryOverdueCalls(now)
 	s.throttle(now)
@@ -313,7 +315,7 @@
 // PoolState describes a pool in the state dump.
 type PoolState struct {
 	Service         string
-	WaitingItems    int           `json:"Waiting"`
+	WaitingItems    int           `json:"Waiting"` // items that wait for a call
 	BacklogTime     time.Duration `json:"Clear"`   // time until all admitted work is done
 	BusyReplicas    int           `json:"AtWork"`  // replicas that run a call
 	ServingReplicas int           `json:"Serving"` // replicas that count as capacity
--- a/coordination/pipeline/plan.go
+++ b/coordination/pipeline/plan.go
@@ -18,8 +18,8 @@
 	replicas     []plannedReplica // heap by freeAt
 	itemsAhead   float64          // waiting items that go before the job
 	arrivalRate  float64          // items a second that will still arrive and go before the job
-	countedUntil time.Duration    // from now; arrivals up to then are in itemsAhead
-	itemSeconds  float64          // that each of these items adds to a call
+	countedUntil time.Duration    // from now; arrivals up to this time are in itemsAhead
+	itemSeconds  float64          // time that each of these items adds to a call
 }
 
 // plannedReplica is a replica in a plan.
@@ -128,10 +128,11 @@
 	return arrivalDecay.Seconds() * (1 - math.Exp(-until.Seconds()/arrivalDecay.Seconds()))
 }
 
-// noReplicaWait stands for the expected time in a pool without replicas.
+// noReplicaWait stands for the expected time in a pool without replicas; a job
+// refused for it gets DefaultRetryAfter.
 const noReplicaWait = time.Hour
 
-// drainTime returns the time until a pool has finished all waiting work.
+// backlogTime returns the time until a pool has finished all admitted work.
 func (p *pool) backlogTime(now time.Duration) time.Duration {
 	pl := p.newPlan(now, lateRank*2)
 	for pl.itemsAhead >= 1 {
--- a/coordination/pipeline/pool.go
+++ b/coordination/pipeline/pool.go
@@ -10,7 +10,7 @@
 	"quinceroad/state/catalog"
 )
 
-// pool is the replicas of one service and the items that wait for them.
+// pool holds the replicas of one service and the items that wait for them.
 type pool struct {
 	name                string
 	def                 catalog.Pool
@@ -19,13 +19,13 @@
 	ready               []*stageItem
 	load                load
 	memory              memoryUse
-	sizeFactors         map[int64]float64
-	warmUpRate          int            // calls a second to a warming replica; 0: unlimited
-	warmUpCalls         *warmup.Window // to warming replicas
-	cachedReplicas      float64        // effectiveReplicas, valid until cachedReplicasUntil
+	sizeFactors         map[int64]float64 // by the bytes of an item's result; see sizeFactor
+	warmUpRate          int               // calls a second to a warming replica; 0: unlimited
+	warmUpCalls         *warmup.Window    // to warming replicas
+	cachedReplicas      float64           // effectiveReplicas, valid until cachedReplicasUntil
 	cachedReplicasUntil time.Duration
 	efficiency          float64       // actual throughput as a share of that with full calls, adjusted by the queue
-	backoffUntil        time.Duration // when the first replica ends its backoff, as of the last tick; 0: some replica is not in backoff
+	backoffUntil        time.Duration // see backoffEnd; as of the last tick
 }
 
 func newPool(name string) *pool {
@@ -41,8 +41,8 @@
 // replica is one replica of a pool.
 type replica struct {
 	catalog.Replica
-	draining     bool
-	unlisted     bool
+	draining     bool  // gets no new calls until its incarnation ends
+	unlisted     bool  // no longer listed, but a call is still running
 	call         *call // running call, or nil
 	heldBytes    int64 // results held there, including those of its running call
 	results      map[string]*heldResult
@@ -167,8 +167,8 @@
 
 const (
 	sizeFactorGain = 0.25 // share of a call's error that corrects its items' factors; settles in about five calls
-	minSizeFactor  = 0.05 // bounds the effect of wrong measurements
-	maxSizeFactor  = 4
+	minSizeFactor  = 0.05 // of the pool's nominal item; bounds the effect of wrong measurements
+	maxSizeFactor  = 4    // likewise
 	slowdownWeight = 0.3  // weight of the latest call; a slow replica shows within three calls
 	minSlowdown    = 0.02 // calls declared to take seconds may end in tens of ms; also bounds the effect of wrong measurements
 	maxSlowdown    = 8    // slower replicas are treated as this slow
@@ -189,7 +189,8 @@
 	}
 	ratio := took.Seconds() / expected
 	if allSucceeded && ratio < r.slowdown/2 {
-		r.slowdown = clamp(ratio, minSlowdown, maxSlowdown) // a call can't end before its work is done, so one fast call is enough evidence
+		// A call can't end before its work is done, so one fast call is enough evidence.
+		r.slowdown = clamp(ratio, minSlowdown, maxSlowdown)
 	}
 	r.slowdown = clamp(r.slowdown+slowdownWeight*(ratio-r.slowdown), minSlowdown, maxSlowdown)
 	if ratio > 1.5*r.slowdown || squares == 0 {
