--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -16,14 +16,14 @@
 
 // Step is one stage of the plan.
 type Step struct {
-	Pipeline string
-	Stage    string
-	Service  string
-	Halls    []string
-	Slots    int
-	PerSec   float64       // stages per second of the whole service at the expected duration
-	Budget   time.Duration // the stage's share of the deadline
-	Cost     float64       // units per request
+	Pipeline        string
+	Stage           string
+	Service         string
+	Halls           []string
+	Slots           int
+	StagesPerSecond float64       // stages per second of the whole service at the expected duration
+	Budget          time.Duration // the stage's share of the deadline
+	Cost            float64       // units per request
 }
 
 // Plan describes the effects of a declaration.
@@ -103,9 +103,9 @@
 		p.Steps = append(p.Steps, Step{
 			Pipeline: pl.Name, Stage: st.Name, Service: st.Service,
 			Halls: c.halls, Slots: c.slots,
-			PerSec: math.Round(10*float64(c.slots)/st.ExpectedTime().Seconds()) / 10,
-			Budget: time.Duration(share * float64(pl.Deadline())),
-			Cost:   st.ExpectedTime().Seconds() * svc.Cost,
+			StagesPerSecond: math.Round(10*float64(c.slots)/st.ExpectedTime().Seconds()) / 10,
+			Budget:          time.Duration(share * float64(pl.Deadline())),
+			Cost:            st.ExpectedTime().Seconds() * svc.Cost,
 		})
 	}
 }
