--- a/coordination/placement/options.go
+++ b/coordination/placement/options.go
@@ -23,7 +23,7 @@
 	CacheTTL             time.Duration // time since its last use after which a part is assumed evicted
 	CacheReportTTL       time.Duration // time for which an engine's own cache report is trusted
 	HighOccupancy        float64       // slot occupancy above which HighOccupancyCost applies, rising to its full value at 1
-	HighOccupancyCost    float64
+	HighOccupancyCost    float64       // of a stream on an engine without free slots
 }
 
 // DefaultOptions returns the options used in production.
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -68,15 +68,15 @@
 
 type engine struct {
 	catalog.Replica
-	warmUpRate       int // maximum requests per second while warming; 0: unlimited
-	slots            int
-	memory           int
-	generating       int // streams past their first event
-	prefilling       int // streams before their first event
-	suspects         int // running requests with Crashes > 0
-	trials           int // running requests with Crashes >= TrialThreshold
-	busyUntil        time.Duration
-	prefillShare     float64 // recent share of time spent on prefill, as of prefillShareAt
+	warmUpRate       int           // maximum requests per second while warming; 0: unlimited
+	slots            int           // streams that it runs at the same time; 0: unknown
+	memory           int           // in tokens
+	generating       int           // streams past their first event
+	prefilling       int           // streams before their first event
+	suspects         int           // running requests with ReplicaEnds > 0
+	trials           int           // running requests with ReplicaEnds >= TrialThreshold
+	busyUntil        time.Duration // estimated end of the prefills that were placed on it
+	prefillShare     float64       // recent share of time spent on prefill, as of prefillShareAt
 	prefillShareAt   time.Duration
 	speed            *speed.ServiceEstimator
 	replicaSpeed     speed.ReplicaEstimator // speed relative to the service's other replicas
@@ -206,9 +206,9 @@
 	return r.isolate(out)
 }
 
-// TrialThreshold is the number of crashes after which a request's next run is a
-// trial: no other request is placed on its engine, so that one more crash
-// identifies the request as the cause.
+// TrialThreshold is the number of replica ends during a request after which its
+// next run is a trial: no other request is placed on its engine, so that one
+// more end identifies the request as the cause.
 const TrialThreshold = 2
 
 // isolate returns the engines with the best isolation rank. It avoids engines
@@ -287,7 +287,7 @@
 	firstEvent := queue + prefill + e.transferTime(transferred) + e.baseTime()
 
 	c := o.FirstEventSecondCost*firstEvent.Seconds() + o.TransferTokenCost*float64(transferred)
-	if r.Slack > 0 {
+	if r.Slack > 0 { // the cost of lateness rises between 60% and 110% of the slack
 		c += o.LateCost * ramp(firstEvent.Seconds(), 0.6*r.Slack.Seconds(), 1.1*r.Slack.Seconds())
 	}
 	c += o.StallCost * float64(e.generating) * ramp((queue+prefill).Seconds(), o.StallMin.Seconds(), o.StallMax.Seconds())
--- a/coordination/placement/requests.go
+++ b/coordination/placement/requests.go
@@ -12,11 +12,11 @@
 	warming       bool          // whether the engine was warming when the request started
 	hasFirstEvent bool
 	firstEventAt  time.Duration // valid if hasFirstEvent
-	crashes       int           // Request.Crashes
+	replicaEnds   int           // Request.ReplicaEnds
 }
 
-// Begin records the start of a request on its engine, and its prompt as cached
-// there.
+// Begin records the start of a request on its engine. Its prompt counts as cached
+// there from now on.
 func (p *Placer) Begin(now time.Duration, r *Request, c Choice) {
 	e := p.engines[c.Replica.ID]
 	if e == nil {
@@ -30,9 +30,9 @@
 	e.evict(int(float64(e.memory) * o.CacheShare))
 	n := &run{
 		engine: e, startedAt: now, transfer: e.transferTime(c.TransferTokens), prefillTokens: c.PrefillTokens + e.pendingPrefill(now), outputTokens: r.OutputTokens,
-		warming: now < e.WarmingUntil, crashes: r.ReplicaEnds,
+		warming: now < e.WarmingUntil, replicaEnds: r.ReplicaEnds,
 	}
-	e.countSuspect(n.crashes, 1)
+	e.countSuspect(n.replicaEnds, 1)
 	prefill := e.prefillTime(c.PrefillTokens)
 	e.busyUntil = max(e.busyUntil, now) + prefill
 	e.prefillShare = e.decayedPrefillShare(now, o) + prefill.Seconds()/o.PrefillShareWindow.Seconds()
@@ -46,14 +46,14 @@
 	p.runs[r.ID] = n
 }
 
-// countSuspect adds by to the engine's suspect and trial counts, as far as they
-// apply to a request with that many crashes.
-func (e *engine) countSuspect(crashes, by int) {
-	if crashes > 0 {
-		e.suspects += by
+// countSuspect adds delta to the engine's suspect and trial counts, as far as
+// they apply to a request during which that many replicas ended.
+func (e *engine) countSuspect(replicaEnds, delta int) {
+	if replicaEnds > 0 {
+		e.suspects += delta
 	}
-	if crashes >= TrialThreshold {
-		e.trials += by
+	if replicaEnds >= TrialThreshold {
+		e.trials += delta
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	delete(p.runs, id)
-	r.engine.countSuspect(r.crashes, -1)
+	r.engine.countSuspect(r.replicaEnds, -1)
 	if r.hasFirstEvent {
 		r.engine.generating--
 		r.engine.speed.ObserveGeneration(r.outputTokens, now-r.firstEventAt)
