--- a/coordination/speed/fit.go
+++ b/coordination/speed/fit.go
@@ -10,7 +10,10 @@
 const (
 	sizeBuckets         = 18 // buckets by powers of two of the prompt tokens, up to 130,000
 	observationsPerSize = 16 // capacity of each size bucket
-	generationWindow    = 99 // generation times for the median: they vary by a factor of ten, because requests state their output length only roughly
+
+	// Number of generation times for the median: they vary by a factor of ten,
+	// because requests state their output length only roughly.
+	generationWindow = 99
 )
 
 // point is an observation: x tokens were prefilled in y nanoseconds.
@@ -50,12 +53,15 @@
 }
 
 const (
-	minWeight   = 1e-3 // of an old observation, which is better than none of its size
-	longestRank = 3    // number of observations that must reach a prompt length for it to count as observed, as a single one may be a wrong measurement
+	// Weight of an old observation, which is better than none of its size.
+	minWeight = 1e-3
+	// Number of observations that must reach a prompt length for it to count as
+	// observed, as a single one may be a wrong measurement.
+	longestRank = 3
 )
 
-// longest returns the prompt length that at least longestRank observations
-// reach.
+// longest returns the prompt length in tokens that at least longestRank
+// observations reach; 0 if there are too few.
 func (s *sizeWindows) longest() int {
 	var top []float64
 	for _, window := range slices.Backward(s.samples[:]) {
@@ -73,7 +79,7 @@
 const (
 	fitRounds           = 12   // enough for the line to converge to within 1%
 	minRelativeResidual = 0.02 // lower bound of residuals, as a share of the expected time, for the reweighting
-	minBase             = 1e6  // nanoseconds
+	minBase             = 1e6  // nanoseconds; lower bound of a line's base and of expected times
 )
 
 // regress fits the line that the given quantile of the points lies under, with
@@ -126,7 +132,7 @@
 // generationTimes keeps the latest times per generated token.
 type generationTimes struct {
 	samples [generationWindow]time.Duration
-	n       int
+	n       int // recorded so far, including those that were overwritten
 }
 
 func (o *generationTimes) add(t time.Duration) {
--- a/coordination/speed/speed.go
+++ b/coordination/speed/speed.go
@@ -19,7 +19,7 @@
 
 // Options are the settings of a ServiceEstimator.
 type Options struct {
-	Prior              Estimate      // estimate without observations: no configuration states the engines' speed
+	Prior              Estimate      // used without observations: no configuration states the engines' speed
 	MinObservations    int           // observations after which the prior no longer counts
 	RefitEvery         int           // observations between two fits
 	UpperBoundQuantile float64       // quantile of the UpperBound line
@@ -28,7 +28,7 @@
 	FactorWeight       float64       // weight of the latest observation in a replica's factor: a slow replica shows within five
 	MinFactor          float64       // lower bound of a replica's factor, against wrong measurements
 	MaxFactor          float64       // upper bound of a replica's factor
-	OutlierFactor      float64       // replicas with a factor above this, or below its inverse, are excluded from the service's fit
+	OutlierFactor      float64       // factor above which, or below whose inverse, a replica is excluded from the fit
 }
 
 // Prior returns the estimate used before any observation or peer's record, for
@@ -76,7 +76,7 @@
 	UpperBound     Line          `json:"Likely"`  // Options.UpperBoundQuantile of the time to first event
 	PerOutputToken time.Duration `json:"PerOut"`  // time per generated token
 	LongestPrompt  int           `json:"Longest"` // longest prompt observed, in tokens; see longestRank
-	Count          int           // observations
+	Count          int           // observations; of a combined estimate, origins
 }
 
 // ServiceEstimator estimates the speed of one service's engines. It is not safe
@@ -186,8 +186,11 @@
 }
 
 const (
-	maxRatioStep     = 4    // maximum ratio of one observation to the replica's factor, so that a single paused request doesn't mark a replica as slow
-	medianFactorStep = 0.02 // relative step of the running median, up or down per observation
+	// Maximum ratio of one observation to the replica's factor, so that a single
+	// paused request doesn't mark a replica as slow.
+	maxRatioStep = 4
+	// Relative step of the running median, up or down per observation.
+	medianFactorStep = 0.02
 )
 
 func (s *ServiceEstimator) isOutlier(r *ReplicaEstimator) bool {
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -105,15 +105,15 @@
 // influence on the service's estimate.
 func TestOutlierReplicaDoesNotSkewServiceSpeed(t *testing.T) {
 	for _, c := range []struct {
-		took time.Duration
-		cold bool
+		took    time.Duration
+		warming bool
 	}{{time.Millisecond, false}, {20 * time.Second, false}, {500 * time.Millisecond, true}} {
 		is := is.New(t)
 		s, e, wrong := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &ReplicaEstimator{}
 		at := e.observe(s, 0, 400, 1)
 		for i := range uint64(40) {
 			for range 6 { // more than its share of requests
-				s.Observe(at, wrong, 1000, c.took, c.cold)
+				s.Observe(at, wrong, 1000, c.took, c.warming)
 			}
 			at = e.observe(s, at, 10, i)
 		}
@@ -130,10 +130,10 @@
 	e.observe(old, 0, 500, 1)
 	var records Records
 	is.True(records.RecordLocal(0, 7, "llm", old.Estimate()))
-	told, ok := records.Combined(time.Second, "llm")
+	combined, ok := records.Combined(time.Second, "llm")
 	is.True(ok)
 	s := New(DefaultOptions())
-	is.True(s.Seed(0, told))
+	is.True(s.Seed(0, combined))
 	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.15)
 	e.observe(s, 0, 50, 2)
 	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.2)
