--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -31,7 +31,7 @@
 	meanAnswerSeconds float64 // moving average; 0: unknown
 }
 
-// New returns a balancer that knows no loads.
+// New returns a balancer without recorded loads.
 func New() *Balancer { return &Balancer{loads: make(map[string]*replicaLoad)} }
 
 func (b *Balancer) loadOf(id string) *replicaLoad {
@@ -43,11 +43,11 @@
 	return r
 }
 
-// Begin counts a request sent to a replica; End counts it off again.
+// Begin records that a request was sent to a replica.
 func (b *Balancer) Begin(id string) { b.loadOf(id).inFlight++ }
 
-// End records the end of a request and its answer time; 0 if there was no
-// answer.
+// End records the end of a request and the time until its answer; 0 if there was
+// no answer.
 func (b *Balancer) End(id string, took time.Duration) {
 	r := b.loadOf(id)
 	r.inFlight--
@@ -94,14 +94,16 @@
 // reportHalfLife is the time after which a reported load counts half.
 const reportHalfLife = 400 * time.Millisecond
 
+// current returns the estimated number of requests at the replica: this
+// instance's own, or the reported number if that is higher after its decay.
 func (r *replicaLoad) current(now time.Duration) float64 {
 	age := float64(now-r.reportedAt) / float64(reportHalfLife)
 	return max(float64(r.inFlight), float64(r.reported)*math.Exp2(-age))
 }
 
 // PickReplica picks the replica of a plain service with the shortest expected
-// time of up to three random candidates (power of random choices). Closer
-// replicas win if the times are similar; remote regions are only considered if
+// time of up to three random candidates (power of random choices). The expected
+// time includes the distance, so closer replicas win if the loads are similar; remote regions are only considered if
 // the best local replica is full.
 func (b *Balancer) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var local, remote []catalog.Replica
@@ -125,6 +127,8 @@
 	return best
 }
 
+// bestOfThree returns the replica with the shortest expected time of three random
+// candidates.
 func (b *Balancer) bestOfThree(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	best := candidates[random.IntN(len(candidates))]
 	for range min(len(candidates)-1, 2) {
@@ -142,6 +146,10 @@
 	crossRegionTime   = 0.06  // seconds: the round trip, and as much again for the transfer
 )
 
+// expectedSeconds returns the expected time until a replica's answer, in seconds.
+// The mean answer time is multiplied by a factor that grows with the square of
+// the utilization, to three if all slots are in use. The time for the distance
+// is added, and the sum is doubled while the replica is warming up.
 func (b *Balancer) expectedSeconds(now time.Duration, distance func(hall string) regions.Distance, r catalog.Replica) float64 {
 	x := b.loadOf(r.ID)
 	took := x.meanAnswerSeconds
@@ -163,15 +171,15 @@
 	return e
 }
 
-// Engine is the engine chosen for a stream, and where it fetches the cached
-// prefix that it lacks.
+// EngineChoice is the engine chosen for a stream, and where it fetches the
+// cached prefix that it lacks.
 type EngineChoice struct {
 	Replica   catalog.Replica
 	FetchFrom string // IP:port of the replica that probably has the prefix cached; "" if nothing is fetched
 }
 
-// Load bound of an engine relative to the average load, above which it doesn't
-// get the requests whose prompt it has cached.
+// Load bound, boundFactor times the engines' average load plus boundSlack: an
+// engine above it doesn't get the requests whose prompt it has cached.
 const (
 	boundFactor = 1.5 // consistent hashing with bounded loads; usual values are 1.25 to 2
 	boundSlack  = 4   // requests, so that a few requests are not spread needlessly
@@ -211,6 +219,9 @@
 	return EngineChoice{Replica: chosen, FetchFrom: fetchFrom(shared, chosen, ranked[0], candidates)}
 }
 
+// fetchFrom returns the address of the replica that probably has cached what the
+// chosen one lacks: the home of the whole shared prefix or, if that was chosen,
+// the home of the prompts that share only the first part.
 func fetchFrom(shared []catalog.PromptPart, chosen, home catalog.Replica, candidates []catalog.Replica) string {
 	if len(shared) == 0 {
 		return ""
