--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -10,8 +10,8 @@
 const (
 	gain                 = 0.05 // weight of a new sample in the steady state
 	buckets              = 24   // by powers of two of the input size in bytes
-	minSamples           = 8    // samples after which the declared duration is no longer used
-	upperBoundDeviations = 2    // deviations above the mean
+	minSamples           = 8    // number from which they are used instead of those of all sizes, or of the declared duration
+	upperBoundDeviations = 2    // mean deviations of the upper bound above the mean
 )
 
 // Estimator estimates the duration of one pipeline stage. It is not safe for
@@ -25,19 +25,19 @@
 type statistics struct {
 	n    int
 	mean float64 // nanoseconds
-	dev  float64
+	dev  float64 // mean absolute deviation, in nanoseconds
 }
 
 // New returns an estimator that starts from the declared duration.
 func New(prior time.Duration) *Estimator { return &Estimator{prior: prior} }
 
-// Observe records a measured duration for an input of the given bytes.
+// Observe records a measured duration for an input of size bytes.
 func (e *Estimator) Observe(size int, took time.Duration) {
 	e.buckets[bucket(size)].add(took)
 	e.all.add(took)
 }
 
-// Mean returns the expected duration for an input of the given bytes.
+// Mean returns the expected duration for an input of size bytes.
 func (e *Estimator) Mean(size int) time.Duration {
 	m, _ := e.statistics(size)
 	return m
