--- a/coordination/planner/capacity.go
+++ b/coordination/planner/capacity.go
@@ -20,7 +20,7 @@
 	Target   float64 // maximum utilization of the slots
 	Replicas int     // replicas that keep the utilization at Target
 	Have     int     // live replicas that are not leaving
-	CostSec  float64 // units per second for the load itself
+	CostSec  float64 // cost units per second for the load itself
 }
 
 // Outlook is the expected service level of a pipeline at the declared peak with
@@ -28,7 +28,7 @@
 type Outlook struct {
 	Pipeline   string
 	Attainment float64 // share of requests completed within the deadline
-	Cost       float64 // units per request
+	Cost       float64 // cost units per request
 }
 
 // targetUtilization interpolates the target utilization by the declared weight
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -19,11 +19,11 @@
 	Pipeline        string
 	Stage           string
 	Service         string
-	Halls           []string
-	Slots           int
+	Halls           []string      // of the service's replicas
+	Slots           int           // of all of these replicas
 	StagesPerSecond float64       // stages per second of the whole service at the expected duration
 	Budget          time.Duration // the stage's share of the deadline
-	Cost            float64       // units per request
+	Cost            float64       // cost units per request
 }
 
 // Plan describes the effects of a declaration.
@@ -62,6 +62,7 @@
 	return p
 }
 
+// capacity is what the live replicas of a service that are not leaving provide.
 type capacity struct {
 	halls []string
 	slots int
