--- a/coordination/regions/candidates.go
+++ b/coordination/regions/candidates.go
@@ -17,17 +17,17 @@
 // OrderCandidates returns the regions whose owners are asked to serve a
 // request, in order: the local region, then regions with instances of their
 // own, whose owner runs close to its replicas, then the others. The order
-// within these groups differs per request, so that spillover is shared. If no
+// within these groups differs per request, so that all share the spillover. If no
 // region has replicas, all are returned, as an owner answers with the reason
 // and when to retry.
-func OrderCandidates(home string, all []Candidate, request string) []string {
+func OrderCandidates(local string, all []Candidate, request string) []string {
 	eligible := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !c.HasReplicas })
 	if len(eligible) == 0 {
 		eligible = slices.Clone(all)
 	}
 	rank := func(c Candidate) int {
 		switch {
-		case c.Region == home:
+		case c.Region == local:
 			return 0
 		case c.HasInstances:
 			return 1
--- a/coordination/regions/regions_test.go
+++ b/coordination/regions/regions_test.go
@@ -97,7 +97,7 @@
 func TestRegionWithoutReplicasIsSkipped(t *testing.T) {
 	is := is.New(t)
 	all := []Candidate{{Region: "a"}, {Region: "b", HasReplicas: true}, {Region: "c", HasReplicas: true, HasInstances: true}}
-	is.Equal(OrderCandidates("a", all, "x"), []string{"c", "b"}) // regions without instances come last: their owner runs elsewhere
+	is.Equal(OrderCandidates("a", all, "x"), []string{"c", "b"}) // b has no instances: its owner runs elsewhere
 	all = []Candidate{{Region: "a", HasInstances: true}, {Region: "b"}}
 	is.Equal(OrderCandidates("a", all, "x"), []string{"a", "b"}) // an owner answers with the reason
 	is.Equal(len(OrderCandidates("a", nil, "x")), 0)
