--- a/coordination/cells/cells_test.go
+++ b/coordination/cells/cells_test.go
@@ -22,16 +22,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := ids(rapid.IntRange(0, 200).Draw(t, "replicas"))
 		n := rapid.IntRange(1, 20).Draw(t, "cells")
-		parts := Assign(list, n)
+		assigned := Assign(list, n)
 		count := make([]int, n)
-		for _, c := range parts {
+		for _, c := range assigned {
 			count[c]++
 		}
-		if len(parts) != len(list) || slices.Max(count)-slices.Min(count) > 1 {
-			t.Fatalf("%d replicas assigned, cell sizes %v", len(parts), count)
+		if len(assigned) != len(list) || slices.Max(count)-slices.Min(count) > 1 {
+			t.Fatalf("%d replicas assigned, cell sizes %v", len(assigned), count)
 		}
 		other := Assign(rapid.Permutation(list).Draw(t, "order"), n)
-		for id, c := range parts {
+		for id, c := range assigned {
 			if other[id] != c {
 				t.Fatalf("%s is in cell %d, with the list permuted in cell %d", id, c, other[id])
 			}
@@ -47,8 +47,8 @@
 		const n = 5
 		before := Assign(list, n)
 		moved := 0
-		for gone := range list {
-			after := Assign(slices.Delete(slices.Clone(list), gone, gone+1), n)
+		for removed := range list {
+			after := Assign(slices.Delete(slices.Clone(list), removed, removed+1), n)
 			for id, c := range after {
 				if c != before[id] {
 					moved++
