--- a/coordination/readers/readers.go
+++ b/coordination/readers/readers.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	minReaders    = 3 // for the whole fleet, even if it has fewer halls
+	minReaders    = 3 // in the whole fleet, even if it has fewer halls
 	rendezvousKey = "store"
 )
 
@@ -42,8 +42,8 @@
 	return false
 }
 
-// rankCandidates returns the instances of a hall, best reader first. Preferred
-// are, in this order, instances that can reach the store, that are not leaving,
+// rankCandidates returns the instances of a hall, best reader first. It prefers,
+// in this order, instances that can reach the store, that are not leaving,
 // that are readers already, that have been running for a while, and that have
 // the largest share of a processor. Being a reader counts more than uptime
 // because each instance sees its own heartbeats first: when all start at once,
--- a/coordination/readers/startup.go
+++ b/coordination/readers/startup.go
@@ -12,8 +12,11 @@
 }
 
 const (
-	peerWait     = 1500 * time.Millisecond // time for which other instances wait for the readers' updates
-	jitterWindow = 1 * time.Second         // spreads the instances' own reads after that: the store's rate limit is per second
+	// How long instances that are not readers wait for the readers' updates.
+	peerWait = 1500 * time.Millisecond
+	// Window after peerWait over which the instances' own reads are spread; the
+	// store's rate limit is per second.
+	jitterWindow = 1 * time.Second
 )
 
 // ShouldRead reports whether the instance reads the store itself now. When all
