--- a/coordination/replicas/replicas.go
+++ b/coordination/replicas/replicas.go
@@ -13,9 +13,9 @@
 	Service      string
 	Hall         string
 	Address      string // IP:port
-	Incarnation  uint64
+	Incarnation  uint64 // higher after each start of the replica
 	Leaving      bool
-	ChecksFences bool
+	ChecksFences bool // it rejects orders with a fencing token older than the newest it has seen
 }
 
 // Set is the merged list of replicas. It is not safe for concurrent use; its
