--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -39,7 +39,7 @@
 			free := w.NextAllowed(now, "r", l.MaxPerSender(rate))
 			if free > now {
 				if w.NextAllowed(free, "r", l.MaxPerSender(rate)) > free {
-					t.Fatalf("not free at %v, when it said that it would be", free)
+					t.Fatalf("not allowed at %v, the time that NextAllowed returned", free)
 				}
 				continue
 			}
@@ -47,7 +47,7 @@
 			sent = append(sent, now)
 		}
 		if got, allowed := maxInAnySecond(sent), rate*l.Overrun+l.Slack; float64(got) > allowed {
-			t.Fatalf("%d in a second where %.1f are allowed", got, allowed)
+			t.Fatalf("%d requests within a second, %.1f are allowed", got, allowed)
 		}
 	})
 }
@@ -72,10 +72,10 @@
 			either += max(q, Quota(name, others, "r", all))
 		}
 		if sum > all || sum < all/2 || sum == 0 {
-			t.Fatalf("%d of %d are given out", sum, all)
+			t.Fatalf("the quotas add up to %d of %d", sum, all)
 		}
 		if float64(either) > rate*l.Overrun+l.Slack {
-			t.Fatalf("%d where %.1f are allowed", either, rate*l.Overrun+l.Slack)
+			t.Fatalf("quotas of both views add up to %d, %.1f are allowed", either, rate*l.Overrun+l.Slack)
 		}
 	})
 }
