--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -38,7 +38,7 @@
 	MaxExcessFailures float64       // excess of a replica's failure rate over its service's from which it is ejected
 	FullEjection      time.Duration // for a replica at capacity: a few short response times
 	MaxRemoteEjection time.Duration // longest ejection adopted from other instances
-	MaxBackoff        time.Duration // longest ejection for a backoff that a replica asked for. It asked one instance; for the others this is only a hint
+	MaxBackoff        time.Duration // longest ejection for a backoff; the replica asked one instance, and for others it is a hint
 }
 
 // DefaultOptions returns the options used in production.
@@ -63,9 +63,9 @@
 type replica struct {
 	ejectedUntil time.Duration
 	ejection     time.Duration
-	failureRate  float64 // moving average of the share of failures
-	isLocal      bool    // ejected by this instance's own evidence
-	lastRecord   time.Duration
+	failureRate  float64       // moving average of the share of failures
+	isLocal      bool          // ejected by this instance's own evidence
+	lastRecord   time.Duration // time of the latest signal, backoff or remote ejection
 }
 
 // New returns a detector that has ejected no replica.
@@ -105,7 +105,7 @@
 	}
 	if r.failureRate > serviceRate+d.opts.MaxExcessFailures {
 		d.eject(now, r)
-		r.failureRate = serviceRate + d.opts.MaxExcessFailures/2
+		r.failureRate = serviceRate + d.opts.MaxExcessFailures/2 // the next ejection takes further failures
 	}
 }
 
