--- a/coordination/sendresult/sendresult_test.go
+++ b/coordination/sendresult/sendresult_test.go
@@ -17,18 +17,18 @@
 		version VersionEvidence
 		request RequestEvidence
 	}{
-		"the replica: a whole answer":                         {Succeeded, health.Success, VersionAnswer, RequestCleared},
-		"the replica: its own failure":                        {Failed, health.Failure, VersionFailure, RequestCleared},
-		"the replica: turned away":                            {Refused, health.Full, VersionNone, RequestNone},
-		"the replica: inputs gone":                            {MissingInputs, none, VersionNone, RequestNone},
-		"another replica at its address":                      {WrongReplica, none, VersionNone, RequestNone},
-		"the link: no connection":                             {Unreachable, health.Unreachable, VersionNone, RequestNone},
-		"the replica or the link: broken off":                 {ConnectionBroken, health.Broken, VersionFailure, RequestProbe},
-		"the replica: broken off by its end":                  {ReplicaCrashed, health.Broken, VersionReplicaEnd, RequestBlamed},
-		"this instance, as the next life is told":             {ReplicaRestarted, none, VersionReplicaEnd, RequestBlamed},
-		"this instance, for the silence":                      {ResponseTimeout, health.Timeout, VersionFailure, RequestBlamed},
-		"this instance, as the time is over: as slow as long": {DeadlineExceeded, none, VersionAnswer, RequestBlamed},
-		"the client: gone":                                    {ClientGone, none, VersionNone, RequestBlamed},
+		"the replica: a complete answer":             {Succeeded, health.Success, VersionAnswer, RequestCleared},
+		"the replica: its own failure":               {Failed, health.Failure, VersionFailure, RequestCleared},
+		"the replica: refused":                       {Refused, health.Full, VersionNone, RequestNone},
+		"the replica: inputs missing":                {MissingInputs, none, VersionNone, RequestNone},
+		"another replica at its address":             {WrongReplica, none, VersionNone, RequestNone},
+		"the link: no connection":                    {Unreachable, health.Unreachable, VersionNone, RequestNone},
+		"the replica or the link: connection broken": {ConnectionBroken, health.Broken, VersionFailure, RequestProbe},
+		"the replica: connection broken by its end":  {ReplicaCrashed, health.Broken, VersionReplicaEnd, RequestBlamed},
+		"this instance: the replica has restarted":   {ReplicaRestarted, none, VersionReplicaEnd, RequestBlamed},
+		"this instance: no data for too long":        {ResponseTimeout, health.Timeout, VersionFailure, RequestBlamed},
+		"this instance: deadline exceeded":           {DeadlineExceeded, none, VersionAnswer, RequestBlamed},
+		"the client: connection closed":              {ClientGone, none, VersionNone, RequestBlamed},
 	}
 	seen := make(map[Kind]bool)
 	for name, c := range cases {
