--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -139,14 +139,14 @@
 
 // Update returns the view to send to other instances and drops expired returns.
 func (v *View) Update(now time.Duration) Update {
-	n := Update{Revision: v.revision, Drained: v.Halls()}
+	u := Update{Revision: v.revision, Drained: v.Halls()}
 	for _, hall := range slices.Sorted(maps.Keys(v.returned)) {
-		ago := now - v.returned[hall]
-		if ago >= returnTTL {
+		age := now - v.returned[hall]
+		if age >= returnTTL {
 			delete(v.returned, hall)
 			continue
 		}
-		n.Returned = append(n.Returned, Return{Hall: hall, Age: ago})
+		u.Returned = append(u.Returned, Return{Hall: hall, Age: age})
 	}
-	return n
+	return u
 }
--- a/coordination/pipeline/batch_mates.go
+++ b/coordination/pipeline/batch_mates.go
@@ -16,28 +16,28 @@
 }
 
 // admits reports whether a job's items may be added to the call.
-func (c *batchMates) admits(j *job) bool {
-	if slices.Contains(c.jobs, j) {
+func (m *batchMates) admits(j *job) bool {
+	if slices.Contains(m.jobs, j) {
 		return true
 	}
-	if len(c.jobs) == 0 {
+	if len(m.jobs) == 0 {
 		return j.ReplicaEnds < isolateAfterEnds || !j.isRunning()
 	}
-	if min(j.ReplicaEnds, isolateAfterEnds) != min(c.jobs[0].ReplicaEnds, isolateAfterEnds) {
+	if min(j.ReplicaEnds, isolateAfterEnds) != min(m.jobs[0].ReplicaEnds, isolateAfterEnds) {
 		return false
 	}
 	switch {
 	case j.ReplicaEnds == 0:
 		return true
 	case j.ReplicaEnds < isolateAfterEnds:
-		return len(c.jobs) < c.maxSuspects
+		return len(m.jobs) < m.maxSuspects
 	}
 	return false
 }
 
-func (c *batchMates) add(j *job) {
-	if !slices.Contains(c.jobs, j) {
-		c.jobs = append(c.jobs, j)
+func (m *batchMates) add(j *job) {
+	if !slices.Contains(m.jobs, j) {
+		m.jobs = append(m.jobs, j)
 	}
 }
 
--- a/coordination/pipeline/flood_test.go
+++ b/coordination/pipeline/flood_test.go
@@ -212,10 +212,10 @@
 		}
 		n++
 		r := &simRequest{id: fmt.Sprint(k.name, "-", customer, "-", mark, n), customer: customer, kind: k, firstSubmitted: at}
-		some := random.Float64() < k.stagesShare
+		hasWork := random.Float64() < k.stagesShare
 		f.schedule(at, func() {
 			f.out.of(customer, k.name).asked++
-			if !some {
+			if !hasWork {
 				f.out.of(customer, k.name).inTime++
 				return
 			}
@@ -306,10 +306,10 @@
 
 // loseReplicas removes a share of each pool's replicas.
 func (f *floodSim) loseReplicas() {
-	each := f.load.replicas
+	perPool := f.load.replicas
 	var left []catalog.Replica
 	for i, r := range f.replicas {
-		if float64(i%each) >= f.load.lostShare*float64(each) {
+		if float64(i%perPool) >= f.load.lostShare*float64(perPool) {
 			left = append(left, r)
 		}
 	}
@@ -402,12 +402,12 @@
 	for name, l := range loads {
 		t.Run(name, func(t *testing.T) {
 			with, without := 0.0, 0.0
-			const plays = 6
-			for l.seed = 1; l.seed <= plays; l.seed++ {
+			const runs = 6
+			for l.seed = 1; l.seed <= runs; l.seed++ {
 				l.oneCustomer = false
-				with += l.simulate().worth() / plays
+				with += l.simulate().worth() / runs
 				l.oneCustomer = true
-				without += l.simulate().worth() / plays
+				without += l.simulate().worth() / runs
 			}
 			t.Logf("worth %.3f, without customers %.3f", with, without)
 			if with < without-maxShareCost {
--- a/coordination/pipeline/forecast.go
+++ b/coordination/pipeline/forecast.go
@@ -74,20 +74,20 @@
 // not its deadline is admitted late if a late answer is worth more than a refusal; it then
 // gets the capacity that jobs in time leave.
 func (s *Scheduler) decide(now time.Duration, j *job) Decision {
-	v := Decision{Expected: s.forecast(now, j), Limit: s.timeLimit(j), Uncontended: j.uncontendedTime()}
+	d := Decision{Expected: s.forecast(now, j), Limit: s.timeLimit(j), Uncontended: j.uncontendedTime()}
 	if j.Retry {
-		recordOutcome(&s.lateStatsOf(j.Rank).retriesInTime, v.Expected <= v.Limit)
+		recordOutcome(&s.lateStatsOf(j.Rank).retriesInTime, d.Expected <= d.Limit)
 	}
-	if v.Expected > v.Limit && s.prefersLateAnswer(j) {
+	if d.Expected > d.Limit && s.prefersLateAnswer(j) {
 		j.rank, j.admittedLate = j.rank+lateRank, true
-		v.Expected = s.forecast(now, j)
-		v.Limit = time.Duration(float64(j.Deadline) * s.opts.DeadlineMargin)
+		d.Expected = s.forecast(now, j)
+		d.Limit = time.Duration(float64(j.Deadline) * s.opts.DeadlineMargin)
 	}
-	if over := s.excessMemoryWait(now, j, v.Limit); over > 0 {
-		v.Expected = max(v.Expected, v.Limit+over)
+	if over := s.excessMemoryWait(now, j, d.Limit); over > 0 {
+		d.Expected = max(d.Expected, d.Limit+over)
 	}
-	v.Bottleneck, v.Stages = j.bottleneck(), j.stageForecasts()
-	return v
+	d.Bottleneck, d.Stages = j.bottleneck(), j.stageForecasts()
+	return d
 }
 
 // timeLimit returns the time that a job's stages may be expected to take.
--- a/coordination/pipeline/job.go
+++ b/coordination/pipeline/job.go
@@ -87,11 +87,11 @@
 }
 
 // retryAfter returns the delay after which a refused job may be submitted again.
-func (s *Scheduler) retryAfter(v Decision) time.Duration {
-	if v.Expected >= noReplicaWait {
+func (s *Scheduler) retryAfter(d Decision) time.Duration {
+	if d.Expected >= noReplicaWait {
 		return s.opts.DefaultRetryAfter
 	}
-	return max(v.Expected-v.Limit, s.opts.MinRetryAfter)
+	return max(d.Expected-d.Limit, s.opts.MinRetryAfter)
 }
 
 // admit adds the job's items to the load and marks those without inputs as ready.
--- a/coordination/pipeline/late_admission_test.go
+++ b/coordination/pipeline/late_admission_test.go
@@ -23,11 +23,11 @@
 		allowLate     bool
 		admitted      bool
 	}{
-		{"who is refused is served in time when it comes back", true, 0.15, 0.1, true, false},
-		{"who is refused is not served at all", false, 0.15, 0.1, true, true},
+		{"a refused job is in time when it is retried", true, 0.15, 0.1, true, false},
+		{"a refused job is not served when it is retried", false, 0.15, 0.1, true, true},
 		{"a late answer is worth nothing", false, 0, 0, true, false},
-		{"a late answer is worth nothing but that it is one", false, 0, 0.5, true, true},
-		{"another region has it in time", false, 0.15, 0.1, false, false},
+		{"a late answer has only the worth of any answer", false, 0, 0.5, true, true},
+		{"another region can serve it in time", false, 0.15, 0.1, false, false},
 	} {
 		h := newHarness(t, WithWorth(c.lateWorth, c.servedWorth))
 		for range 8 {
--- a/coordination/pipeline/pipeline_test.go
+++ b/coordination/pipeline/pipeline_test.go
@@ -605,7 +605,7 @@
 	}
 	for _, c := range []struct {
 		objective time.Duration // includes 280 ms for its own call
-		working   int
+		busy      int
 	}{
 		{2 * time.Second, 1}, // its hall is free long before its latest start
 		{900 * ms, 2},        // it could just start in time there
@@ -614,7 +614,7 @@
 		is.True(h.submit(inHallA("first", 2*time.Second)).Admitted)
 		is.Equal(len(h.calls["read-a"].Items), 4) // until 280 ms
 		is.True(h.submit(inHallA("second", c.objective)).Admitted)
-		is.Equal(h.busyReplicas("read"), c.working)
+		is.Equal(h.busyReplicas("read"), c.busy)
 	}
 }
 
--- a/coordination/placement/eligibility_test.go
+++ b/coordination/placement/eligibility_test.go
@@ -12,11 +12,11 @@
 
 // setTwoHalls gives the placer two engines in different halls and applies change
 // to the second one.
-func setTwoHalls(t *Placer, warm *catalog.WarmUp, change func(*catalog.Replica)) {
+func setTwoHalls(p *Placer, warm *catalog.WarmUp, change func(*catalog.Replica)) {
 	list := []catalog.Replica{{ID: "e0", Service: "llm", Address: "e0:1", Hall: "a"}, {ID: "e1", Service: "llm", Address: "e1:1", Hall: "b"}}
 	change(&list[1])
 	engine := &catalog.Engine{Slots: 128, MemoryTokens: 100_000}
-	t.SetEngines(map[string]*catalog.Service{"llm": {Engine: engine, WarmUp: warm}}, list)
+	p.SetEngines(map[string]*catalog.Service{"llm": {Engine: engine, WarmUp: warm}}, list)
 }
 
 // An engine in a drained hall gets no request; its cached prefixes are still
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -12,15 +12,15 @@
 )
 
 func newPlacer(engines int) *Placer {
-	t := New(DefaultOptions(), warmup.Limit{})
+	p := New(DefaultOptions(), warmup.Limit{})
 	services := map[string]*catalog.Service{"llm": {Engine: &catalog.Engine{Slots: 128, MemoryTokens: 100_000}}}
 	var list []catalog.Replica
 	for i := range engines {
 		id := fmt.Sprint("e", i)
 		list = append(list, catalog.Replica{ID: id, Service: "llm", Address: id + ":1", Hall: string(rune('a' + i%2))})
 	}
-	t.SetEngines(services, list)
-	return t
+	p.SetEngines(services, list)
+	return p
 }
 
 func request(id uint64, tokens, out int, shared ...string) *Request {
--- a/coordination/placement/speeds_test.go
+++ b/coordination/placement/speeds_test.go
@@ -12,15 +12,15 @@
 
 // serveFastEngines runs requests with prompts of up to 30,000 tokens on engines
 // that prefill 110 tokens per ms.
-func serveFastEngines(t *Placer, requests uint64) {
+func serveFastEngines(p *Placer, requests uint64) {
 	now := time.Duration(0)
 	for id := range requests {
 		r := request(id, 100<<(id%9), 30)
-		t.begin(now, r)
+		p.begin(now, r)
 		now += 90*time.Millisecond + time.Duration(r.promptTokens())*9*time.Microsecond
-		t.FirstEvent(now, id)
+		p.FirstEvent(now, id)
 		now += time.Second
-		t.End(now, id)
+		p.End(now, id)
 	}
 }
 
--- a/coordination/speed/fit.go
+++ b/coordination/speed/fit.go
@@ -135,12 +135,12 @@
 	n       int // recorded so far, including those that were overwritten
 }
 
-func (o *generationTimes) add(t time.Duration) {
-	o.samples[o.n%generationWindow] = t
-	o.n++
+func (g *generationTimes) add(t time.Duration) {
+	g.samples[g.n%generationWindow] = t
+	g.n++
 }
 
-func (o *generationTimes) median() time.Duration {
-	all := slices.Sorted(slices.Values(o.samples[:min(o.n, generationWindow)]))
+func (g *generationTimes) median() time.Duration {
+	all := slices.Sorted(slices.Values(g.samples[:min(g.n, generationWindow)]))
 	return all[len(all)/2]
 }
--- a/coordination/speed/records.go
+++ b/coordination/speed/records.go
@@ -166,15 +166,15 @@
 	median := func(of func(*Estimate) time.Duration) time.Duration { return weightedMedian(rows, weights, of) }
 	return Estimate{
 		Median: Line{
-			Base:     median(func(f *Estimate) time.Duration { return f.Median.Base }),
-			PerToken: median(func(f *Estimate) time.Duration { return f.Median.PerToken }),
+			Base:     median(func(e *Estimate) time.Duration { return e.Median.Base }),
+			PerToken: median(func(e *Estimate) time.Duration { return e.Median.PerToken }),
 		},
 		UpperBound: Line{
-			Base:     median(func(f *Estimate) time.Duration { return f.UpperBound.Base }),
-			PerToken: median(func(f *Estimate) time.Duration { return f.UpperBound.PerToken }),
+			Base:     median(func(e *Estimate) time.Duration { return e.UpperBound.Base }),
+			PerToken: median(func(e *Estimate) time.Duration { return e.UpperBound.PerToken }),
 		},
-		PerOutputToken: median(func(f *Estimate) time.Duration { return f.PerOutputToken }),
-		LongestPrompt:  int(median(func(f *Estimate) time.Duration { return time.Duration(f.LongestPrompt) })),
+		PerOutputToken: median(func(e *Estimate) time.Duration { return e.PerOutputToken }),
+		LongestPrompt:  int(median(func(e *Estimate) time.Duration { return time.Duration(e.LongestPrompt) })),
 		Count:          len(rows),
 	}, true
 }
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -146,10 +146,10 @@
 		var all []Record
 		for origin := range uint32(4) {
 			for count := range rapid.IntRange(1, 4).Draw(t, "records") {
-				f := DefaultOptions().Prior
-				f.Count = 24 * (count + 1)
-				f.Median.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
-				all = append(all, Record{Origin: origin, Service: "llm", Estimate: f})
+				e := DefaultOptions().Prior
+				e.Count = 24 * (count + 1)
+				e.Median.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
+				all = append(all, Record{Origin: origin, Service: "llm", Estimate: e})
 			}
 		}
 		var a, b Records
@@ -182,9 +182,9 @@
 	is := is.New(t)
 	var records Records
 	merge := func(origin uint32, perToken time.Duration, age time.Duration) bool {
-		f := DefaultOptions().Prior
-		f.Median.PerToken, f.Count = perToken, 200
-		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: f, Age: age})
+		e := DefaultOptions().Prior
+		e.Median.PerToken, e.Count = perToken, 200
+		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: e, Age: age})
 	}
 	is.True(merge(1, 9000, 0))
 	is.True(merge(2, 10_000, time.Second))
