--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -103,8 +103,8 @@
 
 // PickReplica picks the replica of a plain service with the shortest expected
 // time of up to three random candidates (power of random choices). The expected
-// time includes the distance, so closer replicas win if the loads are similar; remote regions are only considered if
-// the best local replica is full.
+// time includes the distance, so closer replicas win if the loads are similar;
+// remote regions are only considered if the best local replica is full.
 func (b *Balancer) PickReplica(now time.Duration, distance func(hall string) regions.Distance, candidates []catalog.Replica, random *rand.Rand) catalog.Replica {
 	var local, remote []catalog.Replica
 	for _, r := range candidates {
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -10,7 +10,7 @@
 const (
 	gain                 = 0.05 // weight of a new sample in the steady state
 	buckets              = 24   // by powers of two of the input size in bytes
-	minSamples           = 8    // number from which they are used instead of those of all sizes, or of the declared duration
+	minSamples           = 8    // with fewer, the samples of all sizes are used, or the declared duration
 	upperBoundDeviations = 2    // mean deviations of the upper bound above the mean
 )
 
