--- a/coordination/pipeline/batch_mates.go
+++ b/coordination/pipeline/batch_mates.go
@@ -2,42 +2,42 @@
 
 import "slices"
 
-// isolateAfterEnds is the number of replicas ended during a job from which on the job runs
-// alone, so that the next call shows whether it is the cause.
+// isolateAfterEnds is the number of replica ends during a job after which the job runs alone,
+// so that its next call shows whether it is the cause.
 const isolateAfterEnds = 2
 
-// batchMates is the jobs whose items share a call. If a call ends its replica, any of its
+// batchMates holds the jobs whose items share a call. If a call ends its replica, any of its
 // items may be the cause. Jobs during which one replica has ended are therefore split into
 // small groups, and after a second end each runs alone (group testing, after Dorfman, 1943).
 // With 20 jobs in a call, three ends identify the cause.
 type batchMates struct {
-	maxSuspects int // in a call
+	maxSuspects int // upper bound in a call
 	jobs        []*job
 }
 
 // admits reports whether a job's items may be added to the call.
-func (c *batchMates) admits(j *job) bool {
-	if slices.Contains(c.jobs, j) {
+func (m *batchMates) admits(j *job) bool {
+	if slices.Contains(m.jobs, j) {
 		return true
 	}
-	if len(c.jobs) == 0 {
+	if len(m.jobs) == 0 {
 		return j.ReplicaEnds < isolateAfterEnds || !j.isRunning()
 	}
-	if min(j.ReplicaEnds, isolateAfterEnds) != min(c.jobs[0].ReplicaEnds, isolateAfterEnds) {
+	if min(j.ReplicaEnds, isolateAfterEnds) != min(m.jobs[0].ReplicaEnds, isolateAfterEnds) {
 		return false
 	}
 	switch {
 	case j.ReplicaEnds == 0:
 		return true
 	case j.ReplicaEnds < isolateAfterEnds:
-		return len(c.jobs) < c.maxSuspects
+		return len(m.jobs) < m.maxSuspects
 	}
 	return false
 }
 
-func (c *batchMates) add(j *job) {
-	if !slices.Contains(c.jobs, j) {
-		c.jobs = append(c.jobs, j)
+func (m *batchMates) add(j *job) {
+	if !slices.Contains(m.jobs, j) {
+		m.jobs = append(m.jobs, j)
 	}
 }
 
--- a/coordination/speed/speed_test.go
+++ b/coordination/speed/speed_test.go
@@ -105,15 +105,15 @@
 // influence on the service's estimate.
 func TestOutlierReplicaDoesNotSkewServiceSpeed(t *testing.T) {
 	for _, c := range []struct {
-		took time.Duration
-		cold bool
+		took    time.Duration
+		warming bool
 	}{{time.Millisecond, false}, {20 * time.Second, false}, {500 * time.Millisecond, true}} {
 		is := is.New(t)
 		s, e, wrong := New(DefaultOptions()), &engines{base: 0.09, perToken: 9e-6, noise: 0.15}, &ReplicaEstimator{}
 		at := e.observe(s, 0, 400, 1)
 		for i := range uint64(40) {
 			for range 6 { // more than its share of requests
-				s.Observe(at, wrong, 1000, c.took, c.cold)
+				s.Observe(at, wrong, 1000, c.took, c.warming)
 			}
 			at = e.observe(s, at, 10, i)
 		}
@@ -130,10 +130,10 @@
 	e.observe(old, 0, 500, 1)
 	var records Records
 	is.True(records.RecordLocal(0, 7, "llm", old.Estimate()))
-	told, ok := records.Combined(time.Second, "llm")
+	combined, ok := records.Combined(time.Second, "llm")
 	is.True(ok)
 	s := New(DefaultOptions())
-	is.True(s.Seed(0, told))
+	is.True(s.Seed(0, combined))
 	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.15)
 	e.observe(s, 0, 50, 2)
 	is.True(logError(s.Median(30_000), e.median(30_000)) < 0.2)
@@ -146,10 +146,10 @@
 		var all []Record
 		for origin := range uint32(4) {
 			for count := range rapid.IntRange(1, 4).Draw(t, "records") {
-				f := DefaultOptions().Prior
-				f.Count = 24 * (count + 1)
-				f.Median.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
-				all = append(all, Record{Origin: origin, Service: "llm", Estimate: f})
+				e := DefaultOptions().Prior
+				e.Count = 24 * (count + 1)
+				e.Median.PerToken = time.Duration(rapid.IntRange(1000, 40_000).Draw(t, "per token"))
+				all = append(all, Record{Origin: origin, Service: "llm", Estimate: e})
 			}
 		}
 		var a, b Records
@@ -182,9 +182,9 @@
 	is := is.New(t)
 	var records Records
 	merge := func(origin uint32, perToken time.Duration, age time.Duration) bool {
-		f := DefaultOptions().Prior
-		f.Median.PerToken, f.Count = perToken, 200
-		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: f, Age: age})
+		e := DefaultOptions().Prior
+		e.Median.PerToken, e.Count = perToken, 200
+		return records.Merge(time.Hour, Record{Origin: origin, Service: "llm", Estimate: e, Age: age})
 	}
 	is.True(merge(1, 9000, 0))
 	is.True(merge(2, 10_000, time.Second))
