--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -17,8 +17,12 @@
 )
 
 const (
-	minDrift      = 20 * time.Millisecond // of the wall clock relative to the monotonic clock before the boot clock is read; far above the delay between the two readings
-	minSuspension = 5 * time.Millisecond  // shortest gap between boot clock and monotonic clock that counts as a suspension
+	// minDrift is the drift of the wall clock against the monotonic clock from which
+	// the boot clock is read; far above the delay between the two readings.
+	minDrift = 20 * time.Millisecond
+	// minSuspension is the shortest gap between the boot clock and the monotonic
+	// clock that counts as a suspension.
+	minSuspension = 5 * time.Millisecond
 )
 
 // Source provides the readings of the machine's clocks.
--- a/transport/clock/system_linux.go
+++ b/transport/clock/system_linux.go
@@ -12,9 +12,9 @@
 func newSystemSource() Source { return systemSource{start: time.Now()} }
 
 // Now implements Source.
-func (b systemSource) Now() (monotonic, wall time.Duration) {
+func (s systemSource) Now() (monotonic, wall time.Duration) {
 	now := time.Now()
-	return now.Sub(b.start), time.Duration(now.UnixNano())
+	return now.Sub(s.start), time.Duration(now.UnixNano())
 }
 
 // Boot implements Source.
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -55,8 +55,6 @@
 // sweepTimeout is far more than a peer needs to close a stream.
 const sweepTimeout = 10 * time.Second
 
-// A refused connection fails the call at once; later calls to another address
-// work, also after its idle session was closed.
 // A refused connection fails the call at once; later calls to another address
 // work, also after its idle session was closed.
 func TestCallAfterFailedDialAndIdleSweep(t *testing.T) {
--- a/transport/upstream/upstream.go
+++ b/transport/upstream/upstream.go
@@ -27,14 +27,14 @@
 	ErrConnect       = errors.New("upstream: connection failed; nothing was written")
 	ErrIncomplete    = errors.New("upstream: answer missing or incomplete")
 	ErrWrongRequest  = errors.New("upstream: answer belongs to another request")
-	ErrNotDispatched = errors.New("upstream: invalid dispatch token") // a zero outcome.DispatchToken is a bug of the caller
+	ErrNotDispatched = errors.New("upstream: invalid dispatch token") // a zero outcome.DispatchToken, a bug of the caller
 )
 
 const (
 	dialTimeout    = 300 * time.Millisecond
 	maxIdleConns   = 32               // per replica
 	idleTimeout    = 20 * time.Second // below the idle timeout of the replicas' servers
-	maxAnswerBytes = 4 << 20
+	maxAnswerBytes = 4 << 20          // of an answer's body
 )
 
 // Client opens connections to replicas and holds the idle ones by address.
@@ -149,7 +149,8 @@
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// CloseIdle closes the idle connections to addr, whose former process has ended.
+// CloseIdle closes the idle connections to addr. It is called when the process that
+// accepted them has ended.
 func (c *Client) CloseIdle(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
