--- a/protocol/frame/frame.go
+++ b/protocol/frame/frame.go
@@ -16,7 +16,7 @@
 // determines the stream's purpose.
 type Kind byte
 
-// The kinds of frames, with the messages of request and reply.
+// The kinds of frames, with the messages of request -> reply.
 const (
 	Beat             Kind = iota + 1 // Beat -> BeatReply
 	PullConfig                       // PullConfig -> Config
@@ -32,7 +32,7 @@
 	RunStages                        // StagesAsk -> StagesReply, StagesReply; closing the stream ends the job
 	PullReplicas                     // PullReplicas -> ReplicaChanges
 	CachedPrefix                     // KeptAsk -> KeptReply
-	TrialLease                       // TrialAsk -> TrialReply once the sender has the lease, then QuarantineCase; closing the stream ends the lease
+	TrialLease                       // TrialAsk -> TrialReply once the sender has the lease, then QuarantineCase; closing the stream ends it
 	SendGrant                        // PaceAsk -> PaceReply
 )
 
--- a/protocol/settings/instance.go
+++ b/protocol/settings/instance.go
@@ -16,7 +16,7 @@
 	LogLevel   string     `toml:"log_level"`  // trace, debug, info, warn or error
 	LogFormat  string     `toml:"log_format"` // text or json
 	TicketKeys []string   `toml:"ticket_keys"`
-	Seeds      []string   `toml:"seeds"` // IP:port of some coords' links
+	Seeds      []string   `toml:"seeds"` // IP:port of the links of coords that are contacted at startup
 	Entry      Entry      `toml:"entry"`
 	Coord      Coord      `toml:"coord"`
 	Operators  []Operator `toml:"operator"`
