--- a/transport/link/conn.go
+++ b/transport/link/conn.go
@@ -78,7 +78,7 @@
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It holds a frame's header back until its body is written.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.pendingHeader == nil && hasBody(b) {
 		c.pendingHeader = append(c.pendingHeader, b...)
--- a/transport/link/session.go
+++ b/transport/link/session.go
@@ -13,8 +13,8 @@
 	conn *conn
 }
 
-// Close closes the connection, so that the receiver closes the session, and then
-// the session itself.
+// Close closes the connection, so that the receiver closes the session. If the
+// receiver has not done so within closeTimeout, Close closes the session itself.
 func (m *muxSession) Close() {
 	m.conn.closeAndWait()
 	_ = m.Session.Close()
--- a/transport/logsink/logsink.go
+++ b/transport/logsink/logsink.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Close writes the queued lines and waits for that up to timeout.
+// Close drops all further lines, and waits up to timeout until the queued ones are
+// written.
 func (s *Sink) Close(timeout time.Duration) {
 	if s.closed.Swap(true) {
 		return
--- a/transport/upstream/call.go
+++ b/transport/upstream/call.go
@@ -24,7 +24,7 @@
 	Stage       string
 	Attempt     int
 	Operation   string
-	Class       int
+	Class       int // priority class, sent as api.HeaderPriority
 	Input       []byte
 	PriorTokens []string       // tokens received by earlier attempts; this attempt resumes after them
 	Deadline    time.Time      // when the answer must be complete
