--- a/protocol/api/api.go
+++ b/protocol/api/api.go
@@ -99,9 +99,9 @@
 // Plan is the answer to an operator's intent.
 type Plan struct {
 	ID        string         `json:"id"`
-	Base      uint64         `json:"base_revision"`
-	By        string         `json:"by"`
-	State     string         `json:"state"` // planned, confirmed, unchanged
+	Base      uint64         `json:"base_revision"` // revision that the plan replaces
+	By        string         `json:"by"`            // name of the operator
+	State     string         `json:"state"`         // planned, confirmed, unchanged
 	Changes   []string       `json:"changes"`
 	Warnings  []string       `json:"warnings,omitempty"`
 	Stages    []PlannedStage `json:"stages"`
@@ -111,13 +111,13 @@
 	Text      string         `json:"declaration"`
 }
 
-// PlanInputs are the sizes of the fleet on which a plan is based.
+// PlanInputs holds the numbers of instances and replicas on which a plan is based.
 type PlanInputs struct {
 	Instances int `json:"instances"`
 	Replicas  int `json:"replicas"`
 }
 
-// PlannedStage is where a stage runs and how much capacity it gets.
+// PlannedStage states where a stage runs and how much capacity it gets.
 type PlannedStage struct {
 	Pipeline          string   `json:"pipeline"`
 	Stage             string   `json:"stage"`
@@ -129,22 +129,22 @@
 	Cost              float64  `json:"cost_per_request"`
 }
 
-// CapacityNeed is how much capacity a service needs at the declared peak.
+// CapacityNeed is the capacity that a service needs at the declared peak.
 type CapacityNeed struct {
 	Service  string  `json:"service"`
-	Load     float64 `json:"load_slots"`
-	Target   float64 `json:"target_use"` // maximum share of slots in use
-	Replicas int     `json:"replicas"`
-	Have     int     `json:"have"`
-	CostSec  float64 `json:"cost_per_second"`
+	Load     float64 `json:"load_slots"`      // average number of slots in use
+	Target   float64 `json:"target_use"`      // maximum share of slots in use
+	Replicas int     `json:"replicas"`        // number that keeps the use at Target
+	Have     int     `json:"have"`            // live replicas that are not leaving
+	CostSec  float64 `json:"cost_per_second"` // units per second for the load itself
 }
 
-// Forecast is what a pipeline can expect at the declared peak, computed from
-// expected times rather than measured.
+// Forecast is the expected service level of a pipeline at the declared peak,
+// computed from expected times rather than measured.
 type Forecast struct {
 	Pipeline   string  `json:"pipeline"`
-	Attainment float64 `json:"attainment"`
-	Cost       float64 `json:"cost_per_request"`
+	Attainment float64 `json:"attainment"`       // share of requests completed within the deadline
+	Cost       float64 `json:"cost_per_request"` // units per request
 }
 
 // Confirmation is the answer to the confirmation of a plan.
--- a/protocol/event/event.go
+++ b/protocol/event/event.go
@@ -139,8 +139,8 @@
 
 var all []*Event
 
-func add(n int, l hclog.Level, name, fields, meaning, do string) *Event {
-	e := &Event{Number: n, Level: l, Name: name, Fields: fields, Meaning: meaning, Action: do}
+func add(n int, l hclog.Level, name, fields, meaning, action string) *Event {
+	e := &Event{Number: n, Level: l, Name: name, Fields: fields, Meaning: meaning, Action: action}
 	all = append(all, e)
 	return e
 }
--- a/protocol/pb/compatibility_test.go
+++ b/protocol/pb/compatibility_test.go
@@ -29,6 +29,7 @@
 // maxDepth is the depth up to which nested messages are filled.
 const maxDepth = 4
 
+// fillMessage sets all fields of m except maps, and nested messages from maxDepth on.
 func fillMessage(m protoreflect.Message, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -187,6 +188,8 @@
 	}
 }
 
+// incompatibilities describes the fields of old that file lacks or has changed and
+// does not reserve.
 func incompatibilities(old *descriptorpb.FileDescriptorProto, file protoreflect.FileDescriptor) (out []string) {
 	for _, m := range old.MessageType {
 		now := file.Messages().ByName(protoreflect.Name(m.GetName()))
