--- a/cmd/coord/plans.go
+++ b/cmd/coord/plans.go
@@ -87,7 +87,7 @@
 	for _, s := range p.Steps {
 		out.Stages = append(out.Stages, api.PlannedStage{
 			Pipeline: s.Pipeline, Stage: s.Stage, Service: s.Service, Halls: s.Halls, Slots: s.Slots,
-			CapacityPerSecond: s.StagesPerSecond, BudgetMS: int(s.Budget.Milliseconds()), Cost: s.Cost,
+			CapacityPerSecond: s.StagesPerSecond, BudgetMS: int(s.Budget.Milliseconds()), CostPerRequest: s.CostPerRequest,
 		})
 	}
 	for _, n := range p.Needs {
--- a/cmd/ctl/print.go
+++ b/cmd/ctl/print.go
@@ -29,15 +29,15 @@
 	t := c.table()
 	fmt.Fprintln(t, "\nPIPELINE\tSTAGE\tSERVICE\tHALLS\tSLOTS\tPER SECOND\tBUDGET\tCOST")
 	for _, s := range p.Stages {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%.0f\t%d ms\t%.4f\n", s.Pipeline, s.Stage, s.Service, strings.Join(s.Halls, ","), s.Slots, s.CapacityPerSecond, s.BudgetMS, s.Cost)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%.0f\t%d ms\t%.4f\n", s.Pipeline, s.Stage, s.Service, strings.Join(s.Halls, ","), s.Slots, s.CapacityPerSecond, s.BudgetMS, s.CostPerRequest)
 	}
 	fmt.Fprintln(t, "\nSERVICE\tLOAD\tTARGET\tREPLICAS WANTED\tTHERE\tCOST/S")
 	for _, n := range p.Needs {
-		fmt.Fprintf(t, "%s\t%.1f slots\t%.0f%%\t%d\t%d\t%.2f\n", n.Service, n.Load, 100*n.Target, n.Replicas, n.Have, n.CostSec)
+		fmt.Fprintf(t, "%s\t%.1f slots\t%.0f%%\t%d\t%d\t%.2f\n", n.Service, n.SlotsInUse, 100*n.TargetUtilization, n.RequiredReplicas, n.LiveReplicas, n.CostPerSecond)
 	}
 	fmt.Fprintln(t, "\nPIPELINE\tEXPECTED ATTAINMENT\tCOST")
 	for _, o := range p.Forecasts {
-		fmt.Fprintf(t, "%s\t%.3f\t%.4f\n", o.Pipeline, o.Attainment, o.Cost)
+		fmt.Fprintf(t, "%s\t%.3f\t%.4f\n", o.Pipeline, o.Attainment, o.CostPerRequest)
 	}
 	_ = t.Flush()
 	fmt.Fprintf(c.out, "\nplan %s on revision %d, made with %d instances and %d replicas; nothing has changed yet\nnext: quincectl confirm %s\n", p.ID, p.Base, p.Inputs.Instances, p.Inputs.Replicas, p.ID)
--- a/coordination/planner/capacity.go
+++ b/coordination/planner/capacity.go
@@ -15,20 +15,20 @@
 
 // Need is the capacity that a service needs at the declared peak.
 type Need struct {
-	Service  string
-	Load     float64 // average number of slots in use
-	Target   float64 // maximum utilization of the slots
-	Replicas int     // replicas that keep the utilization at Target
-	Have     int     // live replicas that are not leaving
-	CostSec  float64 // cost units per second for the load itself
+	Service           string
+	SlotsInUse        float64 // average number of slots in use
+	TargetUtilization float64 // maximum utilization of the slots
+	RequiredReplicas  int     // replicas that keep the utilization at TargetUtilization
+	LiveReplicas      int     // live replicas that are not leaving
+	CostPerSecond     float64 // cost units per second for the load itself
 }
 
 // Outlook is the expected service level of a pipeline at the declared peak with
 // the live replicas, computed from declared durations.
 type Outlook struct {
-	Pipeline   string
-	Attainment float64 // share of requests completed within the deadline
-	Cost       float64 // cost units per request
+	Pipeline       string
+	Attainment     float64 // share of requests completed within the deadline
+	CostPerRequest float64 // cost units per request
 }
 
 // targetUtilization interpolates the target utilization by the declared weight
@@ -42,16 +42,16 @@
 func needs(f *fleet.Fleet, have map[string]capacity) []Need {
 	var out []Need
 	for _, s := range f.Services {
-		n := Need{Service: s.Name, Target: targetUtilization(f), Have: have[s.Name].slots / s.Slots}
+		n := Need{Service: s.Name, TargetUtilization: targetUtilization(f), LiveReplicas: have[s.Name].slots / s.Slots}
 		for _, p := range f.Pipelines {
 			for i := range p.Stages {
 				if p.Stages[i].Service == s.Name {
-					n.Load += p.Rate * p.Stages[i].ExpectedTime().Seconds()
+					n.SlotsInUse += p.Rate * p.Stages[i].ExpectedTime().Seconds()
 				}
 			}
 		}
-		n.CostSec = n.Load * s.Cost
-		n.Replicas = int(math.Ceil(n.Load / n.Target / float64(s.Slots)))
+		n.CostPerSecond = n.SlotsInUse * s.Cost
+		n.RequiredReplicas = int(math.Ceil(n.SlotsInUse / n.TargetUtilization / float64(s.Slots)))
 		out = append(out, n)
 	}
 	return out
@@ -66,7 +66,7 @@
 		st := &p.Stages[i]
 		svc, _ := f.Service(st.Service) // validated when the declaration was parsed
 		t := st.ExpectedTime().Seconds()
-		o.Cost += t * svc.Cost
+		o.CostPerRequest += t * svc.Cost
 		wait, ok := meanWait(loads[st.Service], have[st.Service].slots, t)
 		if !ok {
 			o.Attainment = 0
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -23,7 +23,7 @@
 	Slots           int           // of all of these replicas
 	StagesPerSecond float64       // stages per second of the whole service at the expected duration
 	Budget          time.Duration // the stage's share of the deadline
-	Cost            float64       // cost units per request
+	CostPerRequest  float64       // cost units per request
 }
 
 // Plan describes the effects of a declaration.
@@ -46,9 +46,9 @@
 	p.Needs = needs(next, capacity)
 	loads := make(map[string]float64)
 	for _, n := range p.Needs {
-		loads[n.Service] = n.Load
-		if n.Replicas > n.Have && n.Have > 0 {
-			p.Warnings = append(p.Warnings, fmt.Sprintf("service %s has %d replicas, %d would keep it under %.0f%% at the declared peak", n.Service, n.Have, n.Replicas, 100*n.Target))
+		loads[n.Service] = n.SlotsInUse
+		if n.RequiredReplicas > n.LiveReplicas && n.LiveReplicas > 0 {
+			p.Warnings = append(p.Warnings, fmt.Sprintf("service %s has %d replicas, %d would keep it under %.0f%% at the declared peak", n.Service, n.LiveReplicas, n.RequiredReplicas, 100*n.TargetUtilization))
 		}
 	}
 	for i := range next.Pipelines {
@@ -106,7 +106,7 @@
 			Halls: c.halls, Slots: c.slots,
 			StagesPerSecond: math.Round(10*float64(c.slots)/st.ExpectedTime().Seconds()) / 10,
 			Budget:          time.Duration(share * float64(pl.Deadline())),
-			Cost:            st.ExpectedTime().Seconds() * svc.Cost,
+			CostPerRequest:  st.ExpectedTime().Seconds() * svc.Cost,
 		})
 	}
 }
--- a/coordination/planner/planner_test.go
+++ b/coordination/planner/planner_test.go
@@ -32,9 +32,9 @@
 	is := is.New(t)
 	attain := Compute(fleetWith(1, 240), nil, replicaList(12))
 	cost := Compute(fleetWith(0, 240), nil, replicaList(12))
-	is.Equal(attain.Needs[0].Replicas, 10) // 24 slots of load at 60% utilization
-	is.Equal(cost.Needs[0].Replicas, 7)    // at 90%
-	is.Equal(attain.Needs[0].CostSec, 240.0)
+	is.Equal(attain.Needs[0].RequiredReplicas, 10) // 24 slots of load at 60% utilization
+	is.Equal(cost.Needs[0].RequiredReplicas, 7)    // at 90%
+	is.Equal(attain.Needs[0].CostPerSecond, 240.0)
 	is.Equal(attain.Steps[0].Halls, []string{"h0", "h1"})
 }
 
--- a/protocol/api/api.go
+++ b/protocol/api/api.go
@@ -126,25 +126,25 @@
 	Slots             int      `json:"slots"`
 	CapacityPerSecond float64  `json:"capacity_per_second"` // of the service, if each call takes the stage's expected time
 	BudgetMS          int      `json:"budget_ms"`           // the stage's share of the deadline
-	Cost              float64  `json:"cost_per_request"`
+	CostPerRequest    float64  `json:"cost_per_request"`
 }
 
 // CapacityNeed is the capacity that a service needs at the declared peak.
 type CapacityNeed struct {
-	Service  string  `json:"service"`
-	Load     float64 `json:"load_slots"`      // average number of slots in use
-	Target   float64 `json:"target_use"`      // maximum share of slots in use
-	Replicas int     `json:"replicas"`        // number that keeps the use at Target
-	Have     int     `json:"have"`            // live replicas that are not leaving
-	CostSec  float64 `json:"cost_per_second"` // units per second for the load itself
+	Service           string  `json:"service"`
+	SlotsInUse        float64 `json:"load_slots"`      // average number of slots in use
+	TargetUtilization float64 `json:"target_use"`      // maximum utilization of the slots
+	RequiredReplicas  int     `json:"replicas"`        // number that keeps the use at TargetUtilization
+	LiveReplicas      int     `json:"have"`            // live replicas that are not leaving
+	CostPerSecond     float64 `json:"cost_per_second"` // units per second for the load itself
 }
 
 // Forecast is the expected service level of a pipeline at the declared peak,
 // computed from expected times rather than measured.
 type Forecast struct {
-	Pipeline   string  `json:"pipeline"`
-	Attainment float64 `json:"attainment"`       // share of requests completed within the deadline
-	Cost       float64 `json:"cost_per_request"` // units per request
+	Pipeline       string  `json:"pipeline"`
+	Attainment     float64 `json:"attainment"`       // share of requests completed within the deadline
+	CostPerRequest float64 `json:"cost_per_request"` // units per request
 }
 
 // Confirmation is the answer to the confirmation of a plan.
