--- a/cmd/node/directory_test.go
+++ b/cmd/node/directory_test.go
@@ -43,7 +43,8 @@
 	}
 	few := alive[:20]
 	is.Equal(len(selectAddresses(few, addressClient{hall: "a", name: "x"})), 18)
-	is.True(slices.Equal(selectAddresses(few, addressClient{hall: "a", name: "x"}), selectAddresses(few, addressClient{hall: "a", name: "y"}))) // all fit into an answer
+	// All fit into an answer.
+	is.True(slices.Equal(selectAddresses(few, addressClient{hall: "a", name: "x"}), selectAddresses(few, addressClient{hall: "a", name: "y"})))
 	mixed := selectAddresses(append(slices.Clone(few), alive[100:]...), addressClient{hall: "c", name: "x"})
 	is.Equal(len(mixed), platform.MaxAddresses)
 }
--- a/cmd/node/unresponsive_store_test.go
+++ b/cmd/node/unresponsive_store_test.go
@@ -222,8 +222,9 @@
 		return watchTimeFor(&platform.Settings{RecoveryTime: recovery, ConfigApplyTime: apply, DrainTime: drain, HallDrainTime: hallDrain})
 	}
 	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, 5*time.Second), 3300*time.Millisecond)
-	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond) // the list of replicas has a limit as well
-	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, time.Second), 2300*time.Millisecond)   // so has the drain of a hall
+	// The list of replicas has a limit as well.
+	is.Equal(wait(4*time.Second, 3*time.Second, 2*time.Second, 5*time.Second), 4300*time.Millisecond)
+	is.Equal(wait(3*time.Second, 2*time.Second, 2*time.Second, time.Second), 2300*time.Millisecond) // so has the drain of a hall
 	is.Equal(wait(time.Minute, time.Second, time.Second, time.Second), maxWatchTime)
 	is.Equal(wait(0, 0, 0, 0), minWatchTime)
 }
--- a/coordination/advisory/advisory_test.go
+++ b/coordination/advisory/advisory_test.go
@@ -159,7 +159,8 @@
 				pair[1].RecordDrain(now, incarnation)
 			}
 		}
-		removed += len(a.Expire(now, listedBy(60*second)).Removed) + len(b.Expire(now, listedBy(100*second)).Removed) // one of the two has an older list
+		// One of the two has an older list.
+		removed += len(a.Expire(now, listedBy(60*second)).Removed) + len(b.Expire(now, listedBy(100*second)).Removed)
 	}
 	is.Equal(removed, 2) // once at each instance
 	is.True(a.Empty() && b.Empty())
--- a/layers_test.go
+++ b/layers_test.go
@@ -85,7 +85,8 @@
 	files := 0
 	for _, dir := range []string{"cmd/node", "coordination", "state", "platform", "transport/upstream"} {
 		err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || path == "transport/upstream/call.go" { // call.go belongs to the deployment with entry and coord processes
+			// call.go belongs to the deployment with entry and coord processes.
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || path == "transport/upstream/call.go" {
 				return err
 			}
 			files++
