--- a/cmd/load/caller.go
+++ b/cmd/load/caller.go
@@ -1,5 +1,6 @@
-// Package load is the client for load tests and experiments. Arrivals are open loop,
-// and each request adds one response to the history that package check verifies.
+// Package load sends requests to a deployment for load tests and experiments. Arrivals
+// are open loop: they don't wait for earlier responses. Each request adds one response
+// to the history that package check verifies.
 package load
 
 import (
--- a/cmd/quince-coord/main.go
+++ b/cmd/quince-coord/main.go
@@ -1,5 +1,6 @@
-// Command quince-coord runs the coordination process: membership, configuration,
-// slots, and the operators' API.
+// Command quince-coord runs the coordination process of a deployment with separate
+// processes: membership, configuration, slots, and the operators' API. Every instance
+// runs one next to its quince-entry.
 package main
 
 import (
--- a/cmd/quince-entry/main.go
+++ b/cmd/quince-entry/main.go
@@ -1,4 +1,5 @@
-// Command quince-entry runs the entry, the process that serves clients.
+// Command quince-entry runs the entry, the process that serves clients in a deployment
+// with separate processes. Every instance runs one next to its quince-coord.
 package main
 
 import (
--- a/cmd/quince-node/main.go
+++ b/cmd/quince-node/main.go
@@ -1,4 +1,5 @@
-// Command quince-node runs a whole instance on the users' platform in one process.
+// Command quince-node runs a whole instance on the users' platform in one process, in
+// place of quince-entry and quince-coord.
 package main
 
 import (
--- a/cmd/slots/slots.go
+++ b/cmd/slots/slots.go
@@ -1,6 +1,7 @@
-// Package slots runs one scheduler per service for concurrent use: in a coord, which
-// owns the slots of services, and in an entry, as its fallback when the owner can't be
-// reached.
+// Package slots runs one scheduler (package scheduler) per service for concurrent use. A
+// slot is the capacity of a replica for one concurrent request. In a coord the schedulers
+// assign the slots of the services that this coord owns; in an entry they are the
+// fallback for services whose owner can't be reached.
 package slots
 
 import (
--- a/coordination/addresses/addresses.go
+++ b/coordination/addresses/addresses.go
@@ -1,6 +1,6 @@
 // Package addresses selects the instances that a caller should use: those of
-// the caller's hall first, without leaving or dead ones, spread by rendezvous
-// hashing.
+// the caller's hall first, spread by rendezvous hashing. Dead and leaving
+// instances are left out.
 package addresses
 
 import (
--- a/coordination/balancer/balancer.go
+++ b/coordination/balancer/balancer.go
@@ -1,7 +1,8 @@
 // Package balancer picks the replica for a request: for plain services the one
 // with the shortest expected answer time among a few random candidates (power of
-// random choices), for engines the one most likely to have the longest prefix of
-// the prompt cached (rendezvous hashing with bounded loads).
+// random choices), for engines (replicas that run a model) the one most likely
+// to have the longest prefix of the prompt cached (rendezvous hashing with
+// bounded loads).
 //
 // It uses this instance's own request counts and the load that replicas report
 // in their answers, which is staler the fewer answers there are. It is pure.
--- a/coordination/cells/cells.go
+++ b/coordination/cells/cells.go
@@ -1,5 +1,6 @@
-// Package cells assigns the replicas of a service to cells, each of which has
-// its own owner. All instances with the same list compute the same assignment.
+// Package cells assigns the replicas of a service to cells. Each cell has its
+// own owner, the instance that schedules the work for its replicas. All
+// instances with the same list compute the same assignment.
 //
 // An owner's state about a replica (cached prompts, stored results, requests in
 // flight) is lost when the replica moves to another cell, so adding or removing
--- a/coordination/changes/changes.go
+++ b/coordination/changes/changes.go
@@ -1,6 +1,7 @@
-// Package changes keeps the content of a topic of the platform's store together with a
-// bounded log of its recent changes, so that an instance can send a peer that is behind
-// only the changes that it lacks (delta synchronization).
+// Package changes keeps the content of a topic (a key prefix that is watched) of
+// the platform's store together with a bounded log of its recent changes, so that an
+// instance can send a peer that is behind only the changes that it lacks (delta
+// synchronization).
 //
 // Revisions are the store's: a single counter that increases with every change of any
 // key, so two instances that read at different times hold the same content at
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -1,5 +1,6 @@
-// Package estimate estimates the duration of stages by input size, with the
-// mean and deviation filters of Jacobson (1988).
+// Package estimate estimates the duration of a pipeline's stages by input size from
+// observed durations. It uses the moving averages of mean and deviation of Jacobson's
+// estimator of round-trip times (1988).
 package estimate
 
 import (
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -5,8 +5,9 @@
 // Updates reach the whole fleet in O(log n) rounds at a constant cost per instance.
 //
 // The view determines which addresses clients get and which instance owns which
-// pool. No guarantee depends on it. The package does no I/O and reads no clock:
-// callers pass in events and the time, and send the messages that it builds.
+// pool. No guarantee depends on it. Nodes use this package; coords use package
+// membership. The package does no I/O and reads no clock: callers pass in events
+// and the time, and send the messages that it builds.
 package gossip
 
 import (
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,5 +1,6 @@
 // Package membership maintains one instance's view of all instances: which are
-// alive, in which incarnation, and which are leaving.
+// alive, in which incarnation, and which are leaving. Coords use it; nodes use
+// package gossip.
 //
 // It follows SWIM (Das, Gupta and Motivala, 2002): a member that does not answer
 // becomes a suspect, a suspect that does not refute in time is dead, and a member
--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -1,4 +1,5 @@
-// Package ownership decides which instance owns a cell of pools and engines.
+// Package ownership decides which instance owns a cell of pools and engines, that is,
+// schedules the work for the cell's replicas (see package cells).
 //
 // All replicas of a cell are in one region, and so is its owner while that region has
 // an eligible instance. Otherwise an instance of another region owns the cell until
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,4 +1,5 @@
-// Package placement chooses the engine that runs a stream.
+// Package placement chooses the engine (replica that runs a model) for a stream, a
+// request that is answered token by token.
 //
 // An engine prefills a long prompt in chunks between the decode steps of its
 // running streams, which pauses all of them. The choice therefore minimizes the
--- a/proctest/compare/main.go
+++ b/proctest/compare/main.go
@@ -1,6 +1,7 @@
-// Command compare runs several variants of the sources on the same days with the
-// same seeds, and prints the difference in worth of each to the first, the
-// baseline. README.md describes the plan of a comparison.
+// Command compare runs several variants of the sources through the users' bench, on the
+// same days (scenarios of load and faults) with the same seeds. It prints the
+// difference in worth (the bench's score of a run, at most 1) of each variant to the
+// first, the baseline. README.md describes the plan of a comparison.
 //
 //	go run ./proctest/compare -bench PATH -jobs 2 plan.toml
 package main
--- a/proctest/lossplot/main.go
+++ b/proctest/lossplot/main.go
@@ -1,6 +1,7 @@
-// Command lossplot plots the worth that a site's days lost, by cause, from
-// entries of the journal. It draws one bar per entry for each day that all
-// entries have.
+// Command lossplot plots by cause how much worth the days of a site lost, from
+// entries of the journal. A day is a scenario of load and faults; its worth is
+// the score that the users' bench gave the run, at most 1. The command draws
+// one bar per entry for each day that all entries have.
 //
 //	go run ./proctest/lossplot -o docs/design/losses.svg ENTRY...
 //
--- a/protocol/event/event.go
+++ b/protocol/event/event.go
@@ -1,6 +1,6 @@
-// Package event is the catalogue of the processes' log lines; each line carries
-// its event's number. docs/EVENTS.md is generated from it, and a test compares
-// them.
+// Package event is the catalogue of the events that the processes log; each log
+// line carries the number of its event. docs/EVENTS.md is generated from it, and a
+// test compares them.
 package event
 
 import (
--- a/protocol/frame/frame.go
+++ b/protocol/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame writes and reads protobuf messages on a link's stream. A frame is
-// four bytes of length (big endian, of kind and message), one byte of kind, and
-// the message.
+// Package frame writes and reads protobuf messages on a stream of a link
+// (package link). A frame is four bytes of length (big endian, of kind and
+// message), one byte of kind, and the message.
 package frame
 
 import (
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,5 +1,9 @@
 // Package catalog defines the data that an instance serves from: the configuration
 // in force and the replicas of its services, independent of any wire format.
+//
+// The replicas of a service are engines, which run a model and answer prompts with
+// streams of tokens, or a pool, which runs batches of the items of pipeline stages, or
+// neither (a plain service).
 package catalog
 
 import (
--- a/transport/peek/peek.go
+++ b/transport/peek/peek.go
@@ -1,4 +1,5 @@
-// Package peek inspects a connection without consuming bytes from it.
+// Package peek reports whether a connection is idle, readable or closed without consuming
+// bytes from it.
 package peek
 
 import (
